--- a/benchmarks/board.py
+++ b/benchmarks/board.py
@@ -15,7 +15,7 @@
 import click
 
 from saddlestack.interfaces.workers import EndedTask, EndKind, WorkerRecord
-from saddlestack.policy.board.board import Board
+from saddlestack.policy.cluster.state import ClusterState
 from saddlestack.work import AcceptedJob, JobRequest, Resources, Step
 
 SERVICE = "pool"
@@ -29,9 +29,9 @@
 """Share of the runs that end between two rounds; as many jobs come."""
 
 
-def loaded_board(workers: int, rng: random.Random) -> Board:
+def loaded_board(workers: int, rng: random.Random) -> ClusterState:
     """A pool with more work than it can hold, a third of it in bulk, most of it in gangs."""
-    board = Board()
+    board = ClusterState()
     for number in range(workers):
         board.set_worker(_record(number), 0.0)
     jobs: list[tuple[int, Step]] = []
@@ -89,7 +89,7 @@
     )
 
 
-def churn(board: Board, rng: random.Random, now: float, number: int) -> int:
+def churn(board: ClusterState, rng: random.Random, now: float, number: int) -> int:
     """Some runs end well, and as many jobs come; returns how many came.
 
     :param number: of the first job that comes.
@@ -110,7 +110,7 @@
     return came
 
 
-def rounds(board: Board, rng: random.Random, number: int) -> list[float]:
+def rounds(board: ClusterState, rng: random.Random, number: int) -> list[float]:
     """Seconds of each of some rounds, changes in between left out."""
     times: list[float] = []
     for index in range(ROUNDS):
--- a/benchmarks/crashing.py
+++ b/benchmarks/crashing.py
@@ -19,15 +19,15 @@
 from tests.simulation.day import Day, day_of
 from tests.simulation.jobs import JobKinds
 
-from saddlestack.policy.board import crashes
-from saddlestack.policy.board.crashrule import (
+from saddlestack.policy.cluster import crashes
+from saddlestack.policy.cluster.crashrule import (
     LATER_STARTS,
     LEAST_CRASHES,
     CrashOdds,
     CrashRule,
     Exposure,
 )
-from saddlestack.policy.board.records import CrashRecord, FailureCause
+from saddlestack.policy.cluster.records import CrashRecord, FailureCause
 from saddlestack.work import JobState
 
 NOTICED_S = 2.5
--- a/benchmarks/faulty.py
+++ b/benchmarks/faulty.py
@@ -21,7 +21,7 @@
 from tests.simulation.workers import Plan, SimRun, SimWorker, Workers
 
 from saddlestack.interfaces.workers import EndKind
-from saddlestack.policy.board import blame
+from saddlestack.policy.cluster import blame
 from saddlestack.policy.standstill import StillWatch
 from saddlestack.work import JobRequest, JobState
 
@@ -43,7 +43,7 @@
     JOBS = 2
 
     def is_at_fault(self, evidence: Sequence[blame.JobEvidence]) -> bool:
-        """See :meth:`saddlestack.policy.board.blame.FaultRule.is_at_fault`."""
+        """See :meth:`saddlestack.policy.cluster.blame.FaultRule.is_at_fault`."""
         credible = [each for each in evidence if each.failed_elsewhere <= self.MOST_ELSEWHERE]
         return len(credible) >= self.JOBS or any(self._is_enough(each) for each in credible)
 
--- a/benchmarks/variants.py
+++ b/benchmarks/variants.py
@@ -57,8 +57,8 @@
         "headroom",
         "headroom for urgent work",
         (
-            Edit("policy/board/headroom.py", "HEADROOM = 0.25", "HEADROOM = 0.0"),
-            Edit("policy/board/headroom.py", "HEADROOM_A_RACK = 32", "HEADROOM_A_RACK = 0"),
+            Edit("policy/cluster/headroom.py", "HEADROOM = 0.25", "HEADROOM = 0.0"),
+            Edit("policy/cluster/headroom.py", "HEADROOM_A_RACK = 32", "HEADROOM_A_RACK = 0"),
         ),
     ),
     Variant(
@@ -66,7 +66,7 @@
         "workers kept from backfill for waiting gangs",
         (
             Edit(
-                "policy/board/queue.py",
+                "policy/cluster/queue.py",
                 "        self._backfill.keep(",
                 "        Backfill().keep(",
             ),
@@ -77,12 +77,12 @@
         "room reserved while it is being made",
         (
             Edit(
-                "policy/board/reservations.py",
+                "policy/cluster/reservations.py",
                 "            worker.reserved = worker.reserved + step.step.room",
                 "            pass",
             ),
             Edit(
-                "policy/board/reservations.py",
+                "policy/cluster/reservations.py",
                 "            worker.reserved = worker.reserved - step.step.room",
                 "            pass",
             ),
@@ -93,7 +93,7 @@
         "victims chosen by the work that is lost",
         (
             Edit(
-                "policy/board/preemption.py",
+                "policy/cluster/preemption.py",
                 "        return lost * weight(run.room) + TOUCH_COST",
                 "        return TOUCH_COST",
             ),
@@ -104,7 +104,7 @@
         "victims that proved needless are left out",
         (
             Edit(
-                "policy/board/preemption.py",
+                "policy/cluster/preemption.py",
                 "        self._spare_needless(wanted)\n",
                 "",
             ),
@@ -115,7 +115,7 @@
         "victims priced by all tasks that they make room for",
         (
             Edit(
-                "policy/board/preemption.py",
+                "policy/cluster/preemption.py",
                 "        return self.lost / min(self.gain, missing)",
                 "        return self.lost",
             ),
@@ -126,7 +126,7 @@
         "gangs in one data hall where they fit",
         (
             Edit(
-                "policy/board/placement.py",
+                "policy/cluster/placement.py",
                 "            return hall if _opened(hall) <= _opened(chosen) else chosen",
                 "            return chosen",
             ),
@@ -135,25 +135,27 @@
     Variant(
         "stuck",
         "urgent work that stands still begins again elsewhere",
-        (Edit("policy/board/progress.py", "MOST_MOVES = 2", "MOST_MOVES = 0"),),
+        (Edit("policy/cluster/progress.py", "MOST_MOVES = 2", "MOST_MOVES = 0"),),
     ),
     Variant(
         "caution",
         "urgent work goes to healthy workers while faulty ones are noticed",
-        (Edit("policy/board/caution.py", "FAULTY_WORKERS = 2", "FAULTY_WORKERS = 1_000_000"),),
+        (Edit("policy/cluster/caution.py", "FAULTY_WORKERS = 2", "FAULTY_WORKERS = 1_000_000"),),
     ),
     Variant(
         "quarantine",
         "workers that fail work are left alone for a while",
         (
-            Edit("policy/board/workers.py", "FIRST_QUARANTINE_S = 2.0", "FIRST_QUARANTINE_S = 0.0"),
-            Edit("policy/board/workers.py", "        if self.strikes:", "        if False:"),
+            Edit(
+                "policy/cluster/workers.py", "FIRST_QUARANTINE_S = 2.0", "FIRST_QUARANTINE_S = 0.0"
+            ),
+            Edit("policy/cluster/workers.py", "        if self.strikes:", "        if False:"),
         ),
     ),
     Variant(
         "probation",
         "workers that fail at once get no urgent work and no gangs",
-        (Edit("policy/board/workers.py", "PROBATION_S = 16.0", "PROBATION_S = 0.0"),),
+        (Edit("policy/cluster/workers.py", "PROBATION_S = 16.0", "PROBATION_S = 0.0"),),
     ),
     Variant(
         "recovery",
--- a/benchmarks/waits.py
+++ b/benchmarks/waits.py
@@ -15,16 +15,16 @@
 import msgspec
 
 from benchmarks.board import ROUND_S, churn, loaded_board
-from saddlestack.policy.board.board import Board
-from saddlestack.policy.board.diagnosis import Circumstances, Diagnosis
-from saddlestack.policy.board.reasons import Reason
+from saddlestack.policy.cluster.diagnosis import Circumstances, Diagnosis
+from saddlestack.policy.cluster.reasons import Reason
+from saddlestack.policy.cluster.state import ClusterState
 
 WORKERS = 3_000
 BACKLOG = 5_000
 LOOKS = 40
 
 
-def backlogged_board(workers: int, backlog: int, rng: random.Random) -> Board:
+def backlogged_board(workers: int, backlog: int, rng: random.Random) -> ClusterState:
     """A pool with so many workers, and about so many more jobs than it holds."""
     board = loaded_board(workers, rng)
     more = loaded_board(2 * backlog, rng)
@@ -34,7 +34,7 @@
     return board
 
 
-def started(board: Board, now: float) -> None:
+def started(board: ClusterState, now: float) -> None:
     """Decide all that may be decided now; each start is confirmed."""
     more = True
     while more:
@@ -43,7 +43,7 @@
             board.started(start.run, now)
 
 
-def looks(board: Board, rng: random.Random) -> tuple[list[float], Counter[Reason]]:
+def looks(board: ClusterState, rng: random.Random) -> tuple[list[float], Counter[Reason]]:
     """Milliseconds of each of some looks, rounds in between left out, and what the last found."""
     diagnosis = Diagnosis(board)
     number = len(board.jobs)
--- a/src/saddlestack/cli/explaining.py
+++ b/src/saddlestack/cli/explaining.py
@@ -10,7 +10,7 @@
 from saddlestack.cli.crashes import CLEARED, GIVEN_UP, SUSPECT, described
 from saddlestack.cli.loglines import LogLine, read
 from saddlestack.cli.output import errors_to_exit_codes, log_files
-from saddlestack.policy.board.reasons import Reason
+from saddlestack.policy.cluster.reasons import Reason
 
 EVACUATION = "evacuation"
 BEGUN = "begun"
--- a/src/saddlestack/cli/steps.py
+++ b/src/saddlestack/cli/steps.py
@@ -5,7 +5,7 @@
 import re
 from dataclasses import dataclass
 
-from saddlestack.policy.board.jobs import weight
+from saddlestack.policy.cluster.jobs import weight
 from saddlestack.work import Resources
 
 _SHAPE = re.compile(r"(\d+)x(\d+)acc/(\d+)cpu/(\d+)mb (\d+)ms")
--- a/src/saddlestack/control/contact.py
+++ b/src/saddlestack/control/contact.py
@@ -9,8 +9,8 @@
 from saddlestack.control.leases import CLOCK_DRIFT, Leases
 from saddlestack.control.owner import Owner
 from saddlestack.kernel.clock import Clock
-from saddlestack.policy.board.lifeend import LifeEnd
-from saddlestack.policy.board.workers import Worker
+from saddlestack.policy.cluster.lifeend import LifeEnd
+from saddlestack.policy.cluster.workers import Worker
 
 log = logging.getLogger("saddlestack.contact")
 
--- a/src/saddlestack/control/crashlog.py
+++ b/src/saddlestack/control/crashlog.py
@@ -5,7 +5,7 @@
 import logging
 from collections.abc import Sequence
 
-from saddlestack.policy.board.verdicts import Verdict, VerdictKind
+from saddlestack.policy.cluster.verdicts import Verdict, VerdictKind
 from saddlestack.services.metrics import Metrics
 
 log = logging.getLogger("saddlestack.crashes")
--- a/src/saddlestack/control/doubts.py
+++ b/src/saddlestack/control/doubts.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from saddlestack.interfaces.lives import id_of
-from saddlestack.policy.board.workers import RunKey
+from saddlestack.policy.cluster.workers import RunKey
 
 LATEST_S = 15.0
 """An order is carried out at most 12 s after it was sent; the rest is for clocks and stalls."""
--- a/src/saddlestack/control/endings.py
+++ b/src/saddlestack/control/endings.py
@@ -6,8 +6,8 @@
 import logging
 from collections.abc import Iterable
 
-from saddlestack.policy.board.jobs import Run
-from saddlestack.policy.board.workers import Worker
+from saddlestack.policy.cluster.jobs import Run
+from saddlestack.policy.cluster.workers import Worker
 
 log = logging.getLogger("saddlestack.endings")
 
--- a/src/saddlestack/control/jobs.py
+++ b/src/saddlestack/control/jobs.py
@@ -12,8 +12,8 @@
 from saddlestack.errors import ErrorKind, SaddlestackError, invalid
 from saddlestack.interfaces.clients import ClientCall
 from saddlestack.interfaces.store import Item
-from saddlestack.policy.board.jobs import new_job
-from saddlestack.policy.board.records import OccurrenceRecord
+from saddlestack.policy.cluster.jobs import new_job
+from saddlestack.policy.cluster.records import OccurrenceRecord
 from saddlestack.work import AcceptedJob, JobRequest, JobState, Step, faults_of
 
 log = logging.getLogger("saddlestack.jobs")
--- a/src/saddlestack/control/listing.py
+++ b/src/saddlestack/control/listing.py
@@ -21,13 +21,13 @@
 from saddlestack.interfaces.lives import born_of, id_of
 from saddlestack.interfaces.store import Item
 from saddlestack.interfaces.workers import WorkerRecord
-from saddlestack.policy.board.board import Board
+from saddlestack.policy.cluster.state import ClusterState
 
 
 class WorkerList:
     """Keeps a board's workers in step with their records."""
 
-    def __init__(self, context: EntryContext, board: Board, sessions: Sessions) -> None:
+    def __init__(self, context: EntryContext, board: ClusterState, sessions: Sessions) -> None:
         self._clock = context.clock
         self._documents = context.documents
         self._board = board
--- a/src/saddlestack/control/owner.py
+++ b/src/saddlestack/control/owner.py
@@ -5,15 +5,15 @@
 from collections.abc import Iterable
 from typing import Protocol
 
-from saddlestack.policy.board.board import Board
-from saddlestack.policy.board.workers import Worker
+from saddlestack.policy.cluster.state import ClusterState
+from saddlestack.policy.cluster.workers import Worker
 
 
 class Owner(Protocol):
     """What a session needs of its scheduler."""
 
     @property
-    def board(self) -> Board:
+    def board(self) -> ClusterState:
         """What is known and decided."""
         ...
 
--- a/src/saddlestack/control/reports.py
+++ b/src/saddlestack/control/reports.py
@@ -14,8 +14,8 @@
 from saddlestack.control.owner import Owner
 from saddlestack.interfaces.workers import EndedTask, RunningTask, WorkerReport
 from saddlestack.kernel.clock import Clock
-from saddlestack.policy.board.jobs import Run
-from saddlestack.policy.board.workers import RunKey, Worker
+from saddlestack.policy.cluster.jobs import Run
+from saddlestack.policy.cluster.workers import RunKey, Worker
 from saddlestack.work import TaskName
 
 log = logging.getLogger("saddlestack.reports")
--- a/src/saddlestack/control/requests.py
+++ b/src/saddlestack/control/requests.py
@@ -15,8 +15,8 @@
 from saddlestack.control.refusals import Refusals
 from saddlestack.errors import SaddlestackError
 from saddlestack.interfaces.store import Item, StoreUnavailable
-from saddlestack.policy.board.board import Board
-from saddlestack.policy.board.records import OccurrenceRecord
+from saddlestack.policy.cluster.records import OccurrenceRecord
+from saddlestack.policy.cluster.state import ClusterState
 from saddlestack.work import AcceptedJob
 
 log = logging.getLogger("saddlestack.requests")
@@ -31,7 +31,7 @@
 class Requests:
     """Clients' requests and the progress of jobs, between the store and a board."""
 
-    def __init__(self, context: EntryContext, board: Board, journal: Journal) -> None:
+    def __init__(self, context: EntryContext, board: ClusterState, journal: Journal) -> None:
         self._context = context
         self._board = board
         self._journal = journal
--- a/src/saddlestack/control/scheduler.py
+++ b/src/saddlestack/control/scheduler.py
@@ -38,10 +38,10 @@
 from saddlestack.interfaces.machines import AdviserUnavailable
 from saddlestack.interfaces.store import Item
 from saddlestack.kernel.service import TaskGroup
-from saddlestack.policy.board.board import Board
-from saddlestack.policy.board.changes import JobChanges, Question
-from saddlestack.policy.board.lifeend import LifeEnd
-from saddlestack.policy.board.workers import Worker
+from saddlestack.policy.cluster.changes import JobChanges, Question
+from saddlestack.policy.cluster.lifeend import LifeEnd
+from saddlestack.policy.cluster.state import ClusterState
+from saddlestack.policy.cluster.workers import Worker
 from saddlestack.policy.suspicion import Suspicion
 from saddlestack.work import JobState
 
@@ -98,7 +98,7 @@
         self._clock = context.clock
         self._configuration = configuration
         self._on_displaced = on_displaced
-        self.board = Board()
+        self.board = ClusterState()
         self.fence = term.fence
         self.hold_s = context.settings.timings.longest_hold_ms / 1000
         self._journal = Journal(context, term.fence)
--- a/src/saddlestack/control/session.py
+++ b/src/saddlestack/control/session.py
@@ -28,11 +28,11 @@
 )
 from saddlestack.kernel.clock import Clock
 from saddlestack.kernel.service import TaskGroup
-from saddlestack.policy.board.changes import Start
-from saddlestack.policy.board.jobs import Run
-from saddlestack.policy.board.pacing import needs_watching
-from saddlestack.policy.board.progress import LOOK_S, needs_looks
-from saddlestack.policy.board.workers import RunKey, Worker
+from saddlestack.policy.cluster.changes import Start
+from saddlestack.policy.cluster.jobs import Run
+from saddlestack.policy.cluster.pacing import needs_watching
+from saddlestack.policy.cluster.progress import LOOK_S, needs_looks
+from saddlestack.policy.cluster.workers import RunKey, Worker
 from saddlestack.work import TaskName
 
 log = logging.getLogger("saddlestack.session")
--- a/src/saddlestack/control/sessions.py
+++ b/src/saddlestack/control/sessions.py
@@ -12,9 +12,9 @@
 from saddlestack.control.owner import Owner
 from saddlestack.control.session import WorkerSession
 from saddlestack.kernel.service import TaskGroup
-from saddlestack.policy.board.changes import Start, Stop
-from saddlestack.policy.board.pacing import Pace
-from saddlestack.policy.board.workers import Worker
+from saddlestack.policy.cluster.changes import Start, Stop
+from saddlestack.policy.cluster.pacing import Pace
+from saddlestack.policy.cluster.workers import Worker
 
 log = logging.getLogger("saddlestack.sessions")
 
--- a/src/saddlestack/control/stored.py
+++ b/src/saddlestack/control/stored.py
@@ -12,7 +12,7 @@
 from saddlestack.codec import from_msgpack
 from saddlestack.control.settings import parse_address
 from saddlestack.errors import ErrorKind, SaddlestackError
-from saddlestack.policy.board.records import (
+from saddlestack.policy.cluster.records import (
     CrashRecord,
     OccurrenceRecord,
     OccurrenceStatus,
--- a/src/saddlestack/control/upkeep.py
+++ b/src/saddlestack/control/upkeep.py
@@ -26,8 +26,8 @@
     WriteInDoubt,
 )
 from saddlestack.models import Model
-from saddlestack.policy.board.board import Board
-from saddlestack.policy.board.workers import Worker
+from saddlestack.policy.cluster.state import ClusterState
+from saddlestack.policy.cluster.workers import Worker
 from saddlestack.policy.upkeep import WaveState
 
 log = logging.getLogger("saddlestack.upkeep")
@@ -49,7 +49,9 @@
     :param fence: the term's fencing token.
     """
 
-    def __init__(self, context: EntryContext, machines: Machines, board: Board, fence: int) -> None:
+    def __init__(
+        self, context: EntryContext, machines: Machines, board: ClusterState, fence: int
+    ) -> None:
         self._context = context
         self._machines = machines
         self._board = board
--- a/src/saddlestack/control/waits.py
+++ b/src/saddlestack/control/waits.py
@@ -12,12 +12,12 @@
 from functools import partial
 
 from saddlestack.kernel.clock import Clock
-from saddlestack.policy.board.board import Board
-from saddlestack.policy.board.diagnosis import Circumstances, Diagnosis, Looked, Wait
-from saddlestack.policy.board.jobs import Job
-from saddlestack.policy.board.reasons import Reason
-from saddlestack.policy.board.records import FailureCause
-from saddlestack.policy.board.survey import ServicePool, pools
+from saddlestack.policy.cluster.diagnosis import Circumstances, Diagnosis, Looked, Wait
+from saddlestack.policy.cluster.jobs import Job
+from saddlestack.policy.cluster.reasons import Reason
+from saddlestack.policy.cluster.records import FailureCause
+from saddlestack.policy.cluster.state import ClusterState
+from saddlestack.policy.cluster.survey import ServicePool, pools
 from saddlestack.policy.standstill import Standstill, StillWatch
 from saddlestack.services.metrics import Metrics
 from saddlestack.work import JobState
@@ -88,7 +88,7 @@
 
     def __init__(
         self,
-        board: Board,
+        board: ClusterState,
         clock: Clock,
         metrics: Metrics,
         lease_until_s: Callable[[str], float],
--- a/src/saddlestack/policy/board/awaited.py
+++ b/src/saddlestack/policy/cluster/awaited.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from itertools import accumulate
 
-from saddlestack.policy.board.jobs import weight
-from saddlestack.policy.board.workers import Worker
+from saddlestack.policy.cluster.jobs import weight
+from saddlestack.policy.cluster.workers import Worker
 from saddlestack.work import Resources
 
 
--- a/src/saddlestack/policy/board/backfill.py
+++ b/src/saddlestack/policy/cluster/backfill.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterable
 
-from saddlestack.policy.board.workers import Worker
+from saddlestack.policy.cluster.workers import Worker
 
 KEPT_GANGS = 32
 """Gangs for which workers are kept in one round, those that go first; a round's cost with
--- a/src/saddlestack/policy/board/blame.py
+++ b/src/saddlestack/policy/cluster/blame.py
@@ -14,8 +14,8 @@
 from itertools import islice
 from typing import Protocol
 
-from saddlestack.policy.board.jobs import Job, Run, Task
-from saddlestack.policy.board.workers import EARLY_FAILURE_S, Worker
+from saddlestack.policy.cluster.jobs import Job, Run, Task
+from saddlestack.policy.cluster.workers import EARLY_FAILURE_S, Worker
 
 JOBS_KEPT = 8
 """Jobs that are remembered as failed on a worker since a run last ended well there, the latest."""
--- a/src/saddlestack/policy/board/candidates.py
+++ b/src/saddlestack/policy/cluster/candidates.py
@@ -4,15 +4,15 @@
 
 from collections.abc import Callable
 
-from saddlestack.policy.board.backfill import Backfill
-from saddlestack.policy.board.fits import Fit, Fits
-from saddlestack.policy.board.index import RoomIndex, ServiceRooms
-from saddlestack.policy.board.jobs import StepState, Task
-from saddlestack.policy.board.patience import NEAR_PATIENCE_S
-from saddlestack.policy.board.placement import whole_racks
-from saddlestack.policy.board.places import IndexedPlaces, Kept, ListedPlaces, Places
-from saddlestack.policy.board.pool import Pool
-from saddlestack.policy.board.workers import Worker
+from saddlestack.policy.cluster.backfill import Backfill
+from saddlestack.policy.cluster.fits import Fit, Fits
+from saddlestack.policy.cluster.index import RoomIndex, ServiceRooms
+from saddlestack.policy.cluster.jobs import StepState, Task
+from saddlestack.policy.cluster.patience import NEAR_PATIENCE_S
+from saddlestack.policy.cluster.placement import whole_racks
+from saddlestack.policy.cluster.places import IndexedPlaces, Kept, ListedPlaces, Places
+from saddlestack.policy.cluster.pool import Pool
+from saddlestack.policy.cluster.workers import Worker
 
 
 class Candidates:
--- a/src/saddlestack/policy/board/caution.py
+++ b/src/saddlestack/policy/cluster/caution.py
@@ -9,8 +9,8 @@
 
 from collections.abc import Callable, Iterator
 
-from saddlestack.policy.board.jobs import TOP_PRIORITY, StepState
-from saddlestack.policy.board.workers import Worker
+from saddlestack.policy.cluster.jobs import TOP_PRIORITY, StepState
+from saddlestack.policy.cluster.workers import Worker
 
 FAULTY_WORKERS = 2
 """So many workers noticed as faulty within :data:`FAULTY_S` are no coincidence."""
--- a/src/saddlestack/policy/board/changes.py
+++ b/src/saddlestack/policy/cluster/changes.py
@@ -5,10 +5,10 @@
 import enum
 from dataclasses import dataclass, field
 
-from saddlestack.policy.board.jobs import Job, Run, StepState
-from saddlestack.policy.board.pacing import Pace
-from saddlestack.policy.board.records import OccurrenceRecord
-from saddlestack.policy.board.verdicts import Verdict
+from saddlestack.policy.cluster.jobs import Job, Run, StepState
+from saddlestack.policy.cluster.pacing import Pace
+from saddlestack.policy.cluster.records import OccurrenceRecord
+from saddlestack.policy.cluster.verdicts import Verdict
 from saddlestack.work import JobState, TaskName
 
 
@@ -73,7 +73,7 @@
 
 @dataclass(slots=True)
 class Changes:
-    """What has followed since the last call of :meth:`Board.take`.
+    """What has followed since the last call of :meth:`ClusterState.take`.
 
     :param records: occurrences to be written, by key.
     :param starts: to be ordered after the records are written.
--- a/src/saddlestack/policy/board/crashes.py
+++ b/src/saddlestack/policy/cluster/crashes.py
@@ -14,24 +14,24 @@
 import msgspec
 
 from saddlestack.interfaces.workers import EndKind
-from saddlestack.policy.board.crashrate import CrashRates
-from saddlestack.policy.board.crashrule import (
+from saddlestack.policy.cluster.crashrate import CrashRates
+from saddlestack.policy.cluster.crashrule import (
     COUNTED_FROM,
     CRASH_RULE,
     CrashRule,
     Exposure,
 )
-from saddlestack.policy.board.jobs import Job, Run, StepState, Task
-from saddlestack.policy.board.lifeend import (
+from saddlestack.policy.cluster.jobs import Job, Run, StepState, Task
+from saddlestack.policy.cluster.lifeend import (
     LifeEnd,
     is_announced,
     lived,
     may_have_begun,
     overlap,
 )
-from saddlestack.policy.board.records import CrashRecord, TaskStatus, within
-from saddlestack.policy.board.verdicts import Verdict, VerdictKind
-from saddlestack.policy.board.workers import Worker
+from saddlestack.policy.cluster.records import CrashRecord, TaskStatus, within
+from saddlestack.policy.cluster.verdicts import Verdict, VerdictKind
+from saddlestack.policy.cluster.workers import Worker
 
 CRASHES_KEPT = 64
 """Crashes whose charges are remembered, so that they can be taken back, the latest."""
--- a/src/saddlestack/policy/board/crashrate.py
+++ b/src/saddlestack/policy/cluster/crashrate.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from saddlestack.policy.board.workers import Worker
+from saddlestack.policy.cluster.workers import Worker
 
 COUNT_S = 2.0
 """Workers are counted so often."""
--- a/src/saddlestack/policy/board/crashrule.py
+++ b/src/saddlestack/policy/cluster/crashrule.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from saddlestack.policy.board.records import CrashRecord, within
+from saddlestack.policy.cluster.records import CrashRecord, within
 
 COUNTED_FROM = 3
 """Once so many workers have crashed under a task its starts are counted..."""
--- a/src/saddlestack/policy/board/departure.py
+++ b/src/saddlestack/policy/cluster/departure.py
@@ -8,9 +8,9 @@
 
 from collections.abc import Callable, Iterable, Sequence
 
-from saddlestack.policy.board.jobs import Run
-from saddlestack.policy.board.progress import remaining_s
-from saddlestack.policy.board.workers import Worker
+from saddlestack.policy.cluster.jobs import Run
+from saddlestack.policy.cluster.progress import remaining_s
+from saddlestack.policy.cluster.workers import Worker
 
 SAVE_MARGIN_S = 1.2
 """A run that saves its progress works on until this long before the worker leaves: the stop, on
--- a/src/saddlestack/policy/board/diagnosis.py
+++ b/src/saddlestack/policy/cluster/diagnosis.py
@@ -11,16 +11,16 @@
 from dataclasses import dataclass, field
 from itertools import islice
 
-from saddlestack.policy.board.board import Board
-from saddlestack.policy.board.jobs import Job, Occurrence, Run, StepState
-from saddlestack.policy.board.patience import (
+from saddlestack.policy.cluster.jobs import Job, Occurrence, Run, StepState
+from saddlestack.policy.cluster.patience import (
     HEADROOM_PATIENCE_S,
     IDLE_PATIENCE_S,
     NEAR_PATIENCE_S,
 )
-from saddlestack.policy.board.reasons import Reason
-from saddlestack.policy.board.survey import ServicePool, Survey, Surveyor, pools
-from saddlestack.policy.board.waiting import may_start
+from saddlestack.policy.cluster.reasons import Reason
+from saddlestack.policy.cluster.state import ClusterState
+from saddlestack.policy.cluster.survey import ServicePool, Survey, Surveyor, pools
+from saddlestack.policy.cluster.waiting import may_start
 from saddlestack.policy.standstill import has_room
 from saddlestack.work import FINAL_STATES, Resources
 
@@ -157,7 +157,7 @@
 class Diagnosis:
     """Looks at a board from time to time, and keeps since when each job waits."""
 
-    def __init__(self, board: Board) -> None:
+    def __init__(self, board: ClusterState) -> None:
         self._board = board
         self._since: dict[str, float] = {}
 
@@ -184,7 +184,7 @@
                 self._since.setdefault(job_id, now)
 
 
-def _in_hand(board: Board) -> _InHand:
+def _in_hand(board: ClusterState) -> _InHand:
     found = _InHand()
     for worker in board.workers.values():
         for run in worker.runs.values():
@@ -195,7 +195,7 @@
 class _Look:
     """One look at a board."""
 
-    def __init__(self, board: Board, in_hand: _InHand, circumstances: Circumstances) -> None:
+    def __init__(self, board: ClusterState, in_hand: _InHand, circumstances: Circumstances) -> None:
         self._board = board
         self._in_hand = in_hand
         self._circumstances = circumstances
--- a/src/saddlestack/policy/board/exclusion.py
+++ b/src/saddlestack/policy/cluster/exclusion.py
@@ -1,13 +1,13 @@
 """What a worker is kept from since runs failed on it, as a diagnosis reads it.
 
-The one place that tells others how :mod:`saddlestack.policy.board.workers` keeps such workers out.
+The other modules read here how :mod:`saddlestack.policy.cluster.workers` excludes such workers.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from saddlestack.policy.board.workers import Worker
+from saddlestack.policy.cluster.workers import Worker
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/saddlestack/policy/board/fits.py
+++ b/src/saddlestack/policy/cluster/fits.py
@@ -12,9 +12,9 @@
 
 from sortedcontainers import SortedList
 
-from saddlestack.policy.board.awaited import Awaited, AwaitedRack, least_first
-from saddlestack.policy.board.index import Rack, RoomIndex, ServiceRooms
-from saddlestack.policy.board.workers import Worker
+from saddlestack.policy.cluster.awaited import Awaited, AwaitedRack, least_first
+from saddlestack.policy.cluster.index import Rack, RoomIndex, ServiceRooms
+from saddlestack.policy.cluster.workers import Worker
 from saddlestack.work import Resources
 
 FITS_KEPT = 64
--- a/src/saddlestack/policy/board/headroom.py
+++ b/src/saddlestack/policy/cluster/headroom.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Sequence
 
-from saddlestack.policy.board.index import ServiceRooms
-from saddlestack.policy.board.patience import HEADROOM_PATIENCE_S, is_impatient
-from saddlestack.policy.board.workers import Worker
+from saddlestack.policy.cluster.index import ServiceRooms
+from saddlestack.policy.cluster.patience import HEADROOM_PATIENCE_S, is_impatient
+from saddlestack.policy.cluster.workers import Worker
 
 HEADROOM = 0.25
 """Share of a pool's accelerators, on empty workers, that only urgent work may open; data halls that
--- a/src/saddlestack/policy/board/index.py
+++ b/src/saddlestack/policy/cluster/index.py
@@ -14,7 +14,7 @@
 
 from sortedcontainers import SortedList
 
-from saddlestack.policy.board.workers import Worker
+from saddlestack.policy.cluster.workers import Worker
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/saddlestack/policy/board/isolation.py
+++ b/src/saddlestack/policy/cluster/isolation.py
@@ -11,12 +11,12 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from saddlestack.policy.board.crashes import Crashes
-from saddlestack.policy.board.jobs import Run, StepState, Task
-from saddlestack.policy.board.places import ListedPlaces
-from saddlestack.policy.board.progress import remaining_s
-from saddlestack.policy.board.waiting import waits
-from saddlestack.policy.board.workers import Worker
+from saddlestack.policy.cluster.crashes import Crashes
+from saddlestack.policy.cluster.jobs import Run, StepState, Task
+from saddlestack.policy.cluster.places import ListedPlaces
+from saddlestack.policy.cluster.progress import remaining_s
+from saddlestack.policy.cluster.waiting import waits
+from saddlestack.policy.cluster.workers import Worker
 from saddlestack.work import Resources
 
 SHARE = 8
--- a/src/saddlestack/policy/board/jobs.py
+++ b/src/saddlestack/policy/cluster/jobs.py
@@ -5,15 +5,15 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from saddlestack.policy.board.advice import StepAdvice
-from saddlestack.policy.board.records import (
+from saddlestack.policy.cluster.advice import StepAdvice
+from saddlestack.policy.cluster.records import (
     OccurrenceRecord,
     OccurrenceStatus,
     StepRecord,
     TaskRecord,
     TaskStatus,
 )
-from saddlestack.policy.board.shapes import StepShapes
+from saddlestack.policy.cluster.shapes import StepShapes
 from saddlestack.work import FINAL_STATES, AcceptedJob, JobState, Resources, Step, TaskName
 
 TOP_PRIORITY = 0
--- a/src/saddlestack/policy/board/lending.py
+++ b/src/saddlestack/policy/cluster/lending.py
@@ -13,8 +13,8 @@
 from collections.abc import Iterable
 from statistics import median
 
-from saddlestack.policy.board.jobs import Run, StepState
-from saddlestack.policy.board.reservations import Reservation
+from saddlestack.policy.cluster.jobs import Run, StepState
+from saddlestack.policy.cluster.reservations import Reservation
 
 LONGEST_STOP_S = 5.0
 """Runs are expected to take this long to stop until one has."""
--- a/src/saddlestack/policy/board/lifeend.py
+++ b/src/saddlestack/policy/cluster/lifeend.py
@@ -4,9 +4,9 @@
 
 from dataclasses import dataclass
 
-from saddlestack.policy.board.crashrule import Lived
-from saddlestack.policy.board.jobs import Run
-from saddlestack.policy.board.workers import Worker
+from saddlestack.policy.cluster.crashrule import Lived
+from saddlestack.policy.cluster.jobs import Run
+from saddlestack.policy.cluster.workers import Worker
 
 UNKNOWN_AGE_S = 10.0
 """A run that an earlier leader started may be older than this leader knows by so much."""
--- a/src/saddlestack/policy/board/pacing.py
+++ b/src/saddlestack/policy/cluster/pacing.py
@@ -9,8 +9,8 @@
 
 from dataclasses import dataclass
 
-from saddlestack.policy.board.jobs import Run
-from saddlestack.policy.board.workers import Worker
+from saddlestack.policy.cluster.jobs import Run
+from saddlestack.policy.cluster.workers import Worker
 
 FULL = 100
 FIRST_CUT = 30
--- a/src/saddlestack/policy/board/patience.py
+++ b/src/saddlestack/policy/cluster/patience.py
@@ -9,8 +9,8 @@
 
 import math
 
-from saddlestack.policy.board.index import ServiceRooms
-from saddlestack.policy.board.jobs import StepState
+from saddlestack.policy.cluster.index import ServiceRooms
+from saddlestack.policy.cluster.jobs import StepState
 from saddlestack.policy.standstill import ROOM_FACTOR
 
 NEAR_PATIENCE_S = 8.0
--- a/src/saddlestack/policy/board/placement.py
+++ b/src/saddlestack/policy/cluster/placement.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable, Iterable, Iterator, Sequence
 
-from saddlestack.policy.board.awaited import Awaited, AwaitedRack
-from saddlestack.policy.board.jobs import StepState
-from saddlestack.policy.board.workers import Worker
+from saddlestack.policy.cluster.awaited import Awaited, AwaitedRack
+from saddlestack.policy.cluster.jobs import StepState
+from saddlestack.policy.cluster.workers import Worker
 from saddlestack.work import Resources
 
 Copies = Callable[[Worker], int]
--- a/src/saddlestack/policy/board/places.py
+++ b/src/saddlestack/policy/cluster/places.py
@@ -6,11 +6,11 @@
 from collections.abc import Callable, Container, Iterable, Iterator, Sequence
 from typing import Protocol
 
-from saddlestack.policy.board.awaited import AwaitedRack
-from saddlestack.policy.board.fits import FitRooms
-from saddlestack.policy.board.index import Rack
-from saddlestack.policy.board.jobs import StepState
-from saddlestack.policy.board.placement import (
+from saddlestack.policy.cluster.awaited import AwaitedRack
+from saddlestack.policy.cluster.fits import FitRooms
+from saddlestack.policy.cluster.index import Rack
+from saddlestack.policy.cluster.jobs import StepState
+from saddlestack.policy.cluster.placement import (
     Copies,
     domains,
     fill_one_hall,
@@ -18,7 +18,7 @@
     place_task,
     soonest,
 )
-from saddlestack.policy.board.workers import Worker
+from saddlestack.policy.cluster.workers import Worker
 from saddlestack.work import Resources
 
 RACKS_SEARCHED = 32
--- a/src/saddlestack/policy/board/pool.py
+++ b/src/saddlestack/policy/cluster/pool.py
@@ -5,8 +5,8 @@
 from collections.abc import Sequence
 from typing import Protocol
 
-from saddlestack.policy.board.jobs import Job, Run, StepState, Task
-from saddlestack.policy.board.workers import Worker
+from saddlestack.policy.cluster.jobs import Job, Run, StepState, Task
+from saddlestack.policy.cluster.workers import Worker
 
 
 class Pool(Protocol):
--- a/src/saddlestack/policy/board/preemption.py
+++ b/src/saddlestack/policy/cluster/preemption.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable, Iterable, Mapping, Sequence
 from dataclasses import dataclass
 
-from saddlestack.policy.board.jobs import Run, StepState, weight
-from saddlestack.policy.board.workers import Worker
+from saddlestack.policy.cluster.jobs import Run, StepState, weight
+from saddlestack.policy.cluster.workers import Worker
 from saddlestack.work import Resources
 
 CHECKPOINT_LOSS_S = 1.0
--- a/src/saddlestack/policy/board/progress.py
+++ b/src/saddlestack/policy/cluster/progress.py
@@ -9,8 +9,8 @@
 
 from collections.abc import Sequence
 
-from saddlestack.policy.board.jobs import TOP_PRIORITY, Run
-from saddlestack.policy.board.workers import Worker
+from saddlestack.policy.cluster.jobs import TOP_PRIORITY, Run
+from saddlestack.policy.cluster.workers import Worker
 
 LEAST_PERCENT = 3
 """Progress below this says nothing about how long a run still takes."""
--- a/src/saddlestack/policy/board/queue.py
+++ b/src/saddlestack/policy/cluster/queue.py
@@ -6,38 +6,38 @@
 from dataclasses import replace
 
 from saddlestack.interfaces.workers import EndKind
-from saddlestack.policy.board.backfill import Backfill
-from saddlestack.policy.board.candidates import Candidates, prefers_near
-from saddlestack.policy.board.caution import Caution
-from saddlestack.policy.board.crashes import Crashes
-from saddlestack.policy.board.headroom import may_open
-from saddlestack.policy.board.index import RoomIndex
-from saddlestack.policy.board.isolation import Isolated, Isolation, ServicePool
-from saddlestack.policy.board.jobs import TOP_PRIORITY, Job, Run, StepState, Task
-from saddlestack.policy.board.lending import Lending
-from saddlestack.policy.board.patience import (
+from saddlestack.policy.cluster.backfill import Backfill
+from saddlestack.policy.cluster.candidates import Candidates, prefers_near
+from saddlestack.policy.cluster.caution import Caution
+from saddlestack.policy.cluster.crashes import Crashes
+from saddlestack.policy.cluster.headroom import may_open
+from saddlestack.policy.cluster.index import RoomIndex
+from saddlestack.policy.cluster.isolation import Isolated, Isolation, ServicePool
+from saddlestack.policy.cluster.jobs import TOP_PRIORITY, Job, Run, StepState, Task
+from saddlestack.policy.cluster.lending import Lending
+from saddlestack.policy.cluster.patience import (
     HEADROOM_PATIENCE_S,
     is_idle,
 )
-from saddlestack.policy.board.placement import whole_racks
-from saddlestack.policy.board.places import (
+from saddlestack.policy.cluster.placement import whole_racks
+from saddlestack.policy.cluster.places import (
     Kept,
     ListedPlaces,
     Places,
     Room,
 )
-from saddlestack.policy.board.pool import Pool
-from saddlestack.policy.board.preemption import Preemptor
-from saddlestack.policy.board.reservations import (
+from saddlestack.policy.cluster.pool import Pool
+from saddlestack.policy.cluster.preemption import Preemptor
+from saddlestack.policy.cluster.reservations import (
     Reservation,
     Reservations,
     is_due_back,
     is_overdue,
 )
-from saddlestack.policy.board.shapes import Misses, Shape, Shapes, StepShapes
-from saddlestack.policy.board.stalled import Stalled
-from saddlestack.policy.board.waiting import Waiting, may_start, waits
-from saddlestack.policy.board.workers import Worker
+from saddlestack.policy.cluster.shapes import Misses, Shape, Shapes, StepShapes
+from saddlestack.policy.cluster.stalled import Stalled
+from saddlestack.policy.cluster.waiting import Waiting, may_start, waits
+from saddlestack.policy.cluster.workers import Worker
 
 STARTS_A_ROUND = 400
 """A round decides no more, by whole steps. Deciding and ordering a start takes 0.1 to 0.15 ms of a
--- a/src/saddlestack/policy/board/reservations.py
+++ b/src/saddlestack/policy/cluster/reservations.py
@@ -10,8 +10,8 @@
 from collections.abc import Iterable, Iterator
 from dataclasses import dataclass
 
-from saddlestack.policy.board.jobs import Run, StepState
-from saddlestack.policy.board.workers import Worker
+from saddlestack.policy.cluster.jobs import Run, StepState
+from saddlestack.policy.cluster.workers import Worker
 from saddlestack.work import Resources
 
 RESERVATION_S = 2.5
--- a/src/saddlestack/policy/board/stalled.py
+++ b/src/saddlestack/policy/cluster/stalled.py
@@ -5,14 +5,14 @@
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from saddlestack.policy.board.candidates import Candidates
-from saddlestack.policy.board.jobs import Job, StepState
-from saddlestack.policy.board.lending import Lending
-from saddlestack.policy.board.patience import borrows_from_s, has_room_for, is_impatient
-from saddlestack.policy.board.places import AnyPlaces, Room
-from saddlestack.policy.board.pool import Pool
-from saddlestack.policy.board.reservations import Reservations
-from saddlestack.policy.board.workers import Worker
+from saddlestack.policy.cluster.candidates import Candidates
+from saddlestack.policy.cluster.jobs import Job, StepState
+from saddlestack.policy.cluster.lending import Lending
+from saddlestack.policy.cluster.patience import borrows_from_s, has_room_for, is_impatient
+from saddlestack.policy.cluster.places import AnyPlaces, Room
+from saddlestack.policy.cluster.pool import Pool
+from saddlestack.policy.cluster.reservations import Reservations
+from saddlestack.policy.cluster.workers import Worker
 from saddlestack.work import Resources
 
 TRUSTED_A_ROUND = 20
--- a/src/saddlestack/policy/board/board.py
+++ b/src/saddlestack/policy/cluster/state.py
@@ -1,7 +1,7 @@
 """The board: everything a leader knows, and what follows from each event.
 
 Pure: events and times come in as arguments; what is to be written, started and stopped is
-collected and taken with :meth:`Board.take`. Times ``now`` are seconds on a steady clock,
+collected and taken with :meth:`ClusterState.take`. Times ``now`` are seconds on a steady clock,
 ``wall_ms`` milliseconds since 1970.
 """
 
@@ -11,30 +11,30 @@
 from dataclasses import replace
 
 from saddlestack.interfaces.workers import EndedTask, EndKind, RunningTask, WorkerRecord
-from saddlestack.policy.board.blame import Blame, FailureKind
-from saddlestack.policy.board.caution import Caution
-from saddlestack.policy.board.changes import Changes, Question, Start, Stop, StopReason
-from saddlestack.policy.board.crashes import Crashes, Judgement
-from saddlestack.policy.board.departure import leaving
-from saddlestack.policy.board.index import RoomIndex
-from saddlestack.policy.board.jobs import Job, Occurrence, Run, StepState, Task, new_job
-from saddlestack.policy.board.lifeend import LifeEnd
-from saddlestack.policy.board.pacing import Pace, paces
-from saddlestack.policy.board.progress import is_stuck, needs_looks
-from saddlestack.policy.board.queue import Planner
-from saddlestack.policy.board.records import (
+from saddlestack.policy.cluster.blame import Blame, FailureKind
+from saddlestack.policy.cluster.caution import Caution
+from saddlestack.policy.cluster.changes import Changes, Question, Start, Stop, StopReason
+from saddlestack.policy.cluster.crashes import Crashes, Judgement
+from saddlestack.policy.cluster.departure import leaving
+from saddlestack.policy.cluster.index import RoomIndex
+from saddlestack.policy.cluster.jobs import Job, Occurrence, Run, StepState, Task, new_job
+from saddlestack.policy.cluster.lifeend import LifeEnd
+from saddlestack.policy.cluster.pacing import Pace, paces
+from saddlestack.policy.cluster.progress import is_stuck, needs_looks
+from saddlestack.policy.cluster.queue import Planner
+from saddlestack.policy.cluster.records import (
     FailureCause,
     OccurrenceRecord,
     OccurrenceStatus,
     TaskStatus,
 )
-from saddlestack.policy.board.verdicts import Verdict
-from saddlestack.policy.board.waiting import waits
-from saddlestack.policy.board.workers import EARLY_FAILURE_S, EARLY_SHARE, Worker
+from saddlestack.policy.cluster.verdicts import Verdict
+from saddlestack.policy.cluster.waiting import waits
+from saddlestack.policy.cluster.workers import EARLY_FAILURE_S, EARLY_SHARE, Worker
 from saddlestack.work import AcceptedJob, JobState, Resources, TaskName
 
 
-class Board:
+class ClusterState:
     """Jobs, workers and decisions of one leader."""
 
     def __init__(self) -> None:
--- a/src/saddlestack/policy/board/survey.py
+++ b/src/saddlestack/policy/cluster/survey.py
@@ -10,12 +10,12 @@
 from dataclasses import dataclass, field
 from itertools import accumulate
 
-from saddlestack.policy.board.exclusion import Exclusion, exclusion_of
-from saddlestack.policy.board.jobs import StepState
-from saddlestack.policy.board.places import Kept, ListedPlaces
-from saddlestack.policy.board.reasons import Reason
-from saddlestack.policy.board.waiting import waits
-from saddlestack.policy.board.workers import Worker
+from saddlestack.policy.cluster.exclusion import Exclusion, exclusion_of
+from saddlestack.policy.cluster.jobs import StepState
+from saddlestack.policy.cluster.places import Kept, ListedPlaces
+from saddlestack.policy.cluster.reasons import Reason
+from saddlestack.policy.cluster.waiting import waits
+from saddlestack.policy.cluster.workers import Worker
 from saddlestack.policy.standstill import PoolUse
 from saddlestack.work import Resources
 
--- a/src/saddlestack/policy/board/waiting.py
+++ b/src/saddlestack/policy/cluster/waiting.py
@@ -7,8 +7,8 @@
 
 from sortedcontainers import SortedKeyList
 
-from saddlestack.policy.board.jobs import TOP_PRIORITY, Job, Occurrence, StepState, Task
-from saddlestack.policy.board.records import TaskStatus
+from saddlestack.policy.cluster.jobs import TOP_PRIORITY, Job, Occurrence, StepState, Task
+from saddlestack.policy.cluster.records import TaskStatus
 
 _Order = tuple[int, int]
 """Priority, and when the job was accepted; of equals the one that came first goes first."""
--- a/src/saddlestack/policy/board/workers.py
+++ b/src/saddlestack/policy/cluster/workers.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 
 from saddlestack.interfaces.workers import WorkerRecord
-from saddlestack.policy.board.jobs import Run, StepState
+from saddlestack.policy.cluster.jobs import Run, StepState
 from saddlestack.work import Resources, Step, TaskName
 
 FIRST_QUARANTINE_S = 2.0
--- a/src/saddlestack/policy/upkeep.py
+++ b/src/saddlestack/policy/upkeep.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from saddlestack.interfaces.machines import Wave
-from saddlestack.policy.board.workers import Worker
+from saddlestack.policy.cluster.workers import Worker
 
 SLACK_S = 1.0
 LEAST_PREPARATION_S = 1.0
--- a/tests/simulation/troubles.py
+++ b/tests/simulation/troubles.py
@@ -39,8 +39,8 @@
 from saddlestack.control.leases import CLOCK_DRIFT, LAPSE_SLACK_S
 from saddlestack.control.session import HOLD_SLACK_S, LOOK_NOW_TIMEOUT_S, WAIT_S
 from saddlestack.platform.kv import CALL_TIMEOUT_S
-from saddlestack.policy.board.records import OccurrenceRecord, TaskStatus
-from saddlestack.policy.board.workers import LONGEST_QUARANTINE_S
+from saddlestack.policy.cluster.records import OccurrenceRecord, TaskStatus
+from saddlestack.policy.cluster.workers import LONGEST_QUARANTINE_S
 from saddlestack.policy.standstill import PoolUse
 from tests.simulation.deployment import Deployment, Vm
 from tests.simulation.ways import ANY, STORE, TRIP_S, Fault
--- a/tests/test_blame.py
+++ b/tests/test_blame.py
@@ -5,15 +5,15 @@
 import unittest
 
 from saddlestack.interfaces.workers import EndedTask, EndKind, RunningTask
-from saddlestack.policy.board.blame import (
+from saddlestack.policy.cluster.blame import (
     FAULT_RULE,
     JOBS_KEPT,
     WORKERS_KEPT,
     FailureKind,
     JobEvidence,
 )
-from saddlestack.policy.board.board import Board
-from saddlestack.policy.board.workers import (
+from saddlestack.policy.cluster.state import ClusterState
+from saddlestack.policy.cluster.workers import (
     BUSY_QUARANTINE_S,
     FIRST_QUARANTINE_S,
     PROBATION_S,
@@ -306,7 +306,7 @@
 
     def take_over(self) -> None:
         """Another board takes over what the records tell."""
-        old, self.board = self.board, Board()
+        old, self.board = self.board, ClusterState()
         self.board.configure({}, {"q": SERVICE})
         self.workers(each=2)
         for job in old.jobs.values():
--- a/tests/test_board.py
+++ b/tests/test_board.py
@@ -11,14 +11,14 @@
 from saddlestack.codec import from_msgpack, to_msgpack
 from saddlestack.interfaces.machines import Leave, Wave
 from saddlestack.interfaces.workers import EndedTask, EndKind, RunningTask, WorkerRecord
-from saddlestack.policy.board.advice import StepAdvice
-from saddlestack.policy.board.board import Board
-from saddlestack.policy.board.changes import Changes, StopReason
-from saddlestack.policy.board.departure import SAVE_MARGIN_S
-from saddlestack.policy.board.pacing import paces
-from saddlestack.policy.board.records import OccurrenceRecord, TaskStatus
-from saddlestack.policy.board.shapes import Misses
-from saddlestack.policy.board.workers import PROBATION_S
+from saddlestack.policy.cluster.advice import StepAdvice
+from saddlestack.policy.cluster.changes import Changes, StopReason
+from saddlestack.policy.cluster.departure import SAVE_MARGIN_S
+from saddlestack.policy.cluster.pacing import paces
+from saddlestack.policy.cluster.records import OccurrenceRecord, TaskStatus
+from saddlestack.policy.cluster.shapes import Misses
+from saddlestack.policy.cluster.state import ClusterState
+from saddlestack.policy.cluster.workers import PROBATION_S
 from saddlestack.policy.retry import pause
 from saddlestack.policy.upkeep import MachineStatus, WaveState
 from saddlestack.work import AcceptedJob, JobRequest, JobState, Resources, Step, TaskName
@@ -63,7 +63,7 @@
     """A board with workers and jobs, and the events that tests need."""
 
     def setUp(self) -> None:
-        self.board = Board()
+        self.board = ClusterState()
         self.jobs = 0
 
     def workers(self, racks: int = 1, each: int = 2, **more: int) -> None:
@@ -458,7 +458,7 @@
         job = self.add(step(3, checkpoint=True), step(1, after=(0,)))
         changes = self.plan()
         kept = to_msgpack(changes.records[f"{job}.0"])
-        other = Board()
+        other = ClusterState()
         other.set_worker(record("w11"), 0.0)
         accepted = self.board.jobs[job].accepted
         other.add_job(accepted, {0: from_msgpack(kept, OccurrenceRecord)})
@@ -534,7 +534,7 @@
     @given(st.integers(0, 2**32))
     def test_invariants(self, seed: int) -> None:
         rng = random.Random(seed)
-        board = Board()
+        board = ClusterState()
         board.configure({"depots": 8}, {"q": SERVICE})
         done: set[TaskName] = set()
         now = 0.0
@@ -556,7 +556,7 @@
         outcomes = []
         for forgetful in (False, True):
             rng = random.Random(seed)
-            board = Board()
+            board = ClusterState()
             board.configure({"depots": 8}, {"q": SERVICE})
             if forgetful:
                 board._planner._misses = Forgetful()
@@ -573,7 +573,7 @@
         self.assertEqual(*outcomes)
 
     def happen(
-        self, board: Board, rng: random.Random, number: int, now: float, done: set[TaskName]
+        self, board: ClusterState, rng: random.Random, number: int, now: float, done: set[TaskName]
     ) -> None:
         runs = [run for worker in board.workers.values() for run in worker.runs.values()]
         event = rng.choice(("worker", "job", "job", "end", "end", "started", "lost", "cancel"))
@@ -619,7 +619,7 @@
             end = EndedTask(number, str(run.task.name), run.number, how, "saved")
             board.ended(run.worker_id, end, now)
 
-    def check(self, board: Board) -> None:
+    def check(self, board: ClusterState) -> None:
         seen: set[TaskName] = set()
         for worker in board.workers.values():
             used = Resources()
--- a/tests/test_capacity_news.py
+++ b/tests/test_capacity_news.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from saddlestack.interfaces.workers import EndKind
-from saddlestack.policy.board.changes import StopReason
+from saddlestack.policy.cluster.changes import StopReason
 from saddlestack.standins.pool.cluster import PoolCluster, job
 from saddlestack.work import JobState, Resources
 from tests.test_board import BULK, BoardCase, record, step
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -13,19 +13,18 @@
 from saddlestack.control.stored import check_progress
 from saddlestack.errors import SaddlestackError
 from saddlestack.interfaces.workers import EndedTask, EndKind
-from saddlestack.policy.board.board import Board
-from saddlestack.policy.board.changes import StopReason
-from saddlestack.policy.board.crashrule import (
+from saddlestack.policy.cluster.changes import StopReason
+from saddlestack.policy.cluster.crashrule import (
     COUNTED_FROM,
     LATER_STARTS,
     CrashOdds,
     Exposure,
     Lived,
 )
-from saddlestack.policy.board.isolation import SHARE
-from saddlestack.policy.board.jobs import Run, Task
-from saddlestack.policy.board.lifeend import LifeEnd
-from saddlestack.policy.board.records import (
+from saddlestack.policy.cluster.isolation import SHARE
+from saddlestack.policy.cluster.jobs import Run, Task
+from saddlestack.policy.cluster.lifeend import LifeEnd
+from saddlestack.policy.cluster.records import (
     CrashRecord,
     OccurrenceRecord,
     OccurrenceStatus,
@@ -33,7 +32,8 @@
     TaskRecord,
     TaskStatus,
 )
-from saddlestack.policy.board.verdicts import VerdictKind
+from saddlestack.policy.cluster.state import ClusterState
+from saddlestack.policy.cluster.verdicts import VerdictKind
 from saddlestack.work import AcceptedJob, JobRequest, JobState, TaskName
 from tests.test_board import BULK, BoardCase, record, step
 
@@ -153,7 +153,7 @@
         kept = self.board.take().records[f"{job}.0"]
         kept = from_msgpack(to_msgpack(kept), OccurrenceRecord)
         before = self.board.jobs[job].accepted
-        self.board = Board()
+        self.board = ClusterState()
         self.workers(racks=1, each=4)
         self.board.add_job(before, {0: kept})
         self.plan(PAUSE_S)
@@ -167,7 +167,7 @@
         self.plan(0.0)
         kept = self.board.jobs[job].occurrences[0].to_record()
         before = self.board.jobs[job].accepted
-        self.board = Board()
+        self.board = ClusterState()
         self.board.add_job(before, {0: kept})
         (ghost,) = self.board.workers
         self.board.worker_over(ghost, LifeEnd(-math.inf, 5.0, unheard=True))
--- a/tests/test_departure.py
+++ b/tests/test_departure.py
@@ -7,8 +7,8 @@
 
 from saddlestack.control.leases import CLOCK_DRIFT, LAPSE_SLACK_S
 from saddlestack.interfaces.workers import RunningTask
-from saddlestack.policy.board.departure import SAVE_MARGIN_S
-from saddlestack.policy.board.records import TaskStatus
+from saddlestack.policy.cluster.departure import SAVE_MARGIN_S
+from saddlestack.policy.cluster.records import TaskStatus
 from saddlestack.standins.pool.cluster import PoolCluster, job
 from saddlestack.work import JobState
 from tests.test_board import record
--- a/tests/test_diagnosis.py
+++ b/tests/test_diagnosis.py
@@ -9,17 +9,17 @@
 
 from saddlestack.interfaces.machines import Leave
 from saddlestack.interfaces.workers import EndedTask, EndKind
-from saddlestack.policy.board import diagnosis
-from saddlestack.policy.board.board import Board
-from saddlestack.policy.board.diagnosis import Circumstances, Diagnosis, Wait
-from saddlestack.policy.board.patience import (
+from saddlestack.policy.cluster import diagnosis
+from saddlestack.policy.cluster.diagnosis import Circumstances, Diagnosis, Wait
+from saddlestack.policy.cluster.patience import (
     HEADROOM_PATIENCE_S,
     IDLE_PATIENCE_S,
     NEAR_PATIENCE_S,
 )
-from saddlestack.policy.board.queue import STARTS_A_ROUND
-from saddlestack.policy.board.reasons import Reason
-from saddlestack.policy.board.reservations import RESERVATION_S
+from saddlestack.policy.cluster.queue import STARTS_A_ROUND
+from saddlestack.policy.cluster.reasons import Reason
+from saddlestack.policy.cluster.reservations import RESERVATION_S
+from saddlestack.policy.cluster.state import ClusterState
 from saddlestack.policy.standstill import STILL_S, StillWatch
 from saddlestack.work import AcceptedJob, JobRequest, Step
 from tests.test_board import BULK, NORMAL, PATIENT, SERVICE, URGENT, BoardCase, record, step
@@ -465,7 +465,7 @@
         self.assertEqual((looked[other].reason, looked[other].tasks), (Reason.LEFT_OUT, 1))
 
 
-Look = Callable[[Board, float, bool], None]
+Look = Callable[[ClusterState, float, bool], None]
 """Told of a board, the time, and whether a round was just decided."""
 
 
@@ -530,7 +530,7 @@
         self._diagnosis: Diagnosis | None = None
         self._left: dict[str, int] = {}
 
-    def look(self, board: Board, now: float, planned: bool) -> None:
+    def look(self, board: ClusterState, now: float, planned: bool) -> None:
         if self._diagnosis is None:
             self._diagnosis = Diagnosis(board)
         waits = self._diagnosis.look(circumstances(now)).waits
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -6,9 +6,9 @@
 from collections.abc import Awaitable, Callable
 
 from saddlestack.interfaces.workers import RunningTask, WorkerUnreachable
-from saddlestack.policy.board.patience import IDLE_PATIENCE_S
-from saddlestack.policy.board.progress import LEAST_STILL_S
-from saddlestack.policy.board.records import TaskStatus
+from saddlestack.policy.cluster.patience import IDLE_PATIENCE_S
+from saddlestack.policy.cluster.progress import LEAST_STILL_S
+from saddlestack.policy.cluster.records import TaskStatus
 from saddlestack.standins.loop import run
 from saddlestack.standins.pool.cluster import PoolCluster, job
 from saddlestack.work import JobState
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -12,7 +12,7 @@
 from saddlestack.cli.explaining import about, causes
 from saddlestack.cli.loglines import LogLine, read
 from saddlestack.cli.main import main
-from saddlestack.policy.board.reasons import Reason
+from saddlestack.policy.cluster.reasons import Reason
 
 JOB = "00000000000000aa"
 LINES = {
--- a/tests/test_index.py
+++ b/tests/test_index.py
@@ -9,19 +9,19 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from saddlestack.policy.board.board import Board
-from saddlestack.policy.board.fits import FITS_KEPT, Fit, Fits
-from saddlestack.policy.board.index import RoomIndex
-from saddlestack.policy.board.jobs import StepState, new_job, weight
-from saddlestack.policy.board.placement import whole_racks
-from saddlestack.policy.board.places import (
+from saddlestack.policy.cluster.fits import FITS_KEPT, Fit, Fits
+from saddlestack.policy.cluster.index import RoomIndex
+from saddlestack.policy.cluster.jobs import StepState, new_job, weight
+from saddlestack.policy.cluster.placement import whole_racks
+from saddlestack.policy.cluster.places import (
     RACKS_SEARCHED,
     WORKERS_SEARCHED,
     IndexedPlaces,
     Kept,
     ListedPlaces,
 )
-from saddlestack.policy.board.workers import Worker
+from saddlestack.policy.cluster.state import ClusterState
+from saddlestack.policy.cluster.workers import Worker
 from saddlestack.work import AcceptedJob, JobRequest, Resources, Step
 from tests import test_board as boards
 from tests.test_board import BULK, NORMAL, SERVICE, URGENT, record
@@ -63,7 +63,7 @@
     @given(st.integers(0, 2**32))
     def test_it_agrees_with_sums_and_searches_made_anew(self, seed: int) -> None:
         rng = random.Random(seed)
-        board = Board()
+        board = ClusterState()
         board.configure({"depots": 8}, {"q": SERVICE})
         # The board's own index: whatever changes its workers has to be noted there.
         index = board._index
@@ -80,7 +80,7 @@
             for _ in range(3):
                 self.check_places(board, fits, waiting_step(rng), rng, now)
 
-    def meddle(self, board: Board, rng: random.Random, now: float) -> None:
+    def meddle(self, board: ClusterState, rng: random.Random, now: float) -> None:
         """What others than the board do to its workers."""
         for number in range(RACKS * 2):
             name = f"x{number}"
@@ -116,7 +116,7 @@
         elif event == 11:
             board.evacuate(frozenset({"hall"}) if rng.random() < 0.3 else frozenset())
 
-    def check_sums(self, board: Board, index: RoomIndex, now: float) -> None:
+    def check_sums(self, board: ClusterState, index: RoomIndex, now: float) -> None:
         rooms = index.service(SERVICE)
         pool = [w for w in board.workers.values() if w.record.service == SERVICE]
         capacity = sum(w.record.capacity.accelerators for w in pool)
@@ -145,7 +145,7 @@
         self.assertEqual(set(index.leaving), leaving)
 
     def check_places(
-        self, board: Board, fits: Fits, step: StepState, rng: random.Random, now: float
+        self, board: ClusterState, fits: Fits, step: StepState, rng: random.Random, now: float
     ) -> None:
         fit = Fit(SERVICE, step.step.room, step.step.label, proven=rng.random() < 0.5)
         able = [
--- a/tests/test_inherited.py
+++ b/tests/test_inherited.py
@@ -19,7 +19,7 @@
 from saddlestack.control.leadership import LEASE_S, RENEWING_S
 from saddlestack.control.leases import CLOCK_DRIFT, LAPSE_SLACK_S
 from saddlestack.interfaces.workers import EndKind
-from saddlestack.policy.board.records import (
+from saddlestack.policy.cluster.records import (
     OccurrenceRecord,
     OccurrenceStatus,
     StepRecord,
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -7,7 +7,7 @@
 
 from saddlestack.control.leadership import LEASE_S, RENEWING_S
 from saddlestack.control.leases import CLOCK_DRIFT, LAPSE_SLACK_S, Leases
-from saddlestack.policy.board.records import TaskStatus
+from saddlestack.policy.cluster.records import TaskStatus
 from tests.test_session import HOLD_S, Scene, SessionCase
 
 LONGEST_S = HOLD_S * CLOCK_DRIFT + LAPSE_SLACK_S
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -11,11 +11,11 @@
 import msgspec
 
 from saddlestack.interfaces.workers import EndKind
-from saddlestack.policy.board.changes import Changes, StopReason
-from saddlestack.policy.board.lending import LATE_S, LONGEST_STOP_S
-from saddlestack.policy.board.patience import LENDING_PATIENCE_S
-from saddlestack.policy.board.reservations import OVERDUE_S
-from saddlestack.policy.board.survey import pools
+from saddlestack.policy.cluster.changes import Changes, StopReason
+from saddlestack.policy.cluster.lending import LATE_S, LONGEST_STOP_S
+from saddlestack.policy.cluster.patience import LENDING_PATIENCE_S
+from saddlestack.policy.cluster.reservations import OVERDUE_S
+from saddlestack.policy.cluster.survey import pools
 from saddlestack.work import Step
 from tests.test_board import BULK, NORMAL, PATIENT, SERVICE, BoardCase, step
 
--- a/tests/test_own_records.py
+++ b/tests/test_own_records.py
@@ -17,7 +17,7 @@
 from saddlestack.control.membership import Member
 from saddlestack.errors import ErrorKind, SaddlestackError
 from saddlestack.interfaces.workers import EndKind
-from saddlestack.policy.board.records import (
+from saddlestack.policy.cluster.records import (
     OccurrenceRecord,
     OccurrenceStatus,
     StepRecord,
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -8,15 +8,15 @@
 
 from saddlestack.models import Adjacency, Shape
 from saddlestack.policy.assigning import CellKind, CellSearch
-from saddlestack.policy.board.backfill import KEPT_GANGS, Backfill
-from saddlestack.policy.board.changes import Start
-from saddlestack.policy.board.fits import Fit, Fits
-from saddlestack.policy.board.headroom import may_open
-from saddlestack.policy.board.index import RoomIndex, ServiceRooms
-from saddlestack.policy.board.jobs import StepState
-from saddlestack.policy.board.places import IndexedPlaces, ListedPlaces
-from saddlestack.policy.board.reservations import RESERVATION_S, Reservations
-from saddlestack.policy.board.workers import Worker
+from saddlestack.policy.cluster.backfill import KEPT_GANGS, Backfill
+from saddlestack.policy.cluster.changes import Start
+from saddlestack.policy.cluster.fits import Fit, Fits
+from saddlestack.policy.cluster.headroom import may_open
+from saddlestack.policy.cluster.index import RoomIndex, ServiceRooms
+from saddlestack.policy.cluster.jobs import StepState
+from saddlestack.policy.cluster.places import IndexedPlaces, ListedPlaces
+from saddlestack.policy.cluster.reservations import RESERVATION_S, Reservations
+from saddlestack.policy.cluster.workers import Worker
 from saddlestack.work import JobState, Resources, Step
 from tests.test_board import BULK, NORMAL, SERVICE, BoardCase, record, step
 
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -18,7 +18,7 @@
 from saddlestack.interfaces.store import Listing, StoreUnavailable
 from saddlestack.interfaces.workers import EndKind
 from saddlestack.models import JobState as CallerState
-from saddlestack.policy.board.reasons import Reason
+from saddlestack.policy.cluster.reasons import Reason
 from saddlestack.standins.loop import run
 from saddlestack.standins.pool.cluster import RETENTION_S, PoolCluster, job
 from saddlestack.standins.pool.documents import ACCOUNT, KEY
--- a/tests/test_progress.py
+++ b/tests/test_progress.py
@@ -5,9 +5,9 @@
 import unittest
 
 from saddlestack.interfaces.workers import EndKind, RunningTask
-from saddlestack.policy.board.caution import FAULTY_S
-from saddlestack.policy.board.changes import Changes, StopReason
-from saddlestack.policy.board.progress import LEAST_STILL_S, MOST_MOVES, RESUMING_S, needs_looks
+from saddlestack.policy.cluster.caution import FAULTY_S
+from saddlestack.policy.cluster.changes import Changes, StopReason
+from saddlestack.policy.cluster.progress import LEAST_STILL_S, MOST_MOVES, RESUMING_S, needs_looks
 from saddlestack.work import Step
 from tests.test_board import BULK, URGENT, BoardCase, step
 
--- a/tests/test_reset_starts.py
+++ b/tests/test_reset_starts.py
@@ -9,7 +9,7 @@
 import unittest
 
 from saddlestack.control.session import START_TRIES
-from saddlestack.policy.board.workers import BUSY_QUARANTINE_S
+from saddlestack.policy.cluster.workers import BUSY_QUARANTINE_S
 from tests.simulation.scene import JOB, SceneTest, job, tasks
 from tests.simulation.ways import ANY, Fault
 
--- a/tests/test_second_run.py
+++ b/tests/test_second_run.py
@@ -31,7 +31,7 @@
     WorkerUnreachable,
 )
 from saddlestack.platform.orders import ENDS_AT_ONCE
-from saddlestack.policy.board.records import TaskStatus
+from saddlestack.policy.cluster.records import TaskStatus
 from saddlestack.standins.loop import WALL_EPOCH_S, run
 from saddlestack.standins.pool import cluster as cluster_module
 from saddlestack.standins.pool.cluster import RETENTION_S, PoolCluster, job
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -30,11 +30,11 @@
 )
 from saddlestack.kernel.clock import Clock
 from saddlestack.platform.orders import ENDS_AT_ONCE
-from saddlestack.policy.board.board import Board
-from saddlestack.policy.board.changes import Changes, StopReason
-from saddlestack.policy.board.progress import LEAST_STILL_S, LOOK_S
-from saddlestack.policy.board.records import TaskStatus
-from saddlestack.policy.board.workers import Worker
+from saddlestack.policy.cluster.changes import Changes, StopReason
+from saddlestack.policy.cluster.progress import LEAST_STILL_S, LOOK_S
+from saddlestack.policy.cluster.records import TaskStatus
+from saddlestack.policy.cluster.state import ClusterState
+from saddlestack.policy.cluster.workers import Worker
 from saddlestack.standins.loop import run
 from saddlestack.work import AcceptedJob, JobRequest, Resources, Step, TaskName
 from tests.test_board import SERVICE, record
@@ -123,7 +123,7 @@
     :param stored: whether the store has all that is known.
     """
 
-    board: Board
+    board: ClusterState
     fence: int = FENCE
     hold_s: float = HOLD_S
     rounds: int = 0
@@ -153,7 +153,7 @@
 class Scene:
     """One worker, one job of one task, and the session under test."""
 
-    board: Board
+    board: ClusterState
     owner: LoneOwner
     orders: ScriptedOrders
     session: WorkerSession
@@ -196,7 +196,7 @@
 
     def play(self, body: Callable[[Scene], Awaitable[None]]) -> None:
         async def main() -> None:
-            board = Board()
+            board = ClusterState()
             worker = board.set_worker(record("w11"), 0.0)
             step = Step(count=1, needs=Resources(1000, 1000, 1), estimate_ms=1000)
             accepted = AcceptedJob(
--- a/tests/test_simulated_news.py
+++ b/tests/test_simulated_news.py
@@ -17,9 +17,9 @@
 from saddlestack.control.leadership import Leadership, Term
 from saddlestack.interfaces.workers import WorkerRecord
 from saddlestack.kernel.clock import Clock, SystemClock
-from saddlestack.policy.board.crashrule import CrashOdds
-from saddlestack.policy.board.records import CrashRecord
-from saddlestack.policy.board.workers import Worker
+from saddlestack.policy.cluster.crashrule import CrashOdds
+from saddlestack.policy.cluster.records import CrashRecord
+from saddlestack.policy.cluster.workers import Worker
 from saddlestack.standins.loop import run
 from tests.simulation.day import Day, day_of
 from tests.simulation.jobs import JobKinds
--- a/tests/test_stale_beliefs.py
+++ b/tests/test_stale_beliefs.py
@@ -17,8 +17,8 @@
 from saddlestack.interfaces.workers import EndKind, StartOrder, StartReply, WorkerBusy, WorkerReport
 from saddlestack.kernel.clock import Clock
 from saddlestack.platform.documents import PlatformDocuments
-from saddlestack.policy.board.board import Board
-from saddlestack.policy.board.records import OccurrenceRecord, TaskStatus
+from saddlestack.policy.cluster.records import OccurrenceRecord, TaskStatus
+from saddlestack.policy.cluster.state import ClusterState
 from saddlestack.standins.pool.cluster import PoolCluster, job
 from saddlestack.standins.pool.orders import FloorOrders
 from saddlestack.standins.pool.workers import CLOCK_START_MS, Floor, FloorWorker
@@ -309,7 +309,7 @@
         ``listed`` looks for what is gone among the workers and the refused records alone.
         """
         floor_record = PlatformDocuments().worker(Item("servers/w", encoded(), 1))
-        board = Board()
+        board = ClusterState()
         context = unittest.mock.Mock(documents=PlatformDocuments(), metrics=unittest.mock.Mock())
         context.clock.now.return_value = 1.0
         workers = WorkerList(context, board, unittest.mock.Mock())
--- a/tests/test_standstills.py
+++ b/tests/test_standstills.py
@@ -14,8 +14,8 @@
 import msgspec
 
 from saddlestack.interfaces.workers import EndKind
-from saddlestack.policy.board.jobs import StepState
-from saddlestack.policy.board.queue import Planner
+from saddlestack.policy.cluster.jobs import StepState
+from saddlestack.policy.cluster.queue import Planner
 from saddlestack.policy.standstill import STILL_S
 from saddlestack.standins.loop import WALL_EPOCH_S
 from saddlestack.work import JobRequest, Step, TaskName
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -20,8 +20,8 @@
 from saddlestack.control.sessions import OPENED_AT_ONCE, OPENING_PAUSE_S, Sessions
 from saddlestack.interfaces.workers import WorkerOrders, WorkerRecord
 from saddlestack.kernel.clock import Clock
-from saddlestack.policy.board.changes import Start
-from saddlestack.policy.board.queue import STARTS_A_ROUND
+from saddlestack.policy.cluster.changes import Start
+from saddlestack.policy.cluster.queue import STARTS_A_ROUND
 from saddlestack.standins.loop import run
 from tests.test_board import BULK, NORMAL, URGENT, BoardCase, step
 from tests.test_session import LoneOwner, ScriptedOrders
--- a/tests/test_told_crashes.py
+++ b/tests/test_told_crashes.py
@@ -19,10 +19,10 @@
 from saddlestack.client import AsyncClient
 from saddlestack.control.crashlog import SUSPECTS_AT_ONCE, CrashLog
 from saddlestack.models import JobState as CallerState
-from saddlestack.policy.board.diagnosis import Circumstances, Diagnosis
-from saddlestack.policy.board.reasons import Reason
-from saddlestack.policy.board.records import FailureCause
-from saddlestack.policy.board.verdicts import Verdict, VerdictKind
+from saddlestack.policy.cluster.diagnosis import Circumstances, Diagnosis
+from saddlestack.policy.cluster.reasons import Reason
+from saddlestack.policy.cluster.records import FailureCause
+from saddlestack.policy.cluster.verdicts import Verdict, VerdictKind
 from saddlestack.services.metrics import Metrics
 from saddlestack.standins.loop import VirtualClock
 from saddlestack.standins.pool.cluster import PoolCluster, job
--- a/tests/test_told_waits.py
+++ b/tests/test_told_waits.py
@@ -12,8 +12,8 @@
 from saddlestack.control.requests import Requests
 from saddlestack.control.waits import LOOK_S, TOLD_AFTER_S, Waits, show_none
 from saddlestack.kernel.clock import Clock
-from saddlestack.policy.board.diagnosis import Diagnosis
-from saddlestack.policy.board.reasons import Reason
+from saddlestack.policy.cluster.diagnosis import Diagnosis
+from saddlestack.policy.cluster.reasons import Reason
 from saddlestack.policy.standstill import STILL_S
 from saddlestack.services.metrics import Metrics
 from saddlestack.standins.pool.cluster import PoolCluster, job
--- a/tests/test_waits_board.py
+++ b/tests/test_waits_board.py
@@ -14,18 +14,18 @@
 
 from saddlestack.interfaces.machines import Leave
 from saddlestack.interfaces.workers import EndedTask, EndKind
-from saddlestack.policy.board.board import Board
-from saddlestack.policy.board.changes import StopReason
-from saddlestack.policy.board.patience import IDLE_PATIENCE_S
-from saddlestack.policy.board.records import (
+from saddlestack.policy.cluster.changes import StopReason
+from saddlestack.policy.cluster.patience import IDLE_PATIENCE_S
+from saddlestack.policy.cluster.records import (
     OccurrenceRecord,
     OccurrenceStatus,
     StepRecord,
     TaskRecord,
     TaskStatus,
 )
-from saddlestack.policy.board.reservations import OVERDUE_S, RESERVATION_S
-from saddlestack.policy.board.waiting import may_start
+from saddlestack.policy.cluster.reservations import OVERDUE_S, RESERVATION_S
+from saddlestack.policy.cluster.state import ClusterState
+from saddlestack.policy.cluster.waiting import may_start
 from saddlestack.work import AcceptedJob, JobRequest, Step
 from tests import test_board
 from tests.test_board import (
@@ -242,7 +242,7 @@
 
     EVENTS = test_board.RandomEventsTest("test_invariants")
 
-    def happen(self, board: Board, seed: int) -> float:
+    def happen(self, board: ClusterState, seed: int) -> float:
         """Let 60 things happen; when the last of them did."""
         rng = random.Random(seed)
         board.configure({"depots": 8}, {"q": SERVICE})
@@ -255,7 +255,7 @@
             self.assertEqual(self.forgotten(board), [])
         return now
 
-    def forgotten(self, board: Board) -> list[str]:
+    def forgotten(self, board: ClusterState) -> list[str]:
         """Steps that may start, and that no round would try."""
         tried = board._planner._waiting._known
         steps = [
@@ -269,12 +269,12 @@
     @settings(max_examples=100, deadline=None)
     @given(st.integers(0, 2**32))
     def test_what_may_start_is_in_the_list(self, seed: int) -> None:
-        self.happen(Board(), seed)
+        self.happen(ClusterState(), seed)
 
     @settings(max_examples=100, deadline=None)
     @given(st.integers(0, 2**32))
     def test_all_ends_once_there_is_room(self, seed: int) -> None:
-        board = Board()
+        board = ClusterState()
         now = self.happen(board, seed) + PATIENT
         for number in range(16):
             made = record(f"fresh{number}", rack=f"fresh{number // 8}")
--- a/tests/test_waits_orders.py
+++ b/tests/test_waits_orders.py
@@ -27,7 +27,7 @@
     WorkerNotReached,
     WorkerUnreachable,
 )
-from saddlestack.policy.board.records import TaskStatus
+from saddlestack.policy.cluster.records import TaskStatus
 from saddlestack.standins.pool.cluster import PoolCluster, job
 from saddlestack.work import AcceptedJob, JobRequest, JobState, Resources, Step
 from tests.test_board import SERVICE
--- a/tests/test_waits_reviewed.py
+++ b/tests/test_waits_reviewed.py
@@ -19,10 +19,10 @@
 from saddlestack.interfaces.store import Committed, MetadataStore, Transaction, WriteInDoubt
 from saddlestack.interfaces.workers import EndKind
 from saddlestack.platform.kv import SENT_BYTES_S
-from saddlestack.policy.board.patience import IDLE_PATIENCE_S
-from saddlestack.policy.board.places import IndexedPlaces
-from saddlestack.policy.board.reasons import Reason
-from saddlestack.policy.board.workers import Worker
+from saddlestack.policy.cluster.patience import IDLE_PATIENCE_S
+from saddlestack.policy.cluster.places import IndexedPlaces
+from saddlestack.policy.cluster.reasons import Reason
+from saddlestack.policy.cluster.workers import Worker
 from saddlestack.policy.standstill import STILL_S
 from saddlestack.standins.loop import VirtualClock, run
 from saddlestack.work import Step
