--- a/benchmarks/board.py
+++ b/benchmarks/board.py
@@ -29,11 +29,11 @@
 """Share of the runs that end between two rounds; as many jobs come."""
 
 
-def loaded_board(workers: int, rng: random.Random) -> ClusterState:
+def loaded_cluster(workers: int, rng: random.Random) -> ClusterState:
     """A pool with more work than it can hold, a third of it in bulk, most of it in gangs."""
-    board = ClusterState()
+    cluster_state = ClusterState()
     for number in range(workers):
-        board.set_worker(_record(number), 0.0)
+        cluster_state.set_worker(_record(number), 0.0)
     jobs: list[tuple[int, Step]] = []
     for _ in range(workers // 6):
         jobs.append((2, _step(rng.choice((10, 20, 40)), BULK_CPU, 1)))
@@ -42,8 +42,8 @@
     for _ in range(workers // 12):
         jobs.append((0, _gang(rng, URGENT_CPU)))
     for number, (priority, step) in enumerate(jobs):
-        board.add_job(_job(number, priority, step), {})
-    return board
+        cluster_state.add_job(_job(number, priority, step), {})
+    return cluster_state
 
 
 def _record(number: int) -> WorkerRecord:
@@ -89,16 +89,16 @@
     )
 
 
-def churn(board: ClusterState, rng: random.Random, now: float, number: int) -> int:
+def churn(cluster_state: ClusterState, rng: random.Random, now: float, number: int) -> int:
     """Some runs end well, and as many jobs come; returns how many came.
 
     :param number: of the first job that comes.
     """
-    runs = [run for worker in board.workers.values() for run in worker.runs.values()]
+    runs = [run for worker in cluster_state.workers.values() for run in worker.runs.values()]
     came = max(1, round(len(runs) * CHURN))
     for run in rng.sample(runs, min(came, len(runs))):
         end = EndedTask(number, str(run.task.name), run.number, EndKind.DONE, "")
-        board.ended(run.worker_id, end, now)
+        cluster_state.run_ended(run.worker_id, end, now)
     for each in range(came):
         priority = rng.choices((0, 1, 2), (1, 5, 4))[0]
         step = (
@@ -106,35 +106,35 @@
             if priority == 2
             else _gang(rng, (URGENT_CPU, NORMAL_CPU)[priority])
         )
-        board.add_job(_job(number + each, priority, step), {})
+        cluster_state.add_job(_job(number + each, priority, step), {})
     return came
 
 
-def rounds(board: ClusterState, rng: random.Random, number: int) -> list[float]:
+def rounds(cluster_state: ClusterState, rng: random.Random, number: int) -> list[float]:
     """Seconds of each of some rounds, changes in between left out."""
     times: list[float] = []
     for index in range(ROUNDS):
         now = 1.0 + index * ROUND_S
-        number += churn(board, rng, now, number)
+        number += churn(cluster_state, rng, now, number)
         began = time.perf_counter()
-        board.plan(now, now * 1000)
+        cluster_state.plan(now, now * 1000)
         times.append(time.perf_counter() - began)
-        for start in board.take().starts:
-            board.started(start.run, now)
+        for start in cluster_state.take_changes().starts:
+            cluster_state.run_started(start.run, now)
     return times
 
 
 def timed(workers: int) -> None:
     """Print the rounds of one size, and the memory that the process has taken by then."""
     rng = random.Random(1)
-    board = loaded_board(workers, rng)
+    cluster_state = loaded_cluster(workers, rng)
     more: bool | None = True
     while more:
         # A revision that decides all at once says nothing.
-        more = board.plan(0.0, 0.0)
-        for start in board.take().starts:
-            board.started(start.run, 0.0)
-    times = sorted(seconds * 1000 for seconds in rounds(board, rng, workers))
+        more = cluster_state.plan(0.0, 0.0)
+        for start in cluster_state.take_changes().starts:
+            cluster_state.run_started(start.run, 0.0)
+    times = sorted(seconds * 1000 for seconds in rounds(cluster_state, rng, workers))
     memory_mb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
     click.echo(
         f"{workers:6} workers: {statistics.median(times):8.1f} ms a round in the median, "
--- a/benchmarks/crashing.py
+++ b/benchmarks/crashing.py
@@ -126,8 +126,8 @@
         leader = day.site.latest_leader
         scheduler = None if leader is None or leader.entry is None else leader.entry.scheduler
         if scheduler is not None:
-            for job_id, job in scheduler.board.jobs.items():
-                if job.shown is JobState.FAILED and job.cause == FailureCause.CRASHES:
+            for job_id, job in scheduler.cluster_state.jobs.items():
+                if job.published_state is JobState.FAILED and job.cause == FailureCause.CRASHES:
                     shown.setdefault(job_id, day.site.world.time())
                     given_up.add(job_id)
         day.site.world.call_later(0.25, look)
--- a/benchmarks/variants.py
+++ b/benchmarks/variants.py
@@ -57,8 +57,8 @@
         "headroom",
         "headroom for urgent work",
         (
-            Edit("policy/cluster/headroom.py", "HEADROOM = 0.25", "HEADROOM = 0.0"),
-            Edit("policy/cluster/headroom.py", "HEADROOM_A_RACK = 32", "HEADROOM_A_RACK = 0"),
+            Edit("policy/cluster/headroom.py", "HEADROOM_SHARE = 0.25", "HEADROOM_SHARE = 0.0"),
+            Edit("policy/cluster/headroom.py", "HEADROOM_PER_RACK = 32", "HEADROOM_PER_RACK = 0"),
         ),
     ),
     Variant(
@@ -66,7 +66,7 @@
         "workers kept from backfill for waiting gangs",
         (
             Edit(
-                "policy/cluster/queue.py",
+                "policy/cluster/planner.py",
                 "        self._backfill.keep(",
                 "        Backfill().keep(",
             ),
@@ -94,7 +94,7 @@
         (
             Edit(
                 "policy/cluster/preemption.py",
-                "        return lost * weight(run.room) + TOUCH_COST",
+                "        return lost * weight(run.allocation) + TOUCH_COST",
                 "        return TOUCH_COST",
             ),
         ),
--- a/benchmarks/waits.py
+++ b/benchmarks/waits.py
@@ -14,7 +14,7 @@
 import click
 import msgspec
 
-from benchmarks.board import ROUND_S, churn, loaded_board
+from benchmarks.board import ROUND_S, churn, loaded_cluster
 from saddlestack.policy.cluster.diagnosis import Circumstances, Diagnosis
 from saddlestack.policy.cluster.reasons import Reason
 from saddlestack.policy.cluster.state import ClusterState
@@ -24,35 +24,35 @@
 LOOKS = 40
 
 
-def backlogged_board(workers: int, backlog: int, rng: random.Random) -> ClusterState:
+def backlogged_cluster(workers: int, backlog: int, rng: random.Random) -> ClusterState:
     """A pool with so many workers, and about so many more jobs than it holds."""
-    board = loaded_board(workers, rng)
-    more = loaded_board(2 * backlog, rng)
+    cluster_state = loaded_cluster(workers, rng)
+    more = loaded_cluster(2 * backlog, rng)
     for number, job in enumerate(list(more.jobs.values())[:backlog]):
         renamed = msgspec.structs.replace(job.accepted, job_id=f"b{number:015x}")
-        board.add_job(renamed, {})
-    return board
+        cluster_state.add_job(renamed, {})
+    return cluster_state
 
 
-def started(board: ClusterState, now: float) -> None:
+def started(cluster_state: ClusterState, now: float) -> None:
     """Decide all that may be decided now; each start is confirmed."""
     more = True
     while more:
-        more = board.plan(now, now * 1000)
-        for start in board.take().starts:
-            board.started(start.run, now)
+        more = cluster_state.plan(now, now * 1000)
+        for start in cluster_state.take_changes().starts:
+            cluster_state.run_started(start.run, now)
 
 
-def looks(board: ClusterState, rng: random.Random) -> tuple[list[float], Counter[Reason]]:
+def looks(cluster_state: ClusterState, rng: random.Random) -> tuple[list[float], Counter[Reason]]:
     """Milliseconds of each of some looks, rounds in between left out, and what the last found."""
-    diagnosis = Diagnosis(board)
-    number = len(board.jobs)
+    diagnosis = Diagnosis(cluster_state)
+    number = len(cluster_state.jobs)
     times: list[float] = []
     found: Counter[Reason] = Counter()
     for index in range(LOOKS):
         now = 1.0 + index * ROUND_S
-        number += churn(board, rng, now, number)
-        started(board, now)
+        number += churn(cluster_state, rng, now, number)
+        started(cluster_state, now)
         began = time.perf_counter()
         looked = diagnosis.look(_circumstances(now))
         times.append((time.perf_counter() - began) * 1000)
@@ -79,9 +79,9 @@
 def main(workers: int, backlog: int) -> None:
     """Time looks at a pool."""
     rng = random.Random(1)
-    board = backlogged_board(workers, backlog, rng)
-    started(board, 0.0)
-    times, found = looks(board, rng)
+    cluster_state = backlogged_cluster(workers, backlog, rng)
+    started(cluster_state, 0.0)
+    times, found = looks(cluster_state, rng)
     ordered = sorted(times)
     click.echo(
         f"{workers} workers, {sum(found.values())} jobs wait: "
--- a/src/saddlestack/control/listing.py
+++ b/src/saddlestack/control/listing.py
@@ -27,10 +27,12 @@
 class WorkerList:
     """Keeps a board's workers in step with their records."""
 
-    def __init__(self, context: EntryContext, board: ClusterState, sessions: Sessions) -> None:
+    def __init__(
+        self, context: EntryContext, cluster_state: ClusterState, sessions: Sessions
+    ) -> None:
         self._clock = context.clock
         self._documents = context.documents
-        self._board = board
+        self._cluster_state = cluster_state
         self._sessions = sessions
         self._refusals = Refusals(context.metrics, "worker")
         self._services: set[str] = set()
@@ -54,7 +56,7 @@
         items = tuple(items)
         self.changed(items)
         listed = {self._id(item) for item in items}
-        known = {id_of(life) for life in self._board.workers} | set(self._no_service)
+        known = {id_of(life) for life in self._cluster_state.workers} | set(self._no_service)
         for worker_id in sorted(known - listed):
             self._removed(worker_id)
 
@@ -88,7 +90,7 @@
         another = record.worker_id != before
         if another:
             self._supersede(before)
-        worker = self._board.workers.get(record.worker_id)
+        worker = self._cluster_state.workers.get(record.worker_id)
         if worker is not None and worker.record.address not in {"", record.address}:
             if worker.runs:
                 self._refuse(item, "another address than the one where its work runs")
@@ -96,14 +98,14 @@
             self._unlist(record.worker_id)
         self._no_service.pop(worker_id, None)
         self._lives[worker_id] = record.worker_id
-        self._board.set_worker(record, self._clock.now())
+        self._cluster_state.set_worker(record, self._clock.now())
         if another:
             self._sessions.recall(record.worker_id)
 
     def _supersede(self, life: str) -> None:
         """A record tells of another life of a worker: this one is asked whether it is over."""
         self._unlist(life)
-        worker = self._board.workers.get(life)
+        worker = self._cluster_state.workers.get(life)
         if worker is not None:
             self._sessions.suspect_worker(worker)
 
@@ -129,8 +131,8 @@
 
     def _unlist(self, life: str) -> None:
         """Give a life nothing new; what runs there goes on."""
-        self._board.unlist_worker(life)
-        if life not in self._board.workers:
+        self._cluster_state.unlist_worker(life)
+        if life not in self._cluster_state.workers:
             self._sessions.close(life)
 
     def _id(self, item: Item) -> str:
--- a/src/saddlestack/control/owner.py
+++ b/src/saddlestack/control/owner.py
@@ -13,7 +13,7 @@
     """What a session needs of its scheduler."""
 
     @property
-    def board(self) -> ClusterState:
+    def cluster_state(self) -> ClusterState:
         """What is known and decided."""
         ...
 
--- a/src/saddlestack/control/reports.py
+++ b/src/saddlestack/control/reports.py
@@ -89,13 +89,13 @@
         :param asked: when it was asked for.
         """
         now = self._clock.now()
-        board = self._owner.board
-        board.reported(self._worker.worker_id, self._still_true(report, asked), now)
+        cluster_state = self._owner.cluster_state
+        cluster_state.worker_reported(self._worker.worker_id, self._still_true(report, asked), now)
         fresh = [end for end in report.ended if end.number > self._noted]
         for end in fresh:
             self._ended(end, now)
         self._judge(report, asked, now)
-        if fresh or board.has_news:
+        if fresh or cluster_state.has_changes:
             self._owner.changed()
 
     async def acknowledge(self) -> None:
@@ -125,7 +125,7 @@
                 "how": end.how.value,
             },
         )
-        self._owner.board.ended(self._worker.worker_id, end, now)
+        self._owner.cluster_state.run_ended(self._worker.worker_id, end, now)
         self._ended_s = now
         self._noted = max(self._noted, end.number)
         self._ended_jobs.add(TaskName.parse(end.task).job_id)
@@ -149,7 +149,7 @@
             if (str(key[0]), key[1]) in present:
                 self._settled.setdefault(key, now)
                 if run.started_s is None:
-                    self._owner.board.started(run, now)
+                    self._owner.cluster_state.run_started(run, now)
             elif not report.more and self._is_told_of(key, run, asked):
                 # Where there are more ends, that of an absent run may be among them.
                 self._absent(key, run, now - asked)
@@ -173,4 +173,4 @@
             },
         )
         log_over([run], Proof.ABSENT, age_s)
-        self._owner.board.not_started(run)
+        self._owner.cluster_state.run_not_started(run)
--- a/src/saddlestack/control/requests.py
+++ b/src/saddlestack/control/requests.py
@@ -31,9 +31,11 @@
 class Requests:
     """Clients' requests and the progress of jobs, between the store and a board."""
 
-    def __init__(self, context: EntryContext, board: ClusterState, journal: Journal) -> None:
+    def __init__(
+        self, context: EntryContext, cluster_state: ClusterState, journal: Journal
+    ) -> None:
         self._context = context
-        self._board = board
+        self._cluster_state = cluster_state
         self._journal = journal
         self._refusals = Refusals(context.metrics, "job")
         self._records: dict[str, dict[int, OccurrenceRecord]] = {}
@@ -88,7 +90,7 @@
             if job_id is not None:
                 cancelled.append(job_id)
         for job_id in cancelled:
-            self._board.cancel(job_id)
+            self._cluster_state.cancel(job_id)
         return services
 
     def _accept(self, job_id: str, item: Item) -> AcceptedJob | None:
@@ -100,17 +102,17 @@
             stored.check_progress(accepted, records)
         except SaddlestackError as error:
             self._refusals.refuse(item.key, str(error))
-            if job_id not in self._board.jobs:
+            if job_id not in self._cluster_state.jobs:
                 self._left_alone.add(job_id)
             return None
-        self._board.add_job(accepted, records)
+        self._cluster_state.add_job(accepted, records)
         self._revisions[job_id] = max(item.revision, self._revisions.get(job_id, 0))
         return accepted
 
     async def forget_expired(self) -> None:
         """Remove jobs from the store that nobody has to be told of any more."""
         retention_s = self._context.settings.timings.retention_s
-        expired = self._board.expired(self._context.clock.now(), retention_s)
+        expired = self._cluster_state.expired_jobs(self._context.clock.now(), retention_s)
         for job in expired[:FORGOTTEN_A_TICK]:
             # The job goes first: without its progress it would run again under a new leader.
             job_keys = (keys.job_key(job.job_id), keys.cancel_key(job.job_id))
@@ -125,16 +127,16 @@
 
         Taken over after that, it would be a new job without progress, and run again whole.
         """
-        self._board.forget(job_id)
+        self._cluster_state.remove_job(job_id)
         self._forgotten[job_id] = self._revisions.pop(job_id, 0)
         while len(self._forgotten) > MOST_FORGOTTEN:
             del self._forgotten[next(iter(self._forgotten))]
 
     async def forget_rest(self) -> None:
         """Remove progress of jobs that an earlier leader did not forget whole."""
-        known = self._board.jobs.keys() | self._left_alone
+        known = self._cluster_state.jobs.keys() | self._left_alone
         for job_id in [job_id for job_id in self._records if job_id not in known]:
-            if job_id in self._board.jobs:
+            if job_id in self._cluster_state.jobs:
                 continue  # handed in again meanwhile
             names = [keys.progress_key(f"{job_id}.{number}") for number in self._records[job_id]]
             if await self._journal.remove(names):
--- a/src/saddlestack/control/scheduler.py
+++ b/src/saddlestack/control/scheduler.py
@@ -38,7 +38,7 @@
 from saddlestack.interfaces.machines import AdviserUnavailable
 from saddlestack.interfaces.store import Item
 from saddlestack.kernel.service import TaskGroup
-from saddlestack.policy.cluster.changes import JobChanges, Question
+from saddlestack.policy.cluster.changes import AdviceRequest, JobChanges
 from saddlestack.policy.cluster.lifeend import LifeEnd
 from saddlestack.policy.cluster.state import ClusterState
 from saddlestack.policy.cluster.workers import Worker
@@ -98,18 +98,20 @@
         self._clock = context.clock
         self._configuration = configuration
         self._on_displaced = on_displaced
-        self.board = ClusterState()
+        self.cluster_state = ClusterState()
         self.fence = term.fence
         self.hold_s = context.settings.timings.longest_hold_ms / 1000
         self._journal = Journal(context, term.fence)
-        self._requests = Requests(context, self.board, self._journal)
+        self._requests = Requests(context, self.cluster_state, self._journal)
         self._commits = Commits(context, self._journal, self._displaced)
         self._began_s = context.clock.now()
         self._crashing = CrashLog(context.metrics)
         self._leases = Leases(self.hold_s, self._began_s)
         self._sessions = Sessions(context, self, self._leases)
-        self.waits = Waits(self.board, context.clock, context.metrics, self._leases.lasts_until)
-        self._workers = WorkerList(context, self.board, self._sessions)
+        self.waits = Waits(
+            self.cluster_state, context.clock, context.metrics, self._leases.lasts_until
+        )
+        self._workers = WorkerList(context, self.cluster_state, self._sessions)
         self._workers_feed = Feed(
             context,
             context.documents.places.workers_prefix,
@@ -147,21 +149,21 @@
 
     def state(self, job_id: str) -> JobState | None:
         """What clients are told of a job; ``None`` where it is not known here."""
-        job = self.board.jobs.get(job_id)
-        return None if job is None else job.shown
+        job = self.cluster_state.jobs.get(job_id)
+        return None if job is None else job.published_state
 
     def account(self, job_id: str) -> str | None:
         """The client account of a job; ``None`` where it is not known here."""
-        job = self.board.jobs.get(job_id)
+        job = self.cluster_state.jobs.get(job_id)
         return None if job is None else job.accepted.account
 
     def pending(self, queue: str) -> int:
         """Accepted jobs of a queue none of whose tasks has begun."""
-        return self.board.pending(queue)
+        return self.cluster_state.pending(queue)
 
     def clear_suspects(self, job_id: str) -> int:
         """Start the tasks of a job as any others, though workers crashed under them."""
-        found = self.board.clear_suspects(job_id)
+        found = self.cluster_state.clear_suspects(job_id)
         self.changed()
         return found
 
@@ -233,7 +235,11 @@
         self._context.metrics.count("terms")
         log.info(
             "scheduling",
-            extra={"event": "scheduling", "fence": self.fence, "jobs": len(self.board.jobs)},
+            extra={
+                "event": "scheduling",
+                "fence": self.fence,
+                "jobs": len(self.cluster_state.jobs),
+            },
         )
         self.waits.show()
         self._sessions.open()
@@ -245,7 +251,7 @@
         self._tasks.spawn(self._see_renewals_over())
         self._tasks.spawn(self._forget_old())
         if self._context.machines is not None:
-            upkeep = Upkeep(self._context, self._context.machines, self.board, self.fence)
+            upkeep = Upkeep(self._context, self._context.machines, self.cluster_state, self.fence)
             self._tasks.spawn(upkeep.run())
         try:
             await self._decide()
@@ -259,12 +265,12 @@
         guaranteed = {account.name: account.guaranteed for account in configuration.accounts}
         services = {queue.name: queue.service for queue in configuration.queues}
         advised = [queue.name for queue in configuration.queues if queue.advised]
-        self.board.configure(guaranteed, services, advised)
+        self.cluster_state.configure(guaranteed, services, advised)
         self._workers.know_services([*services.values(), *(p.name for p in configuration.pools)])
         self.changed()
 
     def _evacuated(self, halls: frozenset[str]) -> None:
-        self.board.evacuate(halls)
+        self.cluster_state.evacuate(halls)
         self.changed()
 
     def _requested(self, items: tuple[Item, ...]) -> None:
@@ -299,11 +305,11 @@
         """Decide as soon as work may be lent reserved room; by the next tick it would stall."""
         if self._lending_timer is not None:
             self._lending_timer.cancel()
-        borrows_s = self.board.planner.borrows_s
-        if borrows_s is None:
+        next_loan_s = self.cluster_state.planner.next_loan_s
+        if next_loan_s is None:
             self._lending_timer = None
             return
-        wait_s = borrows_s - self._clock.now() + LENDING_SLACK_S
+        wait_s = next_loan_s - self._clock.now() + LENDING_SLACK_S
         self._lending_timer = asyncio.get_running_loop().call_later(wait_s, self.changed)
 
     def _decide_once(self) -> bool:
@@ -312,16 +318,16 @@
         :return: whether more may be decided at once.
         """
         mark = self._known
-        more = self.board.plan(self._clock.now(), self._clock.wall() * 1000)
+        more = self.cluster_state.plan(self._clock.now(), self._clock.wall() * 1000)
         self.waits.planned(more)
-        changes = self.board.take()
+        changes = self.cluster_state.take_changes()
         for stop in changes.stops:
             self._context.metrics.count(f"stops_{stop.reason.value}")
             self._sessions.order_stop(stop)
         for pace in changes.paces:
             self._sessions.order_pace(pace)
         self._crashing.tell(changes.verdicts)
-        for question in changes.questions:
+        for question in changes.advice_requests:
             self._tasks.spawn(self._ask(question))
         by_job = changes.by_job()
         self.waits.writing(each.job_id for each in by_job)
@@ -337,7 +343,7 @@
     def _follow(self, changes: JobChanges) -> None:
         """What may follow from changes of a job that are in the store."""
         self.waits.written((changes.job_id,))
-        for job, state in changes.shown:
+        for job, state in changes.state_updates:
             self._show(job.job_id, state)
         self._context.metrics.count("starts", len(changes.starts))
         lent = sum(bool(start.run.lent_by) for start in changes.starts)
@@ -346,17 +352,17 @@
         for start in changes.starts:
             self._context.metrics.time("start_news", news_s)
             if not self._sessions.order_start(start, news_s):
-                self.board.not_started(start.run)
+                self.cluster_state.run_not_started(start.run)
                 self.changed()
 
     def _show(self, job_id: str, state: JobState) -> None:
-        job = self.board.jobs.get(job_id)
-        if job is None or job.shown is state:
+        job = self.cluster_state.jobs.get(job_id)
+        if job is None or job.published_state is state:
             return
-        job.shown = state
+        job.published_state = state
         log.info("job", extra={"event": "job", "job": job_id, "state": state.value})
 
-    async def _ask(self, question: Question) -> None:
+    async def _ask(self, question: AdviceRequest) -> None:
         """Ask the adviser; where it does not answer, the step is asked about again later."""
         step = question.step
         adviser = self._context.adviser
@@ -416,7 +422,7 @@
         """Whether work that an earlier leader started is on a worker that does not answer."""
         return any(
             run.inherited
-            for worker in self.board.workers.values()
+            for worker in self.cluster_state.workers.values()
             if not worker.reachable
             for run in worker.runs.values()
         )
@@ -428,11 +434,11 @@
             if now < self._leases.lasts_until(worker.worker_id):
                 continue
             log_over(worker.runs.values(), Proof.LAPSED, now - self._began_s)
-            self.board.worker_over(worker.worker_id, LifeEnd(-math.inf, now, unheard=True))
+            self.cluster_state.worker_ended(worker.worker_id, LifeEnd(-math.inf, now, unheard=True))
 
     def _ghosts(self) -> list[Worker]:
         """Lives that may run something and are reached nowhere, as far as is known."""
-        workers = self.board.workers.values()
+        workers = self.cluster_state.workers.values()
         return [worker for worker in workers if worker.runs and not worker.record.address]
 
     def _displaced(self, reason: str) -> None:
--- a/src/saddlestack/control/session.py
+++ b/src/saddlestack/control/session.py
@@ -277,7 +277,7 @@
         now = self._clock.now()
         if reply.refusal is None:
             self._settle(key)
-            self._owner.board.started(run, now)
+            self._owner.cluster_state.run_started(run, now)
             self._owner.changed()
             self._watch_progress()
             return
@@ -359,7 +359,7 @@
         """No order for a run is under way, and none was carried out."""
         self._doubts.answered(self.worker.worker_id, key)
         self._reports.withdrawn(key)
-        self._owner.board.not_started(run)
+        self._owner.cluster_state.run_not_started(run)
         self._owner.changed()
 
     # Looking
@@ -428,7 +428,9 @@
         """Nothing runs there any more: every lease has lapsed."""
         heard_s = max(self._contact.heard_s, self._began_s)
         log_over(self.worker.runs.values(), Proof.LAPSED, self._clock.now() - heard_s)
-        self._owner.board.worker_over(self.worker.worker_id, self._contact.end(unheard=True))
+        self._owner.cluster_state.worker_ended(
+            self.worker.worker_id, self._contact.end(unheard=True)
+        )
         self._reports.clear()
         self._owner.changed()
 
@@ -481,7 +483,7 @@
         return WATCHED_WAIT_S if needs_watching(self.worker) else WAIT_S
 
     async def _take(self, report: WorkerReport, asked: float) -> None:
-        if self._owner.board.workers.get(self.worker.worker_id) is not self.worker:
+        if self._owner.cluster_state.workers.get(self.worker.worker_id) is not self.worker:
             return
         self._contact.told(report.clock_ms)
         for run in self.worker.runs.values():
@@ -547,6 +549,8 @@
         self.over = True
         self.worker.listed = False
         log_over(self.worker.runs.values(), Proof.REPLACED, 0.0)
-        self._owner.board.worker_over(self.worker.worker_id, self._contact.end(unheard=False))
+        self._owner.cluster_state.worker_ended(
+            self.worker.worker_id, self._contact.end(unheard=False)
+        )
         self._owner.replaced(self.worker)
         self._owner.changed()
--- a/src/saddlestack/control/sessions.py
+++ b/src/saddlestack/control/sessions.py
@@ -74,7 +74,7 @@
 
     def _without_session(self) -> list[Worker]:
         """Workers that run something, and that nobody looks at."""
-        workers = self._owner.board.workers.values()
+        workers = self._owner.cluster_state.workers.values()
         busy = (worker for worker in workers if worker.runs and worker.record.address)
         return [worker for worker in busy if not self._is_open(worker)]
 
@@ -94,12 +94,14 @@
 
     def close_gone(self) -> None:
         """End the sessions with lives that are over and of which no record tells any more."""
-        for worker_id in [each for each in self._sessions if each not in self._owner.board.workers]:
+        for worker_id in [
+            each for each in self._sessions if each not in self._owner.cluster_state.workers
+        ]:
             self.close(worker_id)
 
     def suspect(self, hall: str) -> None:
         """Give nothing new to the workers of a hall until each has been heard again."""
-        for worker in list(self._owner.board.workers.values()):
+        for worker in list(self._owner.cluster_state.workers.values()):
             if worker.record.data_hall == hall and worker.listed:
                 self.suspect_worker(worker)
 
@@ -181,7 +183,7 @@
 
         A new one orders the stops again that found no way to the worker before.
         """
-        worker = self._owner.board.workers.get(worker_id)
+        worker = self._owner.cluster_state.workers.get(worker_id)
         if worker is not None and self._is_open(worker):
             return self._sessions[worker_id]
         if worker is None or not worker.record.address:
--- a/src/saddlestack/control/upkeep.py
+++ b/src/saddlestack/control/upkeep.py
@@ -50,11 +50,11 @@
     """
 
     def __init__(
-        self, context: EntryContext, machines: Machines, board: ClusterState, fence: int
+        self, context: EntryContext, machines: Machines, cluster_state: ClusterState, fence: int
     ) -> None:
         self._context = context
         self._machines = machines
-        self._board = board
+        self._cluster_state = cluster_state
         self._fence = fence
         self._clock = context.clock
         self._waves: dict[int, WaveState] = {}
@@ -131,7 +131,9 @@
         Where records of several name a machine, one may be another writer's, or that of a life
         before: the machine is not idle while work runs on any that is listed.
         """
-        workers = [worker for worker in self._board.workers.values() if worker.record.machine]
+        workers = [
+            worker for worker in self._cluster_state.workers.values() if worker.record.machine
+        ]
         present = [worker for worker in workers if worker.listed or worker.runs]
         present.sort(key=lambda worker: (worker.listed, bool(worker.runs)))
         return {worker.record.machine: worker for worker in present}
@@ -162,7 +164,7 @@
         """A machine goes on: its worker takes work again, unless another wave prepares it."""
         if any(state.prepares(machine) for state in self._waves.values()):
             return
-        for worker in self._board.workers.values():
+        for worker in self._cluster_state.workers.values():
             if worker.record.machine == machine:
                 worker.goes_on()
 
--- a/src/saddlestack/control/waits.py
+++ b/src/saddlestack/control/waits.py
@@ -88,16 +88,16 @@
 
     def __init__(
         self,
-        board: ClusterState,
+        cluster_state: ClusterState,
         clock: Clock,
         metrics: Metrics,
         lease_until_s: Callable[[str], float],
     ) -> None:
-        self._board = board
+        self._cluster_state = cluster_state
         self._clock = clock
         self._metrics = metrics
         self._lease_until_s = lease_until_s
-        self._diagnosis = Diagnosis(board)
+        self._diagnosis = Diagnosis(cluster_state)
         self._watch = StillWatch()
         self._writing: Counter[str] = Counter()
         self._planned_s = clock.now()
@@ -173,8 +173,8 @@
 
     def of(self, job_id: str) -> str | None:
         """What a job waits for, or why it failed, in a sentence; ``None`` where it runs."""
-        job = self._board.jobs.get(job_id)
-        if job is not None and job.shown is JobState.FAILED:
+        job = self._cluster_state.jobs.get(job_id)
+        if job is not None and job.published_state is JobState.FAILED:
             return _failed(job)
         wait = self._now.get(job_id)
         if wait is None:
@@ -249,7 +249,7 @@
 
     def _percent(self, kept_out: Callable[[ServicePool], int]) -> int:
         """The share of all accelerators that is kept out, taken when it is asked for."""
-        found = pools(self._board.workers.values(), self._clock.now()).values()
+        found = pools(self._cluster_state.workers.values(), self._clock.now()).values()
         total = sum(pool.total for pool in found)
         return round(PERCENT * sum(kept_out(pool) for pool in found) / total) if total else 0
 
--- a/src/saddlestack/policy/cluster/backfill.py
+++ b/src/saddlestack/policy/cluster/backfill.py
@@ -6,7 +6,7 @@
 
 from saddlestack.policy.cluster.workers import Worker
 
-KEPT_GANGS = 32
+MAX_KEPT_GANGS = 32
 """Gangs for which workers are kept in one round, those that go first; a round's cost with
 thousands of waiting gangs is bounded by this."""
 
@@ -21,7 +21,7 @@
     @property
     def is_full(self) -> bool:
         """Whether workers are kept for as many gangs as may be."""
-        return self._gangs >= KEPT_GANGS
+        return self._gangs >= MAX_KEPT_GANGS
 
     def clear(self) -> None:
         """Begin a round: nothing is kept."""
--- a/src/saddlestack/policy/cluster/candidates.py
+++ b/src/saddlestack/policy/cluster/candidates.py
@@ -5,13 +5,13 @@
 from collections.abc import Callable
 
 from saddlestack.policy.cluster.backfill import Backfill
-from saddlestack.policy.cluster.fits import Fit, Fits
-from saddlestack.policy.cluster.index import RoomIndex, ServiceRooms
+from saddlestack.policy.cluster.fits import FitCache, FitKey
+from saddlestack.policy.cluster.index import CapacityIndex, ServiceCapacity
 from saddlestack.policy.cluster.jobs import StepState, Task
 from saddlestack.policy.cluster.patience import NEAR_PATIENCE_S
 from saddlestack.policy.cluster.placement import whole_racks
-from saddlestack.policy.cluster.places import IndexedPlaces, Kept, ListedPlaces, Places
-from saddlestack.policy.cluster.pool import Pool
+from saddlestack.policy.cluster.places import IndexedPlaces, IsKept, ListedPlaces, Places
+from saddlestack.policy.cluster.planner_context import PlannerContext
 from saddlestack.policy.cluster.workers import Worker
 
 
@@ -23,24 +23,24 @@
 
     def __init__(
         self,
-        board: Pool,
-        index: RoomIndex,
+        cluster_state: PlannerContext,
+        index: CapacityIndex,
         backfill: Backfill,
         is_open: Callable[[Task], bool],
     ) -> None:
-        self._board = board
+        self._cluster_state = cluster_state
         self._index = index
-        self._fits = Fits(index)
+        self._fits = FitCache(index)
         self._backfill = backfill
         self._is_open = is_open
 
-    def rooms(self, step: StepState) -> ServiceRooms:
+    def service_capacity(self, step: StepState) -> ServiceCapacity:
         """The room of the service that a step runs on."""
-        return self._index.service(self._board.service_of(step.occurrence.job))
+        return self._index.service(self._cluster_state.service_of(step.occurrence.job))
 
     def places(self, step: StepState, now: float) -> Places:
         """The workers that a step may go to."""
-        if step.step.per_worker or self._board.is_advised(step.occurrence.job):
+        if step.step.per_worker or self._cluster_state.is_advised(step.occurrence.job):
             return ListedPlaces(step, self.listed(step, now))
         fit = self.fit(step)
         kept = self.kept(step)
@@ -52,83 +52,85 @@
     def all_places(self, step: StepState, now: float) -> Places:
         """The workers that a step may go to once it prefers none of them."""
         fit = self.fit(step)
-        if self._board.is_advised(step.occurrence.job):
-            return ListedPlaces(step, self.with_leave(step, self.able(fit, now), now))
+        if self._cluster_state.is_advised(step.occurrence.job):
+            return ListedPlaces(step, self.with_approval(step, self.eligible(fit, now), now))
         if step.step.per_worker:
-            return ListedPlaces(step, self.able(fit, now))
+            return ListedPlaces(step, self.eligible(fit, now))
         return IndexedPlaces(step, self._fits.of(fit), None, spread=True)
 
     def copies(self, step: StepState) -> int:
         """Tasks of a step's size that fit now, on all workers together."""
         return self._fits.of(self.fit(step)).total
 
-    def fit(self, step: StepState) -> Fit:
+    def fit(self, step: StepState) -> FitKey:
         """What a step shares with others that fit where it does."""
-        return Fit(
-            service=self._board.service_of(step.occurrence.job),
+        return FitKey(
+            service=self._cluster_state.service_of(step.occurrence.job),
             room=step.step.room,
             label=step.step.label,
-            proven=step.needs_proof,
+            proven=step.needs_proven_worker,
         )
 
     def listed(self, step: StepState, now: float) -> list[Worker]:
         """The workers that a step may go to, each looked at."""
         kept = self.kept(step)
-        able = self.able(self.fit(step), now)
-        able = [worker for worker in able if kept is None or not kept(worker)]
-        if self._board.is_advised(step.occurrence.job):
-            able = self.with_leave(step, able, now)
+        eligible = self.eligible(self.fit(step), now)
+        eligible = [worker for worker in eligible if kept is None or not kept(worker)]
+        if self._cluster_state.is_advised(step.occurrence.job):
+            eligible = self.with_approval(step, eligible, now)
         if not step.step.data_rack or not prefers_near(step, now):
-            return able
-        return [worker for worker in able if worker.record.rack == step.step.data_rack] or able
+            return eligible
+        return [
+            worker for worker in eligible if worker.record.rack == step.step.data_rack
+        ] or eligible
 
     def _near_data(
-        self, step: StepState, fit: Fit, kept: Kept | None, now: float
+        self, step: StepState, fit: FitKey, kept: IsKept | None, now: float
     ) -> list[Worker] | None:
         """The workers near a step's data; ``None`` where it does not wait for them."""
         if not step.step.data_rack or not prefers_near(step, now):
             return None
-        rack = self.rooms(step).rack(step.step.data_rack)
+        rack = self.service_capacity(step).rack(step.step.data_rack)
         if rack is None:
             return None
-        able = [worker for worker in rack.able if fit.open_to(worker, now)]
-        if sum(worker.most(step.step) for worker in able) < step.at_once:
+        eligible = [worker for worker in rack.eligible if fit.allows(worker, now)]
+        if sum(worker.most(step.step) for worker in eligible) < step.at_once:
             return None
-        return [worker for worker in able if kept is None or not kept(worker)]
+        return [worker for worker in eligible if kept is None or not kept(worker)]
 
-    def able(self, fit: Fit, now: float) -> list[Worker]:
+    def eligible(self, fit: FitKey, now: float) -> list[Worker]:
         """Workers that take work of a fit, whatever the step prefers."""
         racks = self._index.service(fit.service).racks
-        return [w for rack in racks for w in rack.able if fit.open_to(w, now)]
+        return [w for rack in racks for w in rack.eligible if fit.allows(w, now)]
 
-    def with_leave(self, step: StepState, able: list[Worker], now: float) -> list[Worker]:
+    def with_approval(self, step: StepState, eligible: list[Worker], now: float) -> list[Worker]:
         """The workers that may run a step; the adviser is asked about more where it does not fit.
 
         Which racks could ever hold a gang of one rack is told by all of them, allowed or not.
         """
         advice = step.advice
-        allowed = [w for w in able if advice.ticket(w.worker_id, now) is not None]
-        if step.step.gang and step.step.same_rack and whole_racks(step, able):
+        allowed = [w for w in eligible if advice.ticket(w.worker_id, now) is not None]
+        if step.step.gang and step.step.same_rack and whole_racks(step, eligible):
             allowed = whole_racks(step, allowed)
         if not advice.asking and not self._fits_on(step, allowed):
-            unknown = advice.unknown(able, now)
+            unknown = advice.unknown(eligible, now)
             if unknown:
-                self._board.ask(step, unknown)
+                self._cluster_state.request_advice(step, unknown)
         return allowed
 
     def _fits_on(self, step: StepState, workers: list[Worker]) -> bool:
         """Whether all tasks of a step that wait fit on some workers."""
         if step.step.gang:
-            return ListedPlaces(step, workers).gang() is not None
+            return ListedPlaces(step, workers).choose_gang() is not None
         room = sum(worker.copies(step, worker.free) for worker in workers)
         return room >= sum(1 for task in step.tasks if self._is_open(task))
 
-    def kept(self, step: StepState) -> Kept | None:
+    def kept(self, step: StepState) -> IsKept | None:
         """Tells workers that a gang of higher priority waits for; an idle pool keeps none."""
         priority = step.occurrence.job.priority
         if step.step.long_running or not self._backfill.keeps_from(priority):
             return None
-        if not self.rooms(step).open.half_used:
+        if not self.service_capacity(step).open.is_half_used:
             return None
         return lambda worker: self._backfill.is_kept(worker, priority)
 
--- a/src/saddlestack/policy/cluster/caution.py
+++ b/src/saddlestack/policy/cluster/caution.py
@@ -57,7 +57,7 @@
         """
         if step.step.long_running:
             return False
-        if step.on_last_try:
+        if step.on_last_attempt:
             return True
         return step.occurrence.job.priority == TOP_PRIORITY and self._several_faulty(now)
 
--- a/src/saddlestack/policy/cluster/changes.py
+++ b/src/saddlestack/policy/cluster/changes.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Question:
+class AdviceRequest:
     """The adviser is to be asked which of some workers may run a step."""
 
     step: StepState
@@ -62,25 +62,25 @@
 
     :param records: its occurrences to be written, by key.
     :param starts: to be ordered after the records are written.
-    :param shown: its state, which may be shown after the records are written.
+    :param state_updates: its state, which may be shown after the records are written.
     """
 
     job_id: str
     records: dict[str, OccurrenceRecord] = field(default_factory=dict)
     starts: list[Start] = field(default_factory=list)
-    shown: list[tuple[Job, JobState]] = field(default_factory=list)
+    state_updates: list[tuple[Job, JobState]] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class Changes:
-    """What has followed since the last call of :meth:`ClusterState.take`.
+    """What has followed since the last call of :meth:`ClusterState.take_changes`.
 
     :param records: occurrences to be written, by key.
     :param starts: to be ordered after the records are written.
     :param stops: to be ordered at once.
     :param paces: to be ordered at once.
-    :param questions: to be asked of the adviser.
-    :param shown: jobs whose state may be shown after the records are written.
+    :param advice_requests: to be asked of the adviser.
+    :param state_updates: jobs whose state may be shown after the records are written.
     :param verdicts: on tasks under which workers crashed, to be told.
     """
 
@@ -88,8 +88,8 @@
     starts: list[Start] = field(default_factory=list)
     stops: list[Stop] = field(default_factory=list)
     paces: list[Pace] = field(default_factory=list)
-    questions: list[Question] = field(default_factory=list)
-    shown: list[tuple[Job, JobState]] = field(default_factory=list)
+    advice_requests: list[AdviceRequest] = field(default_factory=list)
+    state_updates: list[tuple[Job, JobState]] = field(default_factory=list)
     verdicts: list[Verdict] = field(default_factory=list)
 
     def by_job(self) -> list[JobChanges]:
@@ -105,6 +105,6 @@
             of(key.rpartition(".")[0]).records[key] = record
         for start in self.starts:
             of(start.run.task.name.job_id).starts.append(start)
-        for job, state in self.shown:
-            of(job.job_id).shown.append((job, state))
+        for job, state in self.state_updates:
+            of(job.job_id).state_updates.append((job, state))
         return list(found.values())
--- a/src/saddlestack/policy/cluster/crashes.py
+++ b/src/saddlestack/policy/cluster/crashes.py
@@ -29,7 +29,7 @@
     may_have_begun,
     overlap,
 )
-from saddlestack.policy.cluster.records import CrashRecord, TaskStatus, within
+from saddlestack.policy.cluster.records import CrashRecord, TaskStatus, clamp_log_odds
 from saddlestack.policy.cluster.verdicts import Verdict, VerdictKind
 from saddlestack.policy.cluster.workers import Worker
 
@@ -361,7 +361,7 @@
             return
         crashes = max(0, record.crashes - charge.crashes) if counted else record.crashes
         # What spoke for a task is not taken back: its record may have begun anew since.
-        log_odds = within(record.log_odds - max(0.0, charge.log_odds))
+        log_odds = clamp_log_odds(record.log_odds - max(0.0, charge.log_odds))
         rest = msgspec.structs.replace(record, crashes=crashes, log_odds=log_odds)
         self._keep(charge.task, rest, judgement, lost=not counted)
 
--- a/src/saddlestack/policy/cluster/crashrule.py
+++ b/src/saddlestack/policy/cluster/crashrule.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from saddlestack.policy.cluster.records import CrashRecord, within
+from saddlestack.policy.cluster.records import CrashRecord, clamp_log_odds
 
 COUNTED_FROM = 3
 """Once so many workers have crashed under a task its starts are counted..."""
@@ -148,7 +148,7 @@
 
     def survived(self, record: CrashRecord, lived_s: float) -> CrashRecord:
         """See :meth:`CrashRule.survived`."""
-        log_odds = within(record.log_odds + math.log(self._survival(record, lived_s)))
+        log_odds = clamp_log_odds(record.log_odds + math.log(self._survival(record, lived_s)))
         if lived_s <= record.span_s:
             return msgspec.structs.replace(record, log_odds=log_odds)
         # It does not crash each worker that starts it: what counts begins anew.
@@ -180,7 +180,7 @@
         if counts:
             noticed_s = lived.least_s + min(lived.most_s - lived.least_s, DOUBT_S)
             span_s = max(span_s, noticed_s, self.LEAST_SPAN_S)
-        log_odds = within(math.log(max(share, math.ulp(0.0))) - math.log(others))
+        log_odds = clamp_log_odds(math.log(max(share, math.ulp(0.0))) - math.log(others))
         return CrashRecord(record.crashes + counts, log_odds, span_s, record.later_starts)
 
     def _odds(self, record: CrashRecord) -> float:
--- a/src/saddlestack/policy/cluster/diagnosis.py
+++ b/src/saddlestack/policy/cluster/diagnosis.py
@@ -115,7 +115,7 @@
     near: str
     priority: int
     long_running: bool
-    needs_proof: bool
+    needs_proven_worker: bool
 
 
 @dataclass(slots=True)
@@ -157,36 +157,36 @@
 class Diagnosis:
     """Looks at a board from time to time, and keeps since when each job waits."""
 
-    def __init__(self, board: ClusterState) -> None:
-        self._board = board
+    def __init__(self, cluster_state: ClusterState) -> None:
+        self._cluster_state = cluster_state
         self._since: dict[str, float] = {}
 
     def look(self, circumstances: Circumstances) -> Looked:
         """The jobs of which nothing runs, those first that have waited for the longest time."""
-        in_hand = _in_hand(self._board)
+        in_hand = _in_hand(self._cluster_state)
         self._note(in_hand, circumstances.now)
-        look = _Look(self._board, in_hand, circumstances)
+        look = _Look(self._cluster_state, in_hand, circumstances)
         longest = list(islice(self._since.items(), JOBS_A_LOOK))
-        jobs = [(self._board.jobs[job_id], since_s) for job_id, since_s in longest]
+        jobs = [(self._cluster_state.jobs[job_id], since_s) for job_id, since_s in longest]
         waits = [look.at(job, since_s) for job, since_s in jobs if not job.over]
         return Looked(waits, len(self._since) - len(longest))
 
     def _note(self, in_hand: _InHand, now: float) -> None:
         """Keep since when each job waits; what waited first stays first."""
-        jobs = self._board.jobs
+        jobs = self._cluster_state.jobs
         working = in_hand.working
         for job_id in [each for each in self._since if each in working or each not in jobs]:
             del self._since[job_id]
         for job_id, job in jobs.items():
-            if job.shown in FINAL_STATES:
+            if job.published_state in FINAL_STATES:
                 self._since.pop(job_id, None)
             elif job_id not in working:
                 self._since.setdefault(job_id, now)
 
 
-def _in_hand(board: ClusterState) -> _InHand:
+def _in_hand(cluster_state: ClusterState) -> _InHand:
     found = _InHand()
-    for worker in board.workers.values():
+    for worker in cluster_state.workers.values():
         for run in worker.runs.values():
             found.add(run, answers=worker.reachable)
     return found
@@ -195,8 +195,10 @@
 class _Look:
     """One look at a board."""
 
-    def __init__(self, board: ClusterState, in_hand: _InHand, circumstances: Circumstances) -> None:
-        self._board = board
+    def __init__(
+        self, cluster_state: ClusterState, in_hand: _InHand, circumstances: Circumstances
+    ) -> None:
+        self._cluster_state = cluster_state
         self._in_hand = in_hand
         self._circumstances = circumstances
         self._now = circumstances.now
@@ -264,7 +266,7 @@
         survey = self._survey(step)
         if survey is None:
             return Wait(job.job_id, Reason.LEFT_OUT, since_s, tasks, later)
-        if self._board.planner.isolates(step):
+        if self._cluster_state.planner.awaits_isolation(step):
             beside = self._has_room(step, survey)
             return Wait(job.job_id, Reason.ISOLATION, since_s, tasks, later, beside_room=beside)
         reason, until_s = self._why(step, survey)
@@ -275,25 +277,25 @@
 
     def _why(self, step: StepState, survey: Survey) -> tuple[Reason, float | None]:
         """The reason, and when it ends where a time is known."""
-        waits_since_s = self._now if step.waits_since_s is None else step.waits_since_s
+        waiting_since_s = self._now if step.waiting_since_s is None else step.waiting_since_s
         if survey.reason is None:
-            if self._board.planner.may_open(step, list(survey.places), self._now):
+            if self._cluster_state.planner.may_open(step, list(survey.places), self._now):
                 return self._for_round(), None
-            return Reason.HEADROOM, waits_since_s + HEADROOM_PATIENCE_S
-        reserved_until_s = self._board.planner.reserved_until(step)
+            return Reason.HEADROOM, waiting_since_s + HEADROOM_PATIENCE_S
+        reserved_until_s = self._cluster_state.planner.reserved_until(step)
         if reserved_until_s is not None:
             return Reason.MAKING_ROOM, reserved_until_s
         if survey.reason is Reason.NEAR_DATA:
-            return Reason.NEAR_DATA, waits_since_s + NEAR_PATIENCE_S
+            return Reason.NEAR_DATA, waiting_since_s + NEAR_PATIENCE_S
         return survey.reason, survey.until_s
 
     def _until_s(self, step: StepState, reason: Reason, until_s: float | None) -> float | None:
         """When a wait ends at the latest: beside a free pool preferences are given up sooner."""
-        if reason not in PREFERENCES or step.standing_since_s is None:
+        if reason not in PREFERENCES or step.stalled_since_s is None:
             return until_s
-        if reason is Reason.QUARANTINE and step.fails_for_good:
+        if reason is Reason.QUARANTINE and step.next_failure_is_final:
             return until_s
-        impatient_s = step.standing_since_s + IDLE_PATIENCE_S
+        impatient_s = step.stalled_since_s + IDLE_PATIENCE_S
         return impatient_s if until_s is None else min(until_s, impatient_s)
 
     def _waiting(self, step: StepState) -> int:
@@ -325,9 +327,9 @@
         found = Surveyor(
             step,
             pool,
-            self._board.planner.kept_from(step),
-            near=self._board.planner.waits_near(step, self._now),
-            advised=self._board.is_advised(step.occurrence.job),
+            self._cluster_state.planner.kept_from(step),
+            near=self._cluster_state.planner.waits_near_data(step, self._now),
+            advised=self._cluster_state.is_advised(step.occurrence.job),
             now=self._now,
         ).survey()
         if kind is not None:
@@ -336,19 +338,21 @@
 
     def _pool(self, step: StepState) -> ServicePool:
         if self._pools is None:
-            self._pools = pools(self._board.workers.values(), self._now)
-        service = self._board.service_of(step.occurrence.job)
+            self._pools = pools(self._cluster_state.workers.values(), self._now)
+        service = self._cluster_state.service_of(step.occurrence.job)
         return self._pools.setdefault(service, ServicePool())
 
     def _kind(self, step: StepState) -> _Kind | None:
         """What a step shares with others; ``None`` where more counts than that."""
         job = step.occurrence.job
-        if self._board.is_advised(job) or step.avoids or step.step.per_worker:
+        if self._cluster_state.is_advised(job) or step.has_avoided_workers or step.step.per_worker:
             return None
         needs = step.step
-        near = needs.data_rack if self._board.planner.waits_near(step, self._now) else ""
+        near = (
+            needs.data_rack if self._cluster_state.planner.waits_near_data(step, self._now) else ""
+        )
         return _Kind(
-            service=self._board.service_of(job),
+            service=self._cluster_state.service_of(job),
             room=needs.room,
             count=needs.count if needs.gang else 1,
             gang=needs.gang,
@@ -357,7 +361,7 @@
             near=near,
             priority=job.priority,
             long_running=needs.long_running,
-            needs_proof=step.needs_proof,
+            needs_proven_worker=step.needs_proven_worker,
         )
 
 
--- a/src/saddlestack/policy/cluster/fits.py
+++ b/src/saddlestack/policy/cluster/fits.py
@@ -12,18 +12,18 @@
 
 from sortedcontainers import SortedList
 
-from saddlestack.policy.cluster.awaited import Awaited, AwaitedRack, least_first
-from saddlestack.policy.cluster.index import Rack, RoomIndex, ServiceRooms
+from saddlestack.policy.cluster.index import CapacityIndex, Rack, ServiceCapacity
+from saddlestack.policy.cluster.releasable import ReleasableRack, ReleasableWorker, by_release_cost
 from saddlestack.policy.cluster.workers import Worker
 from saddlestack.work import Resources
 
-FITS_KEPT = 64
+MAX_FITS = 64
 """Sizes of tasks that are remembered, those asked for last. At 350 workers in 18 racks one takes
 5 KB, and 0.6 ms to count anew (median of 20)."""
 
 
 @dataclass(frozen=True, slots=True)
-class Fit:
+class FitKey:
     """What tasks have to share so that a worker holds as many of the one as of the other.
 
     :param label: that the worker must have, or empty.
@@ -35,7 +35,7 @@
     label: str
     proven: bool
 
-    def open_to(self, worker: Worker, now: float) -> bool:
+    def allows(self, worker: Worker, now: float) -> bool:
         """Whether such tasks may go to a worker that takes work."""
         if self.proven and now < worker.probation_s:
             return False
@@ -49,21 +49,21 @@
     :param copies: that fit now.
     :param most: that would fit if it were empty.
     :param free: accelerators that its workers have left.
-    :param awaited: by priority, what fits once lower work has ended; counted where asked for.
+    :param releasable: by priority, what fits once lower work has ended; counted where asked for.
     """
 
     copies: int = 0
     most: int = 0
     free: int = 0
-    awaited: dict[int, AwaitedRack] = field(default_factory=dict)
+    releasable: dict[int, ReleasableRack] = field(default_factory=dict)
 
 
-class FitRooms:
+class FitCapacity:
     """What each rack of a service holds of tasks of one size."""
 
-    def __init__(self, fit: Fit, rooms: ServiceRooms) -> None:
+    def __init__(self, fit: FitKey, service_capacity: ServiceCapacity) -> None:
         self.fit = fit
-        self.rooms = rooms
+        self.service_capacity = service_capacity
         self.racks: list[RackFit] = []
         self.total = 0
         self._now = 0.0
@@ -79,41 +79,41 @@
     def holding(self, wanted: int) -> Iterator[Rack]:
         """Racks where so many tasks fit now."""
         for _, number in self._by_copies.irange((wanted, -1)):
-            yield self.rooms.racks[number]
+            yield self.service_capacity.racks[number]
 
-    def open_to(self, worker: Worker) -> bool:
+    def allows(self, worker: Worker) -> bool:
         """Whether such tasks may go to a worker that takes work."""
-        return self.fit.open_to(worker, self._now)
+        return self.fit.allows(worker, self._now)
 
     def workers(self, rack: Rack) -> list[Worker]:
         """The workers of a rack that such tasks may go to."""
-        return [worker for worker in rack.able if self.open_to(worker)]
+        return [worker for worker in rack.eligible if self.allows(worker)]
 
-    def awaited(self, rack: Rack, priority: int) -> AwaitedRack:
+    def releasable(self, rack: Rack, priority: int) -> ReleasableRack:
         """What a rack holds once all work of lower priority there has ended."""
-        found = self.racks[rack.number].awaited
+        found = self.racks[rack.number].releasable
         known = found.get(priority)
         if known is None:
-            known = found[priority] = AwaitedRack.of(self._awaited(rack, priority))
+            known = found[priority] = ReleasableRack.of(self._releasable(rack, priority))
         return known
 
-    def soonest(self, priority: int) -> Iterator[Awaited]:
+    def soonest(self, priority: int) -> Iterator[ReleasableWorker]:
         """Workers of all racks, those with the least lower work for each task first."""
-        lists = [self.awaited(rack, priority).workers for rack in self.rooms.racks]
-        return merge(*lists, key=least_first)
+        lists = [self.releasable(rack, priority).workers for rack in self.service_capacity.racks]
+        return merge(*lists, key=by_release_cost)
 
     def refresh(self, now: float) -> None:
         """Count the racks anew of which something changed."""
         self._now = now
-        if self._seen == self.rooms.version:
+        if self._seen == self.service_capacity.version:
             return
-        while len(self.racks) < len(self.rooms.racks):
+        while len(self.racks) < len(self.service_capacity.racks):
             self._by_copies.add((0, len(self.racks)))
             self._by_most.add(0)
             self.racks.append(RackFit())
-        for rack in self.rooms.changed_since(self._seen):
+        for rack in self.service_capacity.changed_since(self._seen):
             self._count(rack)
-        self._seen = self.rooms.version
+        self._seen = self.service_capacity.version
 
     def _count(self, rack: Rack) -> None:
         old = self.racks[rack.number]
@@ -132,28 +132,28 @@
             self._by_most.remove(old.most)
             self._by_most.add(new.most)
 
-    def _awaited(self, rack: Rack, priority: int) -> Iterator[Awaited]:
+    def _releasable(self, rack: Rack, priority: int) -> Iterator[ReleasableWorker]:
         for worker in self.workers(rack):
             lower = worker.lower_work(priority)
             copies = worker.fitting(self.fit.room, worker.free + lower)
             if copies > 0:
-                yield Awaited.of(worker, lower, copies)
+                yield ReleasableWorker.of(worker, lower, copies)
 
 
-class Fits:
+class FitCache:
     """The sizes that were asked for lately."""
 
-    def __init__(self, index: RoomIndex) -> None:
+    def __init__(self, index: CapacityIndex) -> None:
         self._index = index
-        self._known: dict[Fit, FitRooms] = {}
+        self._known: dict[FitKey, FitCapacity] = {}
 
-    def of(self, fit: Fit) -> FitRooms:
+    def of(self, fit: FitKey) -> FitCapacity:
         """The room for tasks of one size, with all changes up to now."""
-        rooms = self._index.service(fit.service)
+        service_capacity = self._index.service(fit.service)
         known = self._known.pop(fit, None)
         if known is None:
-            known = FitRooms(fit, rooms)
-            if len(self._known) >= FITS_KEPT:
+            known = FitCapacity(fit, service_capacity)
+            if len(self._known) >= MAX_FITS:
                 del self._known[next(iter(self._known))]
         self._known[fit] = known
         known.refresh(self._index.now)
--- a/src/saddlestack/policy/cluster/headroom.py
+++ b/src/saddlestack/policy/cluster/headroom.py
@@ -4,21 +4,21 @@
 
 from collections.abc import Sequence
 
-from saddlestack.policy.cluster.index import ServiceRooms
+from saddlestack.policy.cluster.index import ServiceCapacity
 from saddlestack.policy.cluster.patience import HEADROOM_PATIENCE_S, is_impatient
 from saddlestack.policy.cluster.workers import Worker
 
-HEADROOM = 0.25
+HEADROOM_SHARE = 0.25
 """Share of a pool's accelerators, on empty workers, that only urgent work may open; data halls that
 are being evacuated do not count..."""
-HEADROOM_A_RACK = 32
+HEADROOM_PER_RACK = 32
 """...of which so many, half a rack at most, lie in one rack, so that urgent gangs fit there."""
 
 
-def may_open(rooms: ServiceRooms, places: Sequence[Worker], waited_s: float) -> bool:
+def may_open(service_capacity: ServiceCapacity, places: Sequence[Worker], waited_s: float) -> bool:
     """Whether work of lower priority may take some workers and still leave the headroom.
 
-    :param rooms: the room of all workers of the service.
+    :param service_capacity: the room of all workers of the service.
     :param places: where the work would go.
     :param waited_s: for how long it has waited.
     """
@@ -29,10 +29,17 @@
     if not opened:
         return True
     taken = sum(opened.values())
-    left = rooms.empty - taken
-    in_one = min(HEADROOM_A_RACK, rooms.widest // 2, rooms.widest_empty({}))
-    if left >= rooms.open.accelerators * HEADROOM and rooms.widest_empty(opened) >= in_one:
+    left = service_capacity.empty - taken
+    in_one = min(
+        HEADROOM_PER_RACK,
+        service_capacity.largest_rack // 2,
+        service_capacity.largest_empty_rack({}),
+    )
+    if (
+        left >= service_capacity.open.accelerators * HEADROOM_SHARE
+        and service_capacity.largest_empty_rack(opened) >= in_one
+    ):
         return True
-    if not rooms.open.half_used or waited_s > HEADROOM_PATIENCE_S:
+    if not service_capacity.open.is_half_used or waited_s > HEADROOM_PATIENCE_S:
         return True
-    return left >= taken and is_impatient(rooms, waited_s)
+    return left >= taken and is_impatient(service_capacity, waited_s)
--- a/src/saddlestack/policy/cluster/index.py
+++ b/src/saddlestack/policy/cluster/index.py
@@ -22,7 +22,7 @@
     """What the sums hold of one worker.
 
     :param service: of its record, as is the rack.
-    :param able: whether it takes work and is not suspected.
+    :param eligible: whether it takes work and is not suspected.
     :param empty: its accelerators where it takes work and runs nothing, else 0.
     :param evacuated: whether its data hall is; such a worker counts in the sums of all alone.
     :param present: whether it is in the platform's list and answers.
@@ -30,7 +30,7 @@
 
     service: str
     rack: str
-    able: bool
+    eligible: bool
     empty: int
     evacuated: bool
     present: bool
@@ -57,9 +57,9 @@
         self.workers: dict[Worker, bool] = {}
 
     @property
-    def able(self) -> list[Worker]:
+    def eligible(self) -> list[Worker]:
         """Its workers that take work and are not suspected."""
-        return [worker for worker, able in self.workers.items() if able]
+        return [worker for worker, eligible in self.workers.items() if eligible]
 
 
 class Usage:
@@ -72,14 +72,14 @@
         self._used_cpu = 0
 
     @property
-    def half_used(self) -> bool:
+    def is_half_used(self) -> bool:
         """Whether half of the accelerators or of the processors is held."""
         if self._used_accelerators * 2 >= self.accelerators:
             return True
         return self._used_cpu * 2 >= self._cpu
 
     @property
-    def mostly_free(self) -> bool:
+    def is_mostly_free(self) -> bool:
         """Whether under half of what counts is held: accelerators, or processors without any."""
         if self.accelerators:
             return self._used_accelerators * 2 < self.accelerators
@@ -93,7 +93,7 @@
         self._used_cpu += sign * standing.used_cpu
 
 
-class ServiceRooms:
+class ServiceCapacity:
     """The room of the workers of one service.
 
     :ivar all: what all of its workers have.
@@ -116,7 +116,7 @@
         self._changed: dict[Rack, None] = {}
 
     @property
-    def widest(self) -> int:
+    def largest_rack(self) -> int:
         """Accelerators of the widest rack."""
         return self._by_width[-1] if self._by_width else 0
 
@@ -129,7 +129,7 @@
         """A rack by its name."""
         return self._by_name.get(name)
 
-    def widest_empty(self, opened: Mapping[str, int]) -> int:
+    def largest_empty_rack(self, opened: Mapping[str, int]) -> int:
         """Empty accelerators of the rack that has most of them.
 
         :param opened: by rack, empty ones that are not to be counted.
@@ -148,7 +148,7 @@
                 return
             yield rack
 
-    def tightest(self, accelerators: int, cpu: int) -> Iterator[Worker]:
+    def tightest_first(self, accelerators: int, cpu: int) -> Iterator[Worker]:
         """Workers that take work and have so much free, those with the least of it first."""
         for free in sorted(self._by_free):
             if free < accelerators:
@@ -159,9 +159,9 @@
     def put(self, worker: Worker, number: int, standing: _Standing) -> None:
         """Count a worker as it stands."""
         rack = self._known_rack(standing.rack)
-        rack.workers[worker] = standing.able
+        rack.workers[worker] = standing.eligible
         self._add(rack, standing, 1)
-        if standing.able:
+        if standing.eligible:
             places = self._by_free.setdefault(standing.free_accelerators, SortedList())
             places.add((standing.free_cpu, number))
             self._by_number[number] = worker
@@ -172,7 +172,7 @@
         rack = self._by_name[standing.rack]
         del rack.workers[worker]
         self._add(rack, standing, -1)
-        if standing.able:
+        if standing.eligible:
             places = self._by_free[standing.free_accelerators]
             places.remove((standing.free_cpu, number))
             del self._by_number[number]
@@ -212,7 +212,7 @@
         self._changed[rack] = None
 
 
-class RoomIndex:
+class CapacityIndex:
     """The room of all workers, by service.
 
     :param leaving: workers that are about to leave.
@@ -221,7 +221,7 @@
     def __init__(self) -> None:
         self.now = 0.0
         self.leaving: dict[Worker, None] = {}
-        self._services: dict[str, ServiceRooms] = {}
+        self._services: dict[str, ServiceCapacity] = {}
         self._standings: dict[Worker, _Standing] = {}
         self._numbers: dict[Worker, int] = {}
         self._next_number = 0
@@ -231,7 +231,7 @@
         self._is_read = False
 
     @contextmanager
-    def as_it_was(self) -> Iterator[None]:
+    def without_refresh(self) -> Iterator[None]:
         """Read it as the last round has left it.
 
         To count a change earlier would have the next round choose otherwise among equal workers.
@@ -258,7 +258,7 @@
         self._wakes.pop(worker, None)
         del self._numbers[worker]
 
-    def begin(self, now: float) -> None:
+    def begin_round(self, now: float) -> None:
         """Begin a round: what ends with time counts as it is now."""
         self.now = now
         while self._asleep and self._asleep[0][0] <= now:
@@ -269,13 +269,13 @@
                 self._changed[worker] = None
         self._refresh()
 
-    def service(self, name: str) -> ServiceRooms:
+    def service(self, name: str) -> ServiceCapacity:
         """The room of a service's workers, with all changes up to now."""
         self._refresh()
-        rooms = self._services.get(name)
-        if rooms is None:
-            rooms = self._services[name] = ServiceRooms()
-        return rooms
+        service_capacity = self._services.get(name)
+        if service_capacity is None:
+            service_capacity = self._services[name] = ServiceCapacity()
+        return service_capacity
 
     def _refresh(self) -> None:
         if self._is_read:
@@ -288,10 +288,10 @@
     def _put(self, worker: Worker) -> None:
         number = self._numbers[worker]
         standing = self._standings[worker] = _standing(worker, self.now)
-        rooms = self._services.get(standing.service)
-        if rooms is None:
-            rooms = self._services[standing.service] = ServiceRooms()
-        rooms.put(worker, number, standing)
+        service_capacity = self._services.get(standing.service)
+        if service_capacity is None:
+            service_capacity = self._services[standing.service] = ServiceCapacity()
+        service_capacity.put(worker, number, standing)
         wake_s = worker.next_change_s(self.now)
         if wake_s is not None and self._wakes.get(worker) != wake_s:
             self._wakes[worker] = wake_s
@@ -314,7 +314,7 @@
     return _Standing(
         service=record.service,
         rack=record.rack,
-        able=takes_work and not worker.suspected,
+        eligible=takes_work and not worker.suspected,
         empty=record.capacity.accelerators if takes_work and not worker.runs else 0,
         evacuated=worker.evacuated,
         present=worker.listed and worker.reachable,
--- a/src/saddlestack/policy/cluster/isolation.py
+++ b/src/saddlestack/policy/cluster/isolation.py
@@ -15,7 +15,7 @@
 from saddlestack.policy.cluster.jobs import Run, StepState, Task
 from saddlestack.policy.cluster.places import ListedPlaces
 from saddlestack.policy.cluster.progress import remaining_s
-from saddlestack.policy.cluster.waiting import waits
+from saddlestack.policy.cluster.waiting import is_waiting
 from saddlestack.policy.cluster.workers import Worker
 from saddlestack.work import Resources
 
@@ -99,7 +99,7 @@
             return []
         if step.step.gang:
             return step.tasks if any(map(self._crashes.is_suspect, step.tasks)) else []
-        return [task for task in step.tasks if waits(task) and self._crashes.is_suspect(task)]
+        return [task for task in step.tasks if is_waiting(task) and self._crashes.is_suspect(task)]
 
     def is_counted(self, run: Run) -> bool:
         """Whether a run is of a task that may be started few times more."""
@@ -110,11 +110,11 @@
         return any(task.step is step for task in self._waits_since)
 
     def find(
-        self, tasks: Sequence[Task], able: Sequence[Worker], pool: ServicePool, now: float
+        self, tasks: Sequence[Task], eligible: Sequence[Worker], pool: ServicePool, now: float
     ) -> Isolated:
         """Where a task, or a whole gang, may be started alone.
 
-        :param able: workers that take the step's work; those that are kept are added, and those
+        :param eligible: workers that take the step's work; those that are kept are added, and those
             with room that is reserved for others are left out.
         """
         first = tasks[0]
@@ -125,8 +125,10 @@
         kept = _on_other_machines(tasks, kept)
         most = math.ceil(pool.workers / (IDLE_SHARE if pool.idle else SHARE))
         left = most - sum(1 for worker in serving if not _is_filled(worker))
-        able = _on_other_machines(tasks, [each for each in able if each.reserved == Resources()])
-        empty = [worker for worker in able if not worker.runs]
+        eligible = _on_other_machines(
+            tasks, [each for each in eligible if each.reserved == Resources()]
+        )
+        empty = [worker for worker in eligible if not worker.runs]
         likely = any(map(self._crashes.is_likely, tasks))
         if likely and self._is_running(step):
             return Isolated()
@@ -134,7 +136,7 @@
         if found:
             return self._take(first, found, now)
         if now - since_s > (IDLE_PATIENCE_S if pool.idle else PATIENCE_S):
-            found = self._least_at_stake(tasks, able, now)
+            found = self._least_at_stake(tasks, eligible, now)
             if found and left > 0:
                 return self._take(first, found, now)
             if found and not likely:
@@ -142,12 +144,12 @@
                 return Isolated(found, alone=False)
             return Isolated(keeps=likely)
         if left > 0 and not kept and pool.keeps:
-            self._keep(step, able, now)
+            self._keep(step, eligible, now)
         return Isolated()
 
     def _may_use(self, worker: Worker, step: StepState, now: float) -> bool:
         empty = not worker.runs and worker.takes_isolated(now) and not worker.suspected
-        proven = not step.needs_proof or now >= worker.probation_s
+        proven = not step.needs_proven_worker or now >= worker.probation_s
         return empty and proven and worker.matches(step.step)
 
     def _is_running(self, step: StepState) -> bool:
@@ -160,18 +162,18 @@
         if not step.step.gang:
             fitting = [worker for worker in workers if worker.copies(step, worker.free) > 0]
             return next(([each] for each in fitting if most > 0 or _fills(step, each)), [])
-        found = ListedPlaces(step, workers).gang() or []
+        found = ListedPlaces(step, workers).choose_gang() or []
         return found if len(set(found)) <= max(most, _least_workers(step, workers)) else []
 
     def _least_at_stake(
-        self, tasks: Sequence[Task], able: Sequence[Worker], now: float
+        self, tasks: Sequence[Task], eligible: Sequence[Worker], now: float
     ) -> list[Worker]:
         """Where the least work of others would be lost, apart from other suspects."""
         step = tasks[0].step
-        able = [worker for worker in able if not self._has_suspect(worker, now)]
+        eligible = [worker for worker in eligible if not self._has_suspect(worker, now)]
         if step.step.gang:
-            return ListedPlaces(step, able).gang() or []
-        fitting = [worker for worker in able if worker.copies(step, worker.free) > 0]
+            return ListedPlaces(step, eligible).choose_gang() or []
+        fitting = [worker for worker in eligible if worker.copies(step, worker.free) > 0]
         return sorted(fitting, key=lambda worker: _at_stake_s(worker, now))[:1]
 
     def _has_suspect(self, worker: Worker, now: float) -> bool:
@@ -187,10 +189,10 @@
             self._serving[worker] = now
         return Isolated(places)
 
-    def _keep(self, step: StepState, able: Sequence[Worker], now: float) -> None:
+    def _keep(self, step: StepState, eligible: Sequence[Worker], now: float) -> None:
         """Close the worker that is empty soonest to other work."""
         soonest = min(
-            (worker for worker in able if worker.most(step.step) > 0),
+            (worker for worker in eligible if worker.most(step.step) > 0),
             key=lambda worker: _empties_s(worker, now),
             default=None,
         )
@@ -200,7 +202,7 @@
 
 
 def _is_waiting(task: Task) -> bool:
-    return task.step.occurrence.open and waits(task)
+    return task.step.occurrence.open and is_waiting(task)
 
 
 def _on_other_machines(tasks: Sequence[Task], workers: Sequence[Worker]) -> list[Worker]:
@@ -245,6 +247,6 @@
 def _at_stake_s(worker: Worker, now: float) -> float:
     """Seconds of work, times accelerators, that would be lost with a worker."""
     return sum(
-        max(0.0, now - run.assigned_s) * max(1, run.room.accelerators)
+        max(0.0, now - run.assigned_s) * max(1, run.allocation.accelerators)
         for run in worker.runs.values()
     )
--- a/src/saddlestack/policy/cluster/jobs.py
+++ b/src/saddlestack/policy/cluster/jobs.py
@@ -39,7 +39,7 @@
     :param saved: the latest checkpoint that the worker reported.
     :param percent: of the work done, as the worker reported; a lasting task works at 100.
     :param reported_s: when it said so, on the board's clock.
-    :param moved_s: when it first said so, on the board's clock; ``None`` before it said anything.
+    :param progressed_s: when it first did, on the board's clock; ``None`` before it said anything.
     :param figure: the worker's figure of the last half second.
     :param pace: the share of full speed that it was last ordered to work at.
     :param address: where that life of the worker was reached when it was given the run, or has
@@ -49,7 +49,7 @@
     task: Task
     number: int
     worker_id: str
-    room: Resources
+    allocation: Resources
     assigned_s: float
     inherited: bool = False
     ordered_s: float | None = None
@@ -62,7 +62,7 @@
     saved: str = ""
     percent: int = 0
     reported_s: float = 0.0
-    moved_s: float | None = None
+    progressed_s: float | None = None
     figure: float = 0.0
     pace: int = 100
     address: str = ""
@@ -93,11 +93,11 @@
 class StepState:
     """One step of one occurrence.
 
-    :param avoids: whether a task of it has failed somewhere, so that it goes elsewhere.
+    :param has_avoided_workers: whether a task failed on some worker and avoids it.
     :param shapes: the numbers of its shapes, once they were asked for.
     :param moves: how often it was begun again elsewhere since it stood still.
-    :param waits_since_s: when one of its tasks was first to be started, on the board's clock.
-    :param standing_since_s: since when it has had tasks to start and none that began, on the same.
+    :param waiting_since_s: when one of its tasks was first to be started, on the board's clock.
+    :param stalled_since_s: since when it has had tasks to start and none that began, on the same.
     :param preempts_since_s: since when room has been reserved for it, on the same; kept while one
         reservation follows another, until a task of it is assigned.
     :param times_delayed: how often since then runs that it had lent room had to be stopped.
@@ -109,11 +109,11 @@
     record: StepRecord
     tasks: list[Task]
     done: int = 0
-    avoids: bool = False
+    has_avoided_workers: bool = False
     shapes: StepShapes | None = None
     moves: int = 0
-    waits_since_s: float | None = None
-    standing_since_s: float | None = None
+    waiting_since_s: float | None = None
+    stalled_since_s: float | None = None
     preempts_since_s: float | None = None
     times_delayed: int = 0
     advice: StepAdvice = field(default_factory=StepAdvice)
@@ -130,14 +130,14 @@
 
     def waited_s(self, now: float) -> float:
         """For how long a task of it has waited since the first one did."""
-        return 0.0 if self.waits_since_s is None else now - self.waits_since_s
+        return 0.0 if self.waiting_since_s is None else now - self.waiting_since_s
 
-    def stood_s(self, now: float) -> float:
+    def stalled_s(self, now: float) -> float:
         """For how long it has had tasks to start without a break."""
-        return 0.0 if self.standing_since_s is None else now - self.standing_since_s
+        return 0.0 if self.stalled_since_s is None else now - self.stalled_since_s
 
     @property
-    def may_stop(self) -> int | None:
+    def disruption_budget(self) -> int | None:
         """Tasks that may be taken away now; ``None`` where nothing limits them."""
         if not self.step.may_miss:
             return None
@@ -152,20 +152,20 @@
         return max(task.record.failures for task in self.tasks)
 
     @property
-    def on_last_try(self) -> bool:
+    def on_last_attempt(self) -> bool:
         """Whether its job fails with its next failure."""
         if self.step.long_running or not self.failures:
             return False
         return self.failures + 1 >= self.occurrence.job.accepted.attempts
 
     @property
-    def needs_proof(self) -> bool:
+    def needs_proven_worker(self) -> bool:
         """Whether it goes to no worker that is on probation."""
         top = self.occurrence.job.priority == TOP_PRIORITY
-        return self.step.gang or top or self.on_last_try
+        return self.step.gang or top or self.on_last_attempt
 
     @property
-    def fails_for_good(self) -> bool:
+    def next_failure_is_final(self) -> bool:
         """Whether its job fails with its next failure, the first one included."""
         if self.step.long_running:
             return False
@@ -228,16 +228,16 @@
 class Job:
     """A job that was accepted.
 
-    :param shown: its state as far as the store has it; what clients are told.
-    :param over_s: since when it is known to be over, on the board's clock.
+    :param published_state: its state as far as the store has it; what clients are told.
+    :param over_since_s: since when it is known to be over, on the board's clock.
     """
 
     accepted: AcceptedJob
     occurrences: list[Occurrence] = field(default_factory=list)
     cancelled: bool = False
     begun: bool = False
-    shown: JobState = JobState.QUEUED
-    over_s: float | None = None
+    published_state: JobState = JobState.QUEUED
+    over_since_s: float | None = None
 
     @property
     def job_id(self) -> str:
@@ -278,7 +278,7 @@
     @property
     def settled(self) -> bool:
         """Whether it is shown as over and nothing of it is present anywhere."""
-        if self.shown not in FINAL_STATES:
+        if self.published_state not in FINAL_STATES:
             return False
         return next(self.runs(), None) is None
 
@@ -312,7 +312,7 @@
     for number in range(accepted.request.occurrences):
         job.occurrences.append(_occurrence(job, number, records.get(number)))
     job.begun = bool(records)
-    job.shown = job.state
+    job.published_state = job.state
     return job
 
 
--- a/src/saddlestack/policy/cluster/lending.py
+++ b/src/saddlestack/policy/cluster/lending.py
@@ -16,13 +16,13 @@
 from saddlestack.policy.cluster.jobs import Run, StepState
 from saddlestack.policy.cluster.reservations import Reservation
 
-LONGEST_STOP_S = 5.0
+DEFAULT_STOP_S = 5.0
 """Runs are expected to take this long to stop until one has."""
-LATE_S = 0.4
+LOAN_GRACE_S = 0.4
 """A run that was lent room may be expected to end so much later than the stops."""
-MOST_DELAYS = 2
+MAX_DELAYS = 2
 """A step that was delayed so often by runs that it had lent room lends none any more."""
-REMEMBERED = 16
+MAX_SAMPLES = 16
 """So many of the last stops, and of the last runs of a queue, are remembered."""
 
 
@@ -30,7 +30,7 @@
     """What is known of how long runs take, and what may be lent room by it."""
 
     def __init__(self) -> None:
-        self._stops_s: deque[float] = deque(maxlen=REMEMBERED)
+        self._stops_s: deque[float] = deque(maxlen=MAX_SAMPLES)
         self._runs_s: dict[str, deque[float]] = {}
 
     def note_stopped(self, run: Run, now: float) -> None:
@@ -41,7 +41,7 @@
     def note_done(self, run: Run, now: float) -> None:
         """A run has ended well."""
         if run.started_s is not None:
-            known = self._runs_s.setdefault(_queue(run.task.step), deque(maxlen=REMEMBERED))
+            known = self._runs_s.setdefault(_queue(run.task.step), deque(maxlen=MAX_SAMPLES))
             known.append(now - run.started_s)
 
     def lenders(
@@ -55,7 +55,7 @@
         closed: set[str] = set()
         for each in held:
             is_open = each.step is not step and (each.awaits_stops or known_s is not None)
-            fits = is_open and takes_s < self._left_s(each, now) + LATE_S
+            fits = is_open and takes_s < self._left_s(each, now) + LOAN_GRACE_S
             (lending if fits else closed).update(worker.worker_id for worker in each.places)
         return frozenset(lending - closed)
 
@@ -69,13 +69,13 @@
 
     def _seen_s(self, step: StepState, held: Iterable[Reservation], now: float) -> float:
         """How long runs of a step's queue have taken so far that were lent room."""
-        lent = (run for each in held for run in each.lent)
+        lent = (run for each in held for run in each.borrowers)
         alike = (run for run in lent if _queue(run.task.step) == _queue(step))
         return max((now - run.assigned_s for run in alike), default=0.0)
 
     def _left_s(self, held: Reservation, now: float) -> float:
         """For how long a reservation may lend yet: until its stops are through, within bounds."""
-        if held.step.times_delayed >= MOST_DELAYS:
+        if held.step.times_delayed >= MAX_DELAYS:
             return -math.inf
         return max((self._stop_left_s(run, now) for run in held.stopping), default=-math.inf)
 
@@ -86,7 +86,7 @@
         takes twice as long as any before is expected to take as long again.
         """
         elapsed_s = 0.0 if run.awaited_s is None else now - run.awaited_s
-        stops_s = self._stops_s or (LONGEST_STOP_S,)
+        stops_s = self._stops_s or (DEFAULT_STOP_S,)
         if elapsed_s > 2 * max(stops_s):
             return elapsed_s
         longer_s = [stop_s for stop_s in stops_s if stop_s > elapsed_s]
--- a/src/saddlestack/policy/cluster/patience.py
+++ b/src/saddlestack/policy/cluster/patience.py
@@ -9,7 +9,7 @@
 
 import math
 
-from saddlestack.policy.cluster.index import ServiceRooms
+from saddlestack.policy.cluster.index import ServiceCapacity
 from saddlestack.policy.cluster.jobs import StepState
 from saddlestack.policy.standstill import ROOM_FACTOR
 
@@ -26,23 +26,23 @@
 stops holds the reservation's step up, so most reservations are over before they lend anything."""
 
 
-def is_idle(rooms: ServiceRooms) -> bool:
+def is_idle(service_capacity: ServiceCapacity) -> bool:
     """Whether under half of a service's workers is in use, those of evacuated halls among them.
 
     Workers that do not answer, or are in no list, may be gone with all that counts as running
     there, or serve on: the pool counts as idle where it is so with them or without.
     """
-    return rooms.all.mostly_free or rooms.present.mostly_free
+    return service_capacity.all.is_mostly_free or service_capacity.present.is_mostly_free
 
 
-def is_impatient(rooms: ServiceRooms, stood_s: float) -> bool:
+def is_impatient(service_capacity: ServiceCapacity, stood_s: float) -> bool:
     """Whether work beside an idle pool has waited for a better place for long enough."""
-    return stood_s > IDLE_PATIENCE_S and is_idle(rooms)
+    return stood_s > IDLE_PATIENCE_S and is_idle(service_capacity)
 
 
 def borrows_from_s(step: StepState) -> float:
     """When a step beside an idle pool may be lent reserved room, on the board's clock."""
-    since_s = step.standing_since_s
+    since_s = step.stalled_since_s
     return math.inf if since_s is None else since_s + LENDING_PATIENCE_S
 
 
--- a/src/saddlestack/policy/cluster/placement.py
+++ b/src/saddlestack/policy/cluster/placement.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable, Iterable, Iterator, Sequence
 
-from saddlestack.policy.cluster.awaited import Awaited, AwaitedRack
 from saddlestack.policy.cluster.jobs import StepState
+from saddlestack.policy.cluster.releasable import ReleasableRack, ReleasableWorker
 from saddlestack.policy.cluster.workers import Worker
 from saddlestack.work import Resources
 
@@ -21,11 +21,11 @@
     """
     if not step.step.same_rack:
         return [_near_first(step, workers)]
-    able = _able_racks(step, workers)
-    if not able:
+    eligible = _able_racks(step, workers)
+    if not eligible:
         return [_near_first(step, workers)]
     near = step.step.data_rack
-    return sorted(able, key=lambda rack: rack[0].record.rack != near)
+    return sorted(eligible, key=lambda rack: rack[0].record.rack != near)
 
 
 def whole_racks(step: StepState, workers: Iterable[Worker]) -> list[Worker]:
@@ -74,23 +74,23 @@
     best_key: tuple[bool, float] | None = None
     near = step.step.data_rack
     for domain in domains(step, workers):
-        awaited = AwaitedRack.of(_awaited(step, domain))
-        needed = awaited.needed(step.step.count)
+        releasable = ReleasableRack.of(_releasable(step, domain))
+        needed = releasable.workers_needed(step.step.count)
         if needed is None:
             continue
-        chosen = [each.worker for each in awaited.workers[:needed]]
-        key = (bool(near) and chosen[0].record.rack != near, awaited.weights[needed - 1])
+        chosen = [each.worker for each in releasable.workers[:needed]]
+        key = (bool(near) and chosen[0].record.rack != near, releasable.weights[needed - 1])
         if best_key is None or key < best_key:
             best, best_key = chosen, key
     return best
 
 
-def _awaited(step: StepState, workers: Iterable[Worker]) -> Iterator[Awaited]:
+def _releasable(step: StepState, workers: Iterable[Worker]) -> Iterator[ReleasableWorker]:
     for worker in workers:
         lower = worker.lower_work(step.occurrence.job.priority)
         copies = worker.copies(step, worker.free + lower)
         if copies > 0:
-            yield Awaited.of(worker, lower, copies)
+            yield ReleasableWorker.of(worker, lower, copies)
 
 
 def place_task(step: StepState, workers: Iterable[Worker], copies: Copies) -> Worker | None:
@@ -116,25 +116,25 @@
 
 
 def _fill(wanted: int, domain: Sequence[Worker], copies: Copies) -> list[Worker] | None:
-    able = [(worker, count) for worker in domain if (count := copies(worker)) > 0]
-    if sum(count for _, count in able) < wanted:
+    eligible = [(worker, count) for worker in domain if (count := copies(worker)) > 0]
+    if sum(count for _, count in eligible) < wanted:
         return None
-    able.sort(key=lambda pair: _tightness(pair[0].free))
-    return fill_one_hall(able, wanted)
+    eligible.sort(key=lambda pair: _tightness(pair[0].free))
+    return fill_one_hall(eligible, wanted)
 
 
-def fill_one_hall(able: Iterable[tuple[Worker, int]], wanted: int) -> list[Worker] | None:
+def fill_one_hall(eligible: Iterable[tuple[Worker, int]], wanted: int) -> list[Worker] | None:
     """A worker for each task of a gang, in one data hall if that opens no more empty workers.
 
     A gang that lies in several halls is lost with each of them: on a pool of five halls seven wide
     ones, 42,000 core-seconds, were stopped when one hall was cut off for longer than its workers'
     leases. On a pool of 24 workers gangs that opened empty ones for it cost 0.04 of a calm day.
 
-    :param able: workers and how many tasks each holds, the fullest first.
+    :param eligible: workers and how many tasks each holds, the fullest first.
     """
     chosen: list[Worker] = []
     by_hall: dict[str, list[Worker]] = {}
-    for worker, copies in able:
+    for worker, copies in eligible:
         chosen += [worker] * min(copies, wanted - len(chosen))
         hall = by_hall.setdefault(worker.record.data_hall, [])
         hall += [worker] * min(copies, wanted - len(hall))
--- a/src/saddlestack/policy/cluster/places.py
+++ b/src/saddlestack/policy/cluster/places.py
@@ -6,8 +6,7 @@
 from collections.abc import Callable, Container, Iterable, Iterator, Sequence
 from typing import Protocol
 
-from saddlestack.policy.cluster.awaited import AwaitedRack
-from saddlestack.policy.cluster.fits import FitRooms
+from saddlestack.policy.cluster.fits import FitCapacity
 from saddlestack.policy.cluster.index import Rack
 from saddlestack.policy.cluster.jobs import StepState
 from saddlestack.policy.cluster.placement import (
@@ -18,27 +17,28 @@
     place_task,
     soonest,
 )
+from saddlestack.policy.cluster.releasable import ReleasableRack
 from saddlestack.policy.cluster.workers import Worker
 from saddlestack.work import Resources
 
-RACKS_SEARCHED = 32
+MAX_RACKS_SEARCHED = 32
 """Racks that are searched for what to stop: all of a pool of 640 workers, 20 a rack, and a bound
 for larger ones."""
-WORKERS_SEARCHED = 160
+MAX_WORKERS_SEARCHED = 160
 """Workers that are searched where the tasks may lie in several racks, and no more are needed."""
 
-Kept = Callable[[Worker], bool]
+IsKept = Callable[[Worker], bool]
 """Whether a worker is kept for others."""
 
 
-class Room(Protocol):
+class WorkerChoice(Protocol):
     """Workers that a step's tasks may go to now."""
 
-    def gang(self) -> list[Worker] | None:
+    def choose_gang(self) -> list[Worker] | None:
         """A worker for each task of a gang, or ``None`` where it does not fit whole."""
         ...
 
-    def task(self, avoid: set[str]) -> Worker | None:
+    def choose_worker(self, avoid: set[str]) -> Worker | None:
         """The worker for one task.
 
         :param avoid: workers on which it failed; they get it only where no other could hold it.
@@ -46,7 +46,7 @@
         ...
 
 
-class Places(Room, Protocol):
+class Places(WorkerChoice, Protocol):
     """The workers that a step's tasks may go to."""
 
     def soonest(self) -> Sequence[Worker]:
@@ -68,12 +68,12 @@
         self._step = step
         self._workers = workers
 
-    def gang(self) -> list[Worker] | None:
-        """See :meth:`Places.gang`."""
+    def choose_gang(self) -> list[Worker] | None:
+        """See :meth:`Places.choose_gang`."""
         return place_gang(self._step, self._workers, _free_copies(self._step))
 
-    def task(self, avoid: set[str]) -> Worker | None:
-        """See :meth:`Places.task`."""
+    def choose_worker(self, avoid: set[str]) -> Worker | None:
+        """See :meth:`Places.choose_worker`."""
         fresh = [worker for worker in self._workers if worker.worker_id not in avoid]
         others = any(worker.most(self._step.step) > 0 for worker in fresh)
         return place_task(self._step, fresh if others else self._workers, _free_copies(self._step))
@@ -98,33 +98,33 @@
     """
 
     def __init__(
-        self, step: StepState, fits: FitRooms, kept: Kept | None, *, spread: bool = False
+        self, step: StepState, fits: FitCapacity, kept: IsKept | None, *, spread: bool = False
     ) -> None:
         self._step = step
         self._fits = fits
         self._kept = kept
-        self._rooms = fits.rooms
+        self._service_capacity = fits.service_capacity
         wants_rack = step.step.same_rack and not spread
         self._in_rack = wants_rack and fits.most >= step.step.count
 
-    def gang(self) -> list[Worker] | None:
-        """See :meth:`Places.gang`."""
+    def choose_gang(self) -> list[Worker] | None:
+        """See :meth:`Places.choose_gang`."""
         if not self._in_rack:
             return self._spread()
         for rack in self._near():
             places = place_gang(self._step, self._open(rack), _free_copies(self._step))
             if places is not None:
                 return places
-        able = list(self._fits.holding(self._step.step.count))
-        able.sort(key=lambda rack: (self._free(rack), rack.number))
-        for rack in able:
+        eligible = list(self._fits.holding(self._step.step.count))
+        eligible.sort(key=lambda rack: (self._free(rack), rack.number))
+        for rack in eligible:
             places = place_gang(self._step, self._open(rack), _free_copies(self._step))
             if places is not None:
                 return places
         return None
 
-    def task(self, avoid: set[str]) -> Worker | None:
-        """See :meth:`Places.task`."""
+    def choose_worker(self, avoid: set[str]) -> Worker | None:
+        """See :meth:`Places.choose_worker`."""
         found = self._task(avoid)
         if found is None and avoid and not self._has_other(avoid):
             return self._task(set())
@@ -151,33 +151,33 @@
         for number, fit in enumerate(self._fits.racks):
             if fit.most < wanted:
                 continue
-            awaited = self._awaited(self._rooms.racks[number], priority)
-            needed = awaited.needed(wanted)
+            releasable = self._releasable(self._service_capacity.racks[number], priority)
+            needed = releasable.workers_needed(wanted)
             if needed is None:
                 continue
-            key = (number not in near, awaited.weights[needed - 1])
+            key = (number not in near, releasable.weights[needed - 1])
             if best is None or key < best:
-                best, workers = key, [each.worker for each in awaited.workers[:needed]]
+                best, workers = key, [each.worker for each in releasable.workers[:needed]]
         return workers
 
     def domains(self, wanted: int) -> Iterable[Sequence[Worker]]:
         """See :meth:`Places.domains`.
 
         Those come first where the least work of lower priority holds the room, and no more than
-        :data:`RACKS_SEARCHED` racks or :data:`WORKERS_SEARCHED` workers are named.
+        :data:`MAX_RACKS_SEARCHED` racks or :data:`MAX_WORKERS_SEARCHED` workers are named.
         """
         if not self._in_rack:
             return [self._cheapest_workers(wanted)]
         near = {rack.number for rack in self._near()}
-        racks = [rack for rack in self._rooms.racks if self._may_hold(rack)]
+        racks = [rack for rack in self._service_capacity.racks if self._may_hold(rack)]
         racks.sort(key=lambda rack: (rack.number not in near, self._lower_weight(rack, wanted)))
-        return [self._open(rack) for rack in racks[:RACKS_SEARCHED]]
+        return [self._open(rack) for rack in racks[:MAX_RACKS_SEARCHED]]
 
     def _lower_weight(self, rack: Rack, wanted: int) -> float:
         """Cores of lower work that has to end so that so many tasks fit in a rack."""
-        awaited = self._awaited(rack, self._step.occurrence.job.priority)
-        needed = awaited.needed(wanted)
-        return math.inf if needed is None else awaited.weights[needed - 1]
+        releasable = self._releasable(rack, self._step.occurrence.job.priority)
+        needed = releasable.workers_needed(wanted)
+        return math.inf if needed is None else releasable.weights[needed - 1]
 
     def _cheapest_workers(self, wanted: int) -> list[Worker]:
         """Workers where the least lower work a task would have to end.
@@ -189,7 +189,7 @@
             chosen: list[Worker] = []
             missing = wanted
             for each in self._fits.soonest(level):
-                if missing <= 0 and len(chosen) >= WORKERS_SEARCHED:
+                if missing <= 0 and len(chosen) >= MAX_WORKERS_SEARCHED:
                     break
                 chosen.append(each.worker)
                 missing -= each.copies
@@ -199,7 +199,11 @@
 
     def _near(self) -> list[Rack]:
         """The rack near the step's data, if there is one."""
-        rack = self._rooms.rack(self._step.step.data_rack) if self._step.step.data_rack else None
+        rack = (
+            self._service_capacity.rack(self._step.step.data_rack)
+            if self._step.step.data_rack
+            else None
+        )
         return [] if rack is None else [rack]
 
     def _open(self, rack: Rack) -> list[Worker]:
@@ -220,10 +224,10 @@
     def _tightest(self) -> Iterator[Worker]:
         """Workers that hold one task or more, the fullest first."""
         room = self._step.step.room
-        for worker in self._rooms.tightest(room.accelerators, room.cpu):
+        for worker in self._service_capacity.tightest_first(room.accelerators, room.cpu):
             if self._kept is not None and self._kept(worker):
                 continue
-            if self._fits.open_to(worker) and worker.fitting(room, worker.free) > 0:
+            if self._fits.allows(worker) and worker.fitting(room, worker.free) > 0:
                 yield worker
 
     def _spread(self) -> list[Worker] | None:
@@ -231,22 +235,22 @@
         if self._fits.total < wanted:
             return None
         room = self._step.step.room
-        able = ((worker, worker.fitting(room, worker.free)) for worker in self._tightest())
-        return fill_one_hall(able, wanted)
+        eligible = ((worker, worker.fitting(room, worker.free)) for worker in self._tightest())
+        return fill_one_hall(eligible, wanted)
 
     def _has_other(self, avoid: set[str]) -> bool:
         """Whether another worker could hold a task, if it were empty."""
         return any(
             worker.worker_id not in avoid and worker.most(self._step.step) > 0
-            for rack in self._rooms.racks
+            for rack in self._service_capacity.racks
             for worker in self._open(rack)
         )
 
-    def _awaited(self, rack: Rack, priority: int) -> AwaitedRack:
-        awaited = self._fits.awaited(rack, priority)
-        if self._kept is None or not any(self._kept(each.worker) for each in awaited.workers):
-            return awaited
-        return AwaitedRack.of(each for each in awaited.workers if not self._kept(each.worker))
+    def _releasable(self, rack: Rack, priority: int) -> ReleasableRack:
+        releasable = self._fits.releasable(rack, priority)
+        if self._kept is None or not any(self._kept(each.worker) for each in releasable.workers):
+            return releasable
+        return ReleasableRack.of(each for each in releasable.workers if not self._kept(each.worker))
 
     def _soonest_spread(self, priority: int) -> Sequence[Worker]:
         missing = self._step.step.count
@@ -261,7 +265,7 @@
         return ()
 
 
-class AnyPlaces:
+class LastResortPlaces:
     """Workers that answer, whatever failed there lately: for work that stalls.
 
     Those that other work may go to as well come first, those in quarantine last; among equals those
@@ -278,20 +282,20 @@
             (worker, worker.room_for(step, reserved=worker.worker_id in lenders))
             for worker in workers
         ]
-        able = [(worker, copies) for worker, copies in found if copies > 0]
-        self._able = sorted(able, key=lambda pair: _last_resort(pair[0], now))
+        eligible = [(worker, copies) for worker, copies in found if copies > 0]
+        self._able = sorted(eligible, key=lambda pair: _last_resort(pair[0], now))
 
     @property
     def copies(self) -> int:
         """Tasks of the step that fit there."""
         return sum(copies for _, copies in self._able)
 
-    def gang(self) -> list[Worker] | None:
-        """See :meth:`Places.gang`; it goes to several racks as well."""
+    def choose_gang(self) -> list[Worker] | None:
+        """See :meth:`Places.choose_gang`; it goes to several racks as well."""
         return fill_one_hall(self._able, self._step.step.count)
 
-    def task(self, avoid: set[str]) -> Worker | None:
-        """See :meth:`Places.task`."""
+    def choose_worker(self, avoid: set[str]) -> Worker | None:
+        """See :meth:`Places.choose_worker`."""
         workers = [worker for worker, _ in self._able]
         fresh = [worker for worker in workers if worker.worker_id not in avoid]
         return next(iter(fresh or workers), None)
--- a/src/saddlestack/policy/cluster/queue.py
+++ b/src/saddlestack/policy/cluster/planner.py
@@ -11,7 +11,7 @@
 from saddlestack.policy.cluster.caution import Caution
 from saddlestack.policy.cluster.crashes import Crashes
 from saddlestack.policy.cluster.headroom import may_open
-from saddlestack.policy.cluster.index import RoomIndex
+from saddlestack.policy.cluster.index import CapacityIndex
 from saddlestack.policy.cluster.isolation import Isolated, Isolation, ServicePool
 from saddlestack.policy.cluster.jobs import TOP_PRIORITY, Job, Run, StepState, Task
 from saddlestack.policy.cluster.lending import Lending
@@ -21,75 +21,81 @@
 )
 from saddlestack.policy.cluster.placement import whole_racks
 from saddlestack.policy.cluster.places import (
-    Kept,
+    IsKept,
     ListedPlaces,
     Places,
-    Room,
+    WorkerChoice,
 )
-from saddlestack.policy.cluster.pool import Pool
+from saddlestack.policy.cluster.planner_context import PlannerContext
 from saddlestack.policy.cluster.preemption import Preemptor
 from saddlestack.policy.cluster.reservations import (
     Reservation,
     Reservations,
-    is_due_back,
+    is_loan_due,
     is_overdue,
 )
-from saddlestack.policy.cluster.shapes import Misses, Shape, Shapes, StepShapes
+from saddlestack.policy.cluster.shapes import FailedShapes, Shape, ShapeNumbers, StepShapes
 from saddlestack.policy.cluster.stalled import Stalled
-from saddlestack.policy.cluster.waiting import Waiting, may_start, waits
+from saddlestack.policy.cluster.waiting import WaitingSteps, is_waiting, may_start
 from saddlestack.policy.cluster.workers import Worker
 
-STARTS_A_ROUND = 400
+MAX_STARTS_PER_ROUND = 400
 """A round decides no more, by whole steps. Deciding and ordering a start takes 0.1 to 0.15 ms of a
 core: a new leader of 3,000 workers with a backlog of 11,000 tasks held its process for over a
 second, longer than its lease. So bounded it holds it for 0.06 s, 0.2 s on a third of a core."""
-ISOLATED_A_ROUND = 20
+MAX_ISOLATED_PER_ROUND = 20
 """For so many tasks or gangs that are to be alone a round looks at all workers."""
 
 
 class Planner:
     """Goes through the waiting work of all jobs in order and gives it workers."""
 
-    def __init__(self, board: Pool, index: RoomIndex, caution: Caution, crashes: Crashes) -> None:
-        self._board = board
+    def __init__(
+        self,
+        cluster_state: PlannerContext,
+        index: CapacityIndex,
+        caution: Caution,
+        crashes: Crashes,
+    ) -> None:
+        self._cluster_state = cluster_state
         self._index = index
-        self._caution = caution
+        self._worker_preferences = caution
         self._isolation = Isolation(crashes)
         self._isolated: set[Task] = set()
-        self._waiting = Waiting()
+        self._waiting = WaitingSteps()
         self._reservations = Reservations()
         self._lending = Lending()
         self._backfill = Backfill()
-        self._candidates = Candidates(board, index, self._backfill, self._is_open)
-        self._misses = Misses()
-        self._stalled = Stalled(board, self._candidates, self._reservations, self._lending)
-        self._shapes = Shapes()
+        self._candidates = Candidates(cluster_state, index, self._backfill, self._is_open)
+        self._failed_shapes = FailedShapes()
+        self._stalled = Stalled(cluster_state, self._candidates, self._reservations, self._lending)
+        self._shapes = ShapeNumbers()
         self._started = 0
         self._sought_alone = 0
 
     @property
-    def borrows_s(self) -> float | None:
+    def next_loan_s(self) -> float | None:
         """When work that waits may next be lent reserved room, on the board's clock."""
-        return self._stalled.borrows_s
+        return self._stalled.next_loan_s
 
     def add(self, job: Job) -> None:
         """A job with work left."""
         self._waiting.add(job)
 
-    def returned(self, step: StepState, *, ran: bool) -> None:
+    def requeue(self, step: StepState, *, ran: bool) -> None:
         """A task of a step waits again.
 
         :param ran: whether its run may have begun.
         """
-        self._waiting.returned(step, ran=ran)
+        self._waiting.requeue(step, ran=ran)
 
-    def finished(self, step: StepState) -> None:
+    def step_finished(self, step: StepState) -> None:
         """Tasks of a step are done; what it reserved is given up."""
         if step.finished:
             self._release(step)
-            self._waiting.finished(step)
+            self._waiting.step_finished(step)
 
-    def ended(self, run: Run, how: EndKind, now: float) -> None:
+    def run_ended(self, run: Run, how: EndKind, now: float) -> None:
         """A run is over, as its worker tells."""
         if how is EndKind.STOPPED:
             self._lending.note_stopped(run, now)
@@ -105,36 +111,36 @@
         self._sought_alone = 0
         self._stalled.begin()
         self._backfill.clear()
-        self._misses.clear()
-        self._reservations.release_stale(now)
+        self._failed_shapes.clear()
+        self._reservations.release_expired(now)
         self._isolation.refresh(now)
-        entitled = self._waiting.entitled(self._board.guaranteed)
+        entitled = self._waiting.entitled(self._cluster_state.guaranteed)
         for step in self._waiting.in_order(now, wall_ms, entitled):
-            if self._started >= STARTS_A_ROUND:
+            if self._started >= MAX_STARTS_PER_ROUND:
                 return True
             self._place(step, entitled, now)
         return False
 
     # What a diagnosis reads
 
-    def kept_from(self, step: StepState) -> Kept | None:
+    def kept_from(self, step: StepState) -> IsKept | None:
         """Tells workers that were kept from a step in the last round; ``None`` for none."""
-        with self._index.as_it_was():
+        with self._index.without_refresh():
             return self._candidates.kept(step)
 
-    def waits_near(self, step: StepState, now: float) -> bool:
+    def waits_near_data(self, step: StepState, now: float) -> bool:
         """Whether a step waits for a place near its data."""
-        with self._index.as_it_was():
+        with self._index.without_refresh():
             return bool(step.step.data_rack) and prefers_near(step, now)
 
     def reserved_until(self, step: StepState) -> float | None:
         """How long room is being made for a step at most; ``None`` where none is."""
         reservation = self._reservations.of(step)
-        return None if reservation is None else reservation.until_s
+        return None if reservation is None else reservation.expires_s
 
     def may_open(self, step: StepState, places: list[Worker], now: float) -> bool:
         """Whether the headroom that the last round has left lets a step go to some workers."""
-        with self._index.as_it_was():
+        with self._index.without_refresh():
             return self._may_open(step, places, now)
 
     # Placing
@@ -142,13 +148,13 @@
     def _place(self, step: StepState, entitled: set[str], now: float) -> None:
         top = step.occurrence.job.priority == TOP_PRIORITY
         shape = self._shape(step, now)
-        full = shape in self._misses.full
+        full = shape in self._failed_shapes.full
         if not may_start(step):
             self._waiting.remove(step)
             return
         if not self._isolate(step, now):
             return
-        hopeless = full or self._misses.is_shut(shape, step.waited_s(now))
+        hopeless = full or self._failed_shapes.is_shut(shape, step.waited_s(now))
         if hopeless and not top:
             if not self._place_anywhere(step, now):
                 self._keep_for(step, shape, now)
@@ -181,35 +187,37 @@
         self._release(step)
         self._isolated.update(suspects)
         pool = self._service_pool(step)
-        able = self._able_alone(step, now) if self._sought_alone < ISOLATED_A_ROUND else []
+        eligible = (
+            self._able_alone(step, now) if self._sought_alone < MAX_ISOLATED_PER_ROUND else []
+        )
         for tasks in [suspects] if step.step.gang else [[task] for task in suspects]:
             self._sought_alone += 1
-            if self._sought_alone > ISOLATED_A_ROUND:
+            if self._sought_alone > MAX_ISOLATED_PER_ROUND:
                 break
-            found = self._isolation.find(tasks, able, pool, now)
+            found = self._isolation.find(tasks, eligible, pool, now)
             if found.places:
                 self._assign_apart(tasks, found, now)
-                able = [worker for worker in able if not worker.isolating]
+                eligible = [worker for worker in eligible if not worker.isolating]
             elif not found.keeps:
                 self._isolated.difference_update(tasks)
         return any(self._is_open(task) for task in step.tasks)
 
     def _service_pool(self, step: StepState) -> ServicePool:
-        rooms = self._candidates.rooms(step)
+        service_capacity = self._candidates.service_capacity(step)
         job = step.occurrence.job
         return ServicePool(
-            self._board.service_of(job),
-            rooms.count,
-            is_idle(rooms),
-            not self._board.is_advised(job),
+            self._cluster_state.service_of(job),
+            service_capacity.count,
+            is_idle(service_capacity),
+            not self._cluster_state.is_advised(job),
         )
 
     def _able_alone(self, step: StepState, now: float) -> list[Worker]:
         """Workers that a step's tasks may go to whatever they prefer."""
-        able = self._candidates.able(self._candidates.fit(step), now)
-        if self._board.is_advised(step.occurrence.job):
-            able = self._candidates.with_leave(step, able, now)
-        return able
+        eligible = self._candidates.eligible(self._candidates.fit(step), now)
+        if self._cluster_state.is_advised(step.occurrence.job):
+            eligible = self._candidates.with_approval(step, eligible, now)
+        return eligible
 
     def _assign_apart(self, tasks: Sequence[Task], found: Isolated, now: float) -> None:
         number = max(task.record.run for task in tasks) + 1
@@ -220,25 +228,25 @@
 
     def _is_open(self, task: Task) -> bool:
         """Whether a task is to be started where others may be."""
-        return waits(task) and task not in self._isolated
+        return is_waiting(task) and task not in self._isolated
 
-    def isolates(self, step: StepState) -> bool:
+    def awaits_isolation(self, step: StepState) -> bool:
         """Whether tasks of a step wait to be started alone."""
         return self._isolation.is_waited_for(step)
 
     def _keep_for(self, step: StepState, shape: int | None, now: float) -> None:
         """Keep the workers where a gang fits soonest; once for those of a shape."""
-        if not step.step.gang or self._backfill.is_full or self._misses.is_kept(shape):
+        if not step.step.gang or self._backfill.is_full or self._failed_shapes.is_kept(shape):
             return
-        self._misses.note_kept(shape)
+        self._failed_shapes.note_kept(shape)
         soonest = self._candidates.places(step, now).soonest()
         self._backfill.keep(soonest, step.occurrence.job.priority)
 
     def _place_with_caution(self, step: StepState, now: float) -> bool:
         """Place a step on workers that it had better go to, if there are such and it fits."""
-        for preferred in self._caution.preferences(step, now):
-            able = self._candidates.listed(step, now)
-            chosen = [worker for worker in able if preferred(worker)]
+        for preferred in self._worker_preferences.preferences(step, now):
+            eligible = self._candidates.listed(step, now)
+            chosen = [worker for worker in eligible if preferred(worker)]
             if step.step.gang and step.step.same_rack:
                 chosen = whole_racks(step, chosen)
             if chosen and self._place_on(step, None, ListedPlaces(step, chosen), now):
@@ -252,20 +260,20 @@
         what failed lately on workers. Of tasks that run alone one is placed, so that the others
         still get the better places.
         """
-        rooms = self._stalled.rooms(step, now)
-        return any(self._place_first(step, room, now) for room in rooms)
+        service_capacity = self._stalled.choices(step, now)
+        return any(self._place_first(step, room, now) for room in service_capacity)
 
-    def _place_first(self, step: StepState, room: Room, now: float) -> bool:
+    def _place_first(self, step: StepState, room: WorkerChoice, now: float) -> bool:
         """Place a gang, or one task that runs alone."""
         if step.step.gang:
-            chosen = room.gang()
+            chosen = room.choose_gang()
             if chosen is None:
                 return False
             self._release(step)
             self._assign_gang(step, chosen, now)
             return True
         for task in step.tasks:
-            worker = room.task(task.avoid) if self._is_open(task) else None
+            worker = room.choose_worker(task.avoid) if self._is_open(task) else None
             if worker is not None:
                 self._assign(task, worker, task.record.run + 1, now)
                 return True
@@ -278,11 +286,11 @@
 
     def _shape(self, step: StepState, now: float) -> int | None:
         """What decides whether a step fits; ``None`` where more does than its shape."""
-        if self._board.is_advised(step.occurrence.job):
+        if self._cluster_state.is_advised(step.occurrence.job):
             return None
-        if not step.step.gang and (step.step.per_worker or step.avoids):
+        if not step.step.gang and (step.step.per_worker or step.has_avoided_workers):
             return None
-        service = self._board.service_of(step.occurrence.job)
+        service = self._cluster_state.service_of(step.occurrence.job)
         if step.shapes is None or step.shapes.service != service:
             step.shapes = self._step_shapes(step, service)
         return step.shapes.near if prefers_near(step, now) else step.shapes.anywhere
@@ -297,19 +305,19 @@
             label=needs.label,
             near="",
             per_worker=needs.per_worker,
-            proven=step.needs_proof,
+            proven=step.needs_proven_worker,
             lasting=needs.long_running,
         )
         near = replace(anywhere, near=needs.data_rack)
         return StepShapes(service, self._shapes.number(near), self._shapes.number(anywhere))
 
     def _place_gang(self, step: StepState, shape: int | None, places: Places, now: float) -> bool:
-        chosen = places.gang()
+        chosen = places.choose_gang()
         if chosen is None:
-            self._misses.note_full(shape)
+            self._failed_shapes.note_full(shape)
             return False
         if not self._may_open(step, chosen, now):
-            self._misses.note_shut(shape, step.waited_s(now))
+            self._failed_shapes.note_shut(shape, step.waited_s(now))
             return False
         self._release(step)
         self._assign_gang(step, chosen, now)
@@ -330,15 +338,15 @@
         for task in step.tasks:
             if not self._is_open(task):
                 continue
-            worker = places.task(task.avoid)
+            worker = places.choose_worker(task.avoid)
             if worker is None and task.avoid:
                 left = True
                 continue
             if worker is None:
-                self._misses.note_full(shape)
+                self._failed_shapes.note_full(shape)
                 return False
             if not self._may_open(step, [worker], now):
-                self._misses.note_shut(shape, step.waited_s(now))
+                self._failed_shapes.note_shut(shape, step.waited_s(now))
                 return False
             self._assign(task, worker, task.record.run + 1, now)
         if left:
@@ -349,7 +357,7 @@
     def _assign(self, task: Task, worker: Worker, number: int, now: float) -> None:
         self._started += 1
         self._stalled.note_started(task.name.job_id)
-        self._board.assign(task, worker, number, now)
+        self._cluster_state.assign(task, worker, number, now)
         task.step.preempts_since_s = None
         task.step.times_delayed = 0
         if task.run is not None and worker.is_overbooked and _may_be_taken_back(task.run):
@@ -364,7 +372,7 @@
         waited_s = step.waited_s(now)
         if waited_s > HEADROOM_PATIENCE_S:
             return True
-        return may_open(self._candidates.rooms(step), places, waited_s)
+        return may_open(self._candidates.service_capacity(step), places, waited_s)
 
     # Preemption
 
@@ -385,7 +393,7 @@
         def gives_back(run: Run) -> bool:
             return step in run.lent_by
 
-        preemptor = Preemptor(self._board.members, may_stop, gives_back, now)
+        preemptor = Preemptor(self._cluster_state.members, may_stop, gives_back, now)
         wanted = sum(1 for task in step.tasks if self._is_open(task))
         domains = list(places.domains(wanted))
         found = preemptor.cheapest(step, wanted, domains)
@@ -395,24 +403,24 @@
             return
         for run in found.victims:
             if not gives_back(run):
-                self._board.preempt(run, job)
+                self._cluster_state.preempt(run, job)
         self._take_back(self._reservations.reserve(step, found.places, now), now)
 
     def _release(self, step: StepState) -> None:
         if self._reservations.release(step):
-            self._misses.clear()
+            self._failed_shapes.clear()
             self._stalled.note_released()
 
     def _take_back(self, held: Reservation, now: float) -> None:
         """Stop what was lent of a reservation, once it alone has kept the step for long enough."""
         if held.awaits_stops:
             return
-        for run in held.lent:
+        for run in held.borrowers:
             if run.awaited_s is None:
                 run.awaited_s = now
-        due = [run for run in held.lent if is_due_back(run, held.step, now)]
+        due = [run for run in held.borrowers if is_loan_due(run, held.step, now)]
         for run in due:
-            self._board.preempt(run, held.step.occurrence.job)
+            self._cluster_state.preempt(run, held.step.occurrence.job)
             run.awaited_s = now
         held.step.times_delayed += bool(due)
 
--- a/src/saddlestack/policy/cluster/pool.py
+++ b/src/saddlestack/policy/cluster/planner_context.py
@@ -9,7 +9,7 @@
 from saddlestack.policy.cluster.workers import Worker
 
 
-class Pool(Protocol):
+class PlannerContext(Protocol):
     """The board as its planner sees it."""
 
     def guaranteed(self, account: str) -> int:
@@ -24,7 +24,7 @@
         """Whether a start of a job's tasks needs the adviser's leave."""
         ...
 
-    def ask(self, step: StepState, workers: tuple[str, ...]) -> None:
+    def request_advice(self, step: StepState, workers: tuple[str, ...]) -> None:
         """Have the adviser asked which of some workers may run a step."""
         ...
 
@@ -36,7 +36,7 @@
         """Stop a run, and its gang, for a job that may take the room back."""
         ...
 
-    def is_heard(self, run: Run) -> bool:
+    def is_worker_reachable(self, run: Run) -> bool:
         """Whether a run is on a worker that answers."""
         ...
 
--- a/src/saddlestack/policy/cluster/preemption.py
+++ b/src/saddlestack/policy/cluster/preemption.py
@@ -135,7 +135,7 @@
             return None
         rooms: dict[str, Resources] = {}
         for member in members:
-            rooms[member.worker_id] = rooms.get(member.worker_id, NOTHING) + member.room
+            rooms[member.worker_id] = rooms.get(member.worker_id, NOTHING) + member.allocation
         return _Group(members, sum(self.loss(member) for member in members), rooms)
 
     def loss(self, run: Run) -> float:
@@ -148,7 +148,7 @@
             lost = min(lost, CHECKPOINT_LOSS_S)
         if run.task.step.step.gang:
             lost += REQUEUE_S
-        return lost * weight(run.room) + TOUCH_COST
+        return lost * weight(run.allocation) + TOUCH_COST
 
 
 class _Search:
@@ -310,6 +310,7 @@
         for group in (*self._chosen, *groups):
             taken[group.step] = taken.get(group.step, 0) + len(group.runs)
         return all(
-            group.step.may_stop is None or taken[group.step] <= group.step.may_stop
+            group.step.disruption_budget is None
+            or taken[group.step] <= group.step.disruption_budget
             for group in limited
         )
--- a/src/saddlestack/policy/cluster/progress.py
+++ b/src/saddlestack/policy/cluster/progress.py
@@ -56,9 +56,9 @@
     if not _is_urgent(run) or run.stopping or run.percent >= NEARLY_DONE_PERCENT:
         return False
     begun_s = _begun_s(members)
-    if begun_s is None or run.moved_s is None or step.moves >= MOST_MOVES:
+    if begun_s is None or run.progressed_s is None or step.moves >= MOST_MOVES:
         return False
-    since_s = max(begun_s, run.moved_s)
+    since_s = max(begun_s, run.progressed_s)
     patience_s = max(LEAST_STILL_S, STILL_SHARE * step.step.estimate_ms / 1000)
     if run.task.record.saved:
         patience_s += RESUMING_S
--- a/src/saddlestack/policy/cluster/records.py
+++ b/src/saddlestack/policy/cluster/records.py
@@ -84,16 +84,16 @@
     @property
     def odds(self) -> float:
         """How much likelier it crashes its workers than not."""
-        return math.exp(within(self.log_odds))
+        return math.exp(clamp_log_odds(self.log_odds))
 
 
-MOST_LOG_ODDS = 50.0
+MAX_LOG_ODDS = 50.0
 """Beyond this, either way, the odds say no more; beyond 709 they are too large for a float."""
 
 
-def within(log_odds: float) -> float:
+def clamp_log_odds(log_odds: float) -> float:
     """Log odds within what says anything."""
-    return max(-MOST_LOG_ODDS, min(MOST_LOG_ODDS, log_odds))
+    return max(-MAX_LOG_ODDS, min(MAX_LOG_ODDS, log_odds))
 
 
 class StepRecord(msgspec.Struct, array_like=True):
--- a/src/saddlestack/policy/cluster/reservations.py
+++ b/src/saddlestack/policy/cluster/reservations.py
@@ -14,9 +14,9 @@
 from saddlestack.policy.cluster.workers import Worker
 from saddlestack.work import Resources
 
-RESERVATION_S = 2.5
+RESERVATION_TIMEOUT_S = 2.5
 """A reservation that could not be used by then is given up and searched anew."""
-OVERDUE_S = 10.0
+STOP_OVERDUE_S = 10.0
 """Room whose run has not stopped by then, since it was first waited for, is looked for elsewhere.
 Twice as long as runs take to stop: to stop others in place of one that is about to end wastes their
 work."""
@@ -28,7 +28,7 @@
 
     step: StepState
     places: list[Worker]
-    until_s: float
+    expires_s: float
 
     @property
     def _workers(self) -> Iterable[Worker]:
@@ -53,7 +53,7 @@
                 yield from (run for run in worker.runs.values() if run.stopping)
 
     @property
-    def lent(self) -> Iterator[Run]:
+    def borrowers(self) -> Iterator[Run]:
         """Runs that were lent room on the workers, and are not being stopped."""
         for worker in self._workers:
             for run in worker.runs.values():
@@ -65,7 +65,7 @@
         held = Resources()
         for run in worker.runs.values():
             if self.step not in run.lent_by:
-                held = held + run.room
+                held = held + run.allocation
         return held
 
     @property
@@ -101,7 +101,7 @@
         for worker in places:
             worker.reserved = worker.reserved + step.step.room
             _note_awaited(worker, now)
-        held = self._held[id(step)] = Reservation(step, places, now + RESERVATION_S)
+        held = self._held[id(step)] = Reservation(step, places, now + RESERVATION_TIMEOUT_S)
         return held
 
     def release(self, step: StepState) -> bool:
@@ -119,20 +119,20 @@
     def __iter__(self) -> Iterator[Reservation]:
         return iter(self._held.values())
 
-    def release_stale(self, now: float) -> None:
+    def release_expired(self, now: float) -> None:
         """Give up what cannot be used, or has not been for too long."""
         for held in list(self._held.values()):
             usable = all(worker.takes_work(now) for worker in held.places)
-            if not usable or now > held.until_s or not held.step.occurrence.open:
+            if not usable or now > held.expires_s or not held.step.occurrence.open:
                 self.release(held.step)
 
 
 def is_overdue(run: Run, now: float) -> bool:
     """Whether the room of a run that is to stop has been waited for in vain."""
-    return run.awaited_s is not None and now - run.awaited_s > OVERDUE_S
+    return run.awaited_s is not None and now - run.awaited_s > STOP_OVERDUE_S
 
 
-def is_due_back(run: Run, step: StepState, now: float) -> bool:
+def is_loan_due(run: Run, step: StepState, now: float) -> bool:
     """Whether a run has delayed the step that its room was lent from for long enough.
 
     It goes on for as long as the step had to wait for the stops: work that is about to end then
--- a/src/saddlestack/policy/cluster/shapes.py
+++ b/src/saddlestack/policy/cluster/shapes.py
@@ -29,11 +29,11 @@
     lasting: bool
 
 
-SHAPES_KEPT = 10_000
+MAX_SHAPES = 10_000
 """Shapes whose numbers are remembered: 2.4 MB of them (traced allocations)."""
 
 
-class Shapes:
+class ShapeNumbers:
     """A number for each shape, so that thousands of waiting steps are told apart cheaply."""
 
     def __init__(self) -> None:
@@ -44,7 +44,7 @@
         """The number of a shape: alike for equal shapes, unless one was forgotten in between."""
         number = self._numbers.get(shape)
         if number is None:
-            if len(self._numbers) >= SHAPES_KEPT:
+            if len(self._numbers) >= MAX_SHAPES:
                 self._numbers.clear()
             number = self._numbers[shape] = self._next
             self._next += 1
@@ -65,7 +65,7 @@
 
 
 @dataclass(slots=True)
-class Misses:
+class FailedShapes:
     """Shapes, by number, that were tried in this round. Room only shrinks within one.
 
     :param full: there is no room for them.
--- a/src/saddlestack/policy/cluster/stalled.py
+++ b/src/saddlestack/policy/cluster/stalled.py
@@ -9,8 +9,8 @@
 from saddlestack.policy.cluster.jobs import Job, StepState
 from saddlestack.policy.cluster.lending import Lending
 from saddlestack.policy.cluster.patience import borrows_from_s, has_room_for, is_impatient
-from saddlestack.policy.cluster.places import AnyPlaces, Room
-from saddlestack.policy.cluster.pool import Pool
+from saddlestack.policy.cluster.places import LastResortPlaces, WorkerChoice
+from saddlestack.policy.cluster.planner_context import PlannerContext
 from saddlestack.policy.cluster.reservations import Reservations
 from saddlestack.policy.cluster.workers import Worker
 from saddlestack.work import Resources
@@ -24,7 +24,7 @@
     """What steps that stall have to share so that where one fits nowhere, the other does not.
 
     :param count: tasks that have to start at once.
-    :param fails_for_good: whether their next failure is their jobs' last.
+    :param next_failure_is_final: whether their next failure is their jobs' last.
     :param lenders: ids of the workers that may lend them reserved room.
     """
 
@@ -32,7 +32,7 @@
     room: Resources
     count: int
     label: str
-    fails_for_good: bool
+    next_failure_is_final: bool
     lenders: frozenset[str]
 
 
@@ -41,12 +41,12 @@
 
     def __init__(
         self,
-        board: Pool,
+        cluster_state: PlannerContext,
         candidates: Candidates,
         reservations: Reservations,
         lending: Lending,
     ) -> None:
-        self._board = board
+        self._cluster_state = cluster_state
         self._candidates = candidates
         self._reservations = reservations
         self._lending = lending
@@ -56,7 +56,7 @@
         self._nowhere: set[_Kind] = set()
 
     @property
-    def borrows_s(self) -> float | None:
+    def next_loan_s(self) -> float | None:
         """When work that waits may next be lent reserved room, on the board's clock."""
         return self._borrows_s
 
@@ -75,14 +75,14 @@
         """A run of a job has been assigned in this round."""
         self._at_work[job_id] = True
 
-    def rooms(self, step: StepState, now: float) -> Iterator[Room]:
+    def choices(self, step: StepState, now: float) -> Iterator[WorkerChoice]:
         """Rooms to be tried in turn for a step, none where it does not stall.
 
         First the workers that others may go to as well, then any that answer, whatever failed there
         lately. The second looks at each worker, so it is done for few steps in a round, and once
         for those of a kind.
         """
-        if not is_impatient(self._candidates.rooms(step), step.stood_s(now)):
+        if not is_impatient(self._candidates.service_capacity(step), step.stalled_s(now)):
             return
         self._note_borrowing(step, now)
         lenders = self._lenders(step, now)
@@ -116,14 +116,14 @@
 
     def _kind(self, step: StepState, lenders: frozenset[str]) -> _Kind | None:
         """What decides whether a step fits anywhere; ``None`` where more does."""
-        if step.step.per_worker or self._board.is_advised(step.occurrence.job):
+        if step.step.per_worker or self._cluster_state.is_advised(step.occurrence.job):
             return None
         return _Kind(
-            self._board.service_of(step.occurrence.job),
+            self._cluster_state.service_of(step.occurrence.job),
             step.step.room,
             step.at_once,
             step.step.label,
-            step.fails_for_good,
+            step.next_failure_is_final,
             lenders,
         )
 
@@ -131,21 +131,21 @@
         """Whether a run of a job is on a worker that answers; looked up once a round."""
         known = self._at_work.get(job.job_id)
         if known is None:
-            known = any(self._board.is_heard(run) for run in job.runs())
+            known = any(self._cluster_state.is_worker_reachable(run) for run in job.runs())
             self._at_work[job.job_id] = known
         return known
 
-    def _any_places(self, step: StepState, lenders: frozenset[str], now: float) -> AnyPlaces:
+    def _any_places(self, step: StepState, lenders: frozenset[str], now: float) -> LastResortPlaces:
         """All workers that answer; where leave is needed, those that have it."""
         answering = list(self._answering(step, now))
-        if not self._board.is_advised(step.occurrence.job):
-            return AnyPlaces(step, answering, now, lenders)
+        if not self._cluster_state.is_advised(step.occurrence.job):
+            return LastResortPlaces(step, answering, now, lenders)
         advice = step.advice
         allowed = [w for w in answering if advice.ticket(w.worker_id, now) is not None]
-        room = AnyPlaces(step, allowed, now, lenders)
+        room = LastResortPlaces(step, allowed, now, lenders)
         unknown = advice.unknown(answering, now)
         if unknown and not advice.asking and not has_room_for(room.copies, step.at_once):
-            self._board.ask(step, unknown)
+            self._cluster_state.request_advice(step, unknown)
         return room
 
     def _answering(self, step: StepState, now: float) -> Iterator[Worker]:
@@ -154,11 +154,11 @@
         A job whose next failure is its last still keeps off those in quarantine; those that have
         just turned an order away would do so again.
         """
-        for rack in self._candidates.rooms(step).racks:
+        for rack in self._candidates.service_capacity(step).racks:
             for worker in rack.workers:
                 if not worker.answers or not worker.matches(step.step) or now < worker.busy_s:
                     continue
                 if worker.isolating:
                     continue
-                if not step.fails_for_good or now >= worker.quarantine_s:
+                if not step.next_failure_is_final or now >= worker.quarantine_s:
                     yield worker
--- a/src/saddlestack/policy/cluster/state.py
+++ b/src/saddlestack/policy/cluster/state.py
@@ -1,8 +1,8 @@
 """The board: everything a leader knows, and what follows from each event.
 
 Pure: events and times come in as arguments; what is to be written, started and stopped is
-collected and taken with :meth:`ClusterState.take`. Times ``now`` are seconds on a steady clock,
-``wall_ms`` milliseconds since 1970.
+collected and taken with :meth:`ClusterState.take_changes`. ``now`` is in seconds on a
+monotonic clock, ``wall_ms`` in milliseconds since 1970.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 from saddlestack.interfaces.workers import EndedTask, EndKind, RunningTask, WorkerRecord
 from saddlestack.policy.cluster.blame import Blame, FailureKind
 from saddlestack.policy.cluster.caution import Caution
-from saddlestack.policy.cluster.changes import Changes, Question, Start, Stop, StopReason
+from saddlestack.policy.cluster.changes import AdviceRequest, Changes, Start, Stop, StopReason
 from saddlestack.policy.cluster.crashes import Crashes, Judgement
 from saddlestack.policy.cluster.departure import leaving
-from saddlestack.policy.cluster.index import RoomIndex
+from saddlestack.policy.cluster.index import CapacityIndex
 from saddlestack.policy.cluster.jobs import Job, Occurrence, Run, StepState, Task, new_job
 from saddlestack.policy.cluster.lifeend import LifeEnd
 from saddlestack.policy.cluster.pacing import Pace, paces
+from saddlestack.policy.cluster.planner import Planner
 from saddlestack.policy.cluster.progress import is_stuck, needs_looks
-from saddlestack.policy.cluster.queue import Planner
 from saddlestack.policy.cluster.records import (
     FailureCause,
     OccurrenceRecord,
@@ -29,7 +29,7 @@
     TaskStatus,
 )
 from saddlestack.policy.cluster.verdicts import Verdict
-from saddlestack.policy.cluster.waiting import waits
+from saddlestack.policy.cluster.waiting import is_waiting
 from saddlestack.policy.cluster.workers import EARLY_FAILURE_S, EARLY_SHARE, Worker
 from saddlestack.work import AcceptedJob, JobState, Resources, TaskName
 
@@ -46,16 +46,16 @@
         self._starts: list[Start] = []
         self._stops: list[Stop] = []
         self._paces: list[Pace] = []
-        self._questions: list[Question] = []
+        self._advice_requests: list[AdviceRequest] = []
         self._advised: frozenset[str] = frozenset()
         self._evacuated: frozenset[str] = frozenset()
         self._touched: dict[str, Job] = {}
-        self._index = RoomIndex()
-        self._caution = Caution()
-        self._blame = Blame(self.workers)
+        self._index = CapacityIndex()
+        self._worker_preferences = Caution()
+        self._fault_attribution = Blame(self.workers)
         self._crashes = Crashes(self.workers)
-        self._verdicts: list[Verdict] = []
-        self._planner = Planner(self, self._index, self._caution, self._crashes)
+        self._findings: list[Verdict] = []
+        self._planner = Planner(self, self._index, self._worker_preferences, self._crashes)
 
     # Configuration
 
@@ -83,10 +83,10 @@
         """Whether a start of a job's tasks needs the adviser's leave."""
         return job.accepted.queue in self._advised
 
-    def ask(self, step: StepState, workers: tuple[str, ...]) -> None:
+    def request_advice(self, step: StepState, workers: tuple[str, ...]) -> None:
         """Have the adviser asked which of some workers may run a step."""
         step.advice.asking = True
-        self._questions.append(Question(step, workers))
+        self._advice_requests.append(AdviceRequest(step, workers))
 
     def service_of(self, job: Job) -> str:
         """The service whose workers run a job's tasks."""
@@ -115,7 +115,7 @@
                 for index in step.record.crashes:
                     self._crashes.inherit(step.tasks[index])
         self._stop_leftovers(job)
-        self._blame.inherit(job)
+        self._fault_attribution.inherit(job)
         self._planner.add(job)
         return job
 
@@ -126,7 +126,7 @@
                 self._stop_all(occurrence, StopReason.JOB_FAILED)
                 continue
             for step in occurrence.steps:
-                if step.step.gang and any(waits(task) for task in step.tasks):
+                if step.step.gang and any(is_waiting(task) for task in step.tasks):
                     self._stop_step(step, StopReason.GANG_BROKEN)
 
     def _restore(self, task: Task, addresses: Mapping[str, str]) -> None:
@@ -179,22 +179,22 @@
         for occurrence in job.occurrences:
             self._stop_all(occurrence, StopReason.CANCELLED)
 
-    def expired(self, now: float, retention_s: float) -> list[Job]:
+    def expired_jobs(self, now: float, retention_s: float) -> list[Job]:
         """Jobs that have been over for longer than they have to be known."""
         found = []
         for job in self.jobs.values():
             if not job.settled:
                 continue
-            if job.over_s is None:
-                job.over_s = now
-            if now - job.over_s > retention_s:
+            if job.over_since_s is None:
+                job.over_since_s = now
+            if now - job.over_since_s > retention_s:
                 found.append(job)
         return found
 
-    def forget(self, job_id: str) -> None:
+    def remove_job(self, job_id: str) -> None:
         """A job that the store no longer has."""
         self.jobs.pop(job_id, None)
-        self._blame.forget_job(job_id)
+        self._fault_attribution.forget_job(job_id)
         self._crashes.forget_job(job_id)
 
     # Workers
@@ -208,7 +208,7 @@
         worker.note(record, now)
         worker.evacuated = record.data_hall in self._evacuated
         if worker.is_cold(now):
-            self._caution.note_cold(worker)
+            self._worker_preferences.note_cold(worker)
         if not worker.listed:
             worker.listed = True
             worker.reachable = True
@@ -226,7 +226,7 @@
         if not worker.runs:
             self._lose(worker)
 
-    def worker_over(self, worker_id: str, end: LifeEnd | None = None) -> None:
+    def worker_ended(self, worker_id: str, end: LifeEnd | None = None) -> None:
         """A life has ended, or its lease has lapsed for sure: nothing runs there.
 
         :param end: when it may have ended, where it may have crashed.
@@ -244,7 +244,7 @@
         if not worker.listed:
             self._lose(worker)
 
-    def heard(self, worker: Worker, now: float) -> None:
+    def record_answer(self, worker: Worker, now: float) -> None:
         """A life has answered."""
         worker.heard_s = now
         worker.silent_s = None
@@ -267,7 +267,7 @@
 
     def _follow(self, judgement: Judgement) -> None:
         """Keep what a crash tells, and give up the jobs of those that caused it."""
-        self._verdicts += judgement.verdicts
+        self._findings += judgement.verdicts
         for task in judgement.touched:
             if task.step.occurrence.open:
                 self._mark(task.step.occurrence)
@@ -292,19 +292,19 @@
 
     def _lose(self, worker: Worker) -> None:
         del self.workers[worker.worker_id]
-        self._blame.forget_worker(worker.worker_id)
+        self._fault_attribution.forget_worker(worker.worker_id)
         self._index.remove(worker)
 
     # Runs
 
-    def started(self, run: Run, now: float) -> None:
+    def run_started(self, run: Run, now: float) -> None:
         """The worker has confirmed a run."""
         if run.started_s is None:
             run.started_s = now
         run.task.step.occurrence.job.begun = True
         self._touched[run.task.name.job_id] = run.task.step.occurrence.job
 
-    def not_started(self, run: Run) -> None:
+    def run_not_started(self, run: Run) -> None:
         """A run never began, and never will."""
         worker = self.workers.get(run.worker_id)
         if worker is not None:
@@ -314,7 +314,7 @@
             self._crashes.started(run.task, -1)
         self._run_over(run, EndKind.STOPPED, "")
 
-    def reported(self, worker_id: str, running: Iterable[RunningTask], now: float) -> None:
+    def worker_reported(self, worker_id: str, running: Iterable[RunningTask], now: float) -> None:
         """A worker tells what it runs; what we do not know of is stopped."""
         worker = self.workers[worker_id]
         for row in running:
@@ -325,8 +325,8 @@
                 continue
             if row.percent > run.percent:
                 worker.progressed(run, now)
-            if row.percent != run.percent or run.moved_s is None:
-                run.moved_s = now
+            if row.percent != run.percent or run.progressed_s is None:
+                run.progressed_s = now
             run.percent = row.percent
             run.reported_s = now
             run.figure = row.figure
@@ -345,7 +345,7 @@
                 run.task.step.moves += 1
                 self.stop_group(run, StopReason.STUCK)
 
-    def ended(self, worker_id: str, end: EndedTask, now: float) -> None:
+    def run_ended(self, worker_id: str, end: EndedTask, now: float) -> None:
         """A worker tells that a run is over."""
         worker = self.workers[worker_id]
         run = worker.remove(TaskName.parse(end.task), end.run)
@@ -353,25 +353,25 @@
             return
         if end.how is EndKind.DONE:
             worker.succeeded(now)
-            self._blame.ended_well(worker_id)
+            self._fault_attribution.ended_well(worker_id)
         elif end.how is EndKind.FAILED:
             self._note_failure(worker, run, now)
-        self._planner.ended(run, end.how, now)
+        self._planner.run_ended(run, end.how, now)
         self._follow(self._crashes.survived(run, end.how, now))
         self._run_over(run, end.how, end.saved or run.saved)
 
     def _note_failure(self, worker: Worker, run: Run, now: float) -> None:
         run.task.avoid.add(worker.worker_id)
-        run.task.step.avoids = True
+        run.task.step.has_avoided_workers = True
         kind = FailureKind.EARLY if _is_early(run, now) else FailureKind.LATE
         self._charge(worker, run, kind, now)
 
     def _charge(self, worker: Worker, run: Run, kind: FailureKind, now: float) -> None:
         if run.task.name.job_id not in self.jobs:
             return
-        at_fault = self._blame.failed(worker, run, kind, now)
+        at_fault = self._fault_attribution.failed(worker, run, kind, now)
         if at_fault and kind is not FailureKind.LATE:
-            self._caution.note_faulty(worker, now)
+            self._worker_preferences.note_faulty(worker, now)
 
     def _run_over(self, run: Run, how: EndKind, saved: str) -> None:
         task = run.task
@@ -398,12 +398,12 @@
         elif step.step.gang:
             self._stop_step(step, StopReason.GANG_BROKEN)
         if occurrence.open:
-            self._planner.returned(step, ran=not run.never_began)
+            self._planner.requeue(step, ran=not run.never_began)
 
     def _spent(self, task: Task) -> None:
         """A task that may crash its workers has been started as often as it may be."""
         if task.step.occurrence.open:
-            self._verdicts.append(self._crashes.verdict(task))
+            self._findings.append(self._crashes.verdict(task))
             self._give_up(task.step.occurrence, FailureCause.CRASHES)
 
     def _save(self, task: Task, saved: str) -> None:
@@ -423,7 +423,7 @@
         if occurrence.status is OccurrenceStatus.OPEN and all(s.finished for s in occurrence.steps):
             occurrence.status = OccurrenceStatus.DONE
             self._touched[occurrence.job.job_id] = occurrence.job
-        self._planner.finished(step)
+        self._planner.step_finished(step)
 
     def _failed(self, task: Task, run: Run) -> None:
         step = task.step
@@ -478,7 +478,7 @@
             return [run]
         return [task.run for task in step.tasks if task.run is not None]
 
-    def is_heard(self, run: Run) -> bool:
+    def is_worker_reachable(self, run: Run) -> bool:
         """Whether a run is on a worker that answers."""
         worker = self.workers.get(run.worker_id)
         return worker is not None and worker.reachable
@@ -499,7 +499,7 @@
 
         :return: whether more may be decided at once: a round decides so much.
         """
-        self._index.begin(now)
+        self._index.begin_round(now)
         self._crashes.tick(now)
         for run in leaving(self._index.leaving, self.members, now):
             self.stop_group(run, StopReason.WORKER_LEAVES)
@@ -526,25 +526,27 @@
         self._touched[occurrence.job.job_id] = occurrence.job
 
     @property
-    def has_news(self) -> bool:
+    def has_changes(self) -> bool:
         """Whether something is to be taken that follows from events since the last plan."""
-        orders = self._verdicts or self._starts or self._stops or self._paces or self._questions
+        orders = (
+            self._findings or self._starts or self._stops or self._paces or self._advice_requests
+        )
         return bool(orders or self._dirty or self._touched)
 
-    def take(self) -> Changes:
+    def take_changes(self) -> Changes:
         """What has followed since the last call."""
         changes = Changes(
             starts=self._starts,
             stops=self._stops,
             paces=self._paces,
-            questions=self._questions,
-            verdicts=self._verdicts,
+            advice_requests=self._advice_requests,
+            verdicts=self._findings,
         )
         for key, occurrence in self._dirty.items():
             changes.records[key] = occurrence.to_record()
-        changes.shown = [(job, job.state) for job in self._touched.values()]
-        self._starts, self._stops, self._paces, self._questions = [], [], [], []
-        self._dirty, self._touched, self._verdicts = {}, {}, []
+        changes.state_updates = [(job, job.state) for job in self._touched.values()]
+        self._starts, self._stops, self._paces, self._advice_requests = [], [], [], []
+        self._dirty, self._touched, self._findings = {}, {}, []
         return changes
 
     def pending(self, queue: str) -> int:
--- a/src/saddlestack/policy/cluster/survey.py
+++ b/src/saddlestack/policy/cluster/survey.py
@@ -12,9 +12,9 @@
 
 from saddlestack.policy.cluster.exclusion import Exclusion, exclusion_of
 from saddlestack.policy.cluster.jobs import StepState
-from saddlestack.policy.cluster.places import Kept, ListedPlaces
+from saddlestack.policy.cluster.places import IsKept, ListedPlaces
 from saddlestack.policy.cluster.reasons import Reason
-from saddlestack.policy.cluster.waiting import waits
+from saddlestack.policy.cluster.waiting import is_waiting
 from saddlestack.policy.cluster.workers import Worker
 from saddlestack.policy.standstill import PoolUse
 from saddlestack.work import Resources
@@ -168,7 +168,7 @@
         self,
         step: StepState,
         pool: ServicePool,
-        kept: Kept | None,
+        kept: IsKept | None,
         *,
         near: bool,
         advised: bool,
@@ -218,7 +218,7 @@
         """
         label = self._step.step.label
         is_listed = self._advised or self._step.step.per_worker
-        common = self._pool.proven_levels if self._step.needs_proof else self._pool.levels
+        common = self._pool.proven_levels if self._step.needs_proven_worker else self._pool.levels
         for worker, level, trial in zip(self._pool.workers, common, self._pool.trials, strict=True):
             if label and label not in worker.record.labels:
                 continue
@@ -265,9 +265,9 @@
 
     def _avoided(self) -> set[str]:
         """Where the task that is to go first has failed; gangs go there again."""
-        if self._step.step.gang or not self._step.avoids:
+        if self._step.step.gang or not self._step.has_avoided_workers:
             return set()
-        return next((task.avoid for task in self._step.tasks if waits(task)), set())
+        return next((task.avoid for task in self._step.tasks if is_waiting(task)), set())
 
     # Room
 
@@ -327,11 +327,11 @@
 
     def _places(self) -> tuple[Worker, ...]:
         levels = zip(self._workers, self._levels, strict=True)
-        able = [worker for worker, level in levels if level == _OPEN]
-        places = ListedPlaces(self._step, able)
+        eligible = [worker for worker, level in levels if level == _OPEN]
+        places = ListedPlaces(self._step, eligible)
         if self._step.step.gang:
-            return tuple(places.gang() or ())
-        worker = places.task(self._avoided())
+            return tuple(places.choose_gang() or ())
+        worker = places.choose_worker(self._avoided())
         return () if worker is None else (worker,)
 
     def _until_s(self, reason: Reason) -> float | None:
--- a/src/saddlestack/policy/cluster/waiting.py
+++ b/src/saddlestack/policy/cluster/waiting.py
@@ -17,7 +17,7 @@
 """Accelerators that a client account owns for jobs of top priority."""
 
 
-class Waiting:
+class WaitingSteps:
     """Steps some of whose tasks may wait, in order; what runs or is over costs nothing here."""
 
     def __init__(self) -> None:
@@ -43,13 +43,13 @@
             else:
                 self._open(occurrence)
 
-    def returned(self, step: StepState, *, ran: bool) -> None:
+    def requeue(self, step: StepState, *, ran: bool) -> None:
         """A task of a step waits again.
 
         :param ran: whether its run may have begun; else the step has waited all the while.
         """
         if ran:
-            step.standing_since_s = None
+            step.stalled_since_s = None
         self._add(step)
         if step in self._known:
             self._fresh.append(step)
@@ -60,7 +60,7 @@
             self._known.discard(step)
             self._steps.remove(step)
 
-    def finished(self, step: StepState) -> None:
+    def step_finished(self, step: StepState) -> None:
         """All tasks of a step are done: steps that waited for it may start."""
         for later in step.occurrence.steps:
             if step.number in later.step.after:
@@ -74,10 +74,10 @@
         while self._due and self._due[0][0] <= wall_ms:
             self._open(heapq.heappop(self._due)[2])
         for step in self._fresh:
-            if step.standing_since_s is None:
-                step.standing_since_s = now
-            if step.waits_since_s is None:
-                step.waits_since_s = now
+            if step.stalled_since_s is None:
+                step.stalled_since_s = now
+            if step.waiting_since_s is None:
+                step.waiting_since_s = now
         self._fresh.clear()
         top = self._steps.bisect_key_left((TOP_PRIORITY + 1, 0))
         urgent = sorted(
@@ -113,7 +113,7 @@
             self._fresh.append(step)
 
 
-def waits(task: Task) -> bool:
+def is_waiting(task: Task) -> bool:
     """Whether a task is to be started."""
     return task.status is TaskStatus.WAITING and task.run is None
 
@@ -126,8 +126,8 @@
     if not all(steps[number].finished for number in step.step.after):
         return False
     if step.step.gang:
-        return all(waits(task) for task in step.tasks)
-    return any(waits(task) for task in step.tasks)
+        return all(is_waiting(task) for task in step.tasks)
+    return any(is_waiting(task) for task in step.tasks)
 
 
 def _order(step: StepState) -> _Order:
--- a/src/saddlestack/policy/cluster/workers.py
+++ b/src/saddlestack/policy/cluster/workers.py
@@ -271,16 +271,16 @@
         """Hold room for a run."""
         self.runs[(run.task.name, run.number)] = run
         priority = run.task.step.occurrence.job.priority
-        self.held[priority] = self.held.get(priority, Resources()) + run.room
-        self.used = self.used + run.room
+        self.held[priority] = self.held.get(priority, Resources()) + run.allocation
+        self.used = self.used + run.allocation
 
     def remove(self, task: TaskName, number: int) -> Run | None:
         """Free the room of a run that is over."""
         run = self.runs.pop((task, number), None)
         if run is not None:
             priority = run.task.step.occurrence.job.priority
-            self.held[priority] = self.held[priority] - run.room
-            self.used = self.used - run.room
+            self.held[priority] = self.held[priority] - run.allocation
+            self.used = self.used - run.allocation
         return run
 
     def succeeded(self, now: float) -> None:
--- a/tests/test_blame.py
+++ b/tests/test_blame.py
@@ -21,27 +21,29 @@
     Worker,
 )
 from saddlestack.work import JobState, Resources, Step
-from tests.test_board import BULK, SERVICE, BoardCase, step
+from tests.test_board import BULK, SERVICE, ClusterCase, step
 
 EARLY, LATE, STUCK = FailureKind.EARLY, FailureKind.LATE, FailureKind.STUCK
 
 
-class BlameCase(BoardCase):
+class BlameCase(ClusterCase):
     """Failures one by one."""
 
     def worker(self, worker_id: str) -> Worker:
-        return self.board.workers[worker_id]
+        return self.cluster_state.workers[worker_id]
 
     def placed(self, job_id: str) -> list[str]:
         """The workers on which a job runs."""
-        tasks = self.board.jobs[job_id].occurrences[0].steps[0].tasks
+        tasks = self.cluster_state.jobs[job_id].occurrences[0].steps[0].tasks
         return [task.run.worker_id for task in tasks if task.run is not None]
 
     def end_on(self, worker_id: str, job_id: str, how: EndKind, now: float) -> None:
         """All that a job runs on one worker ends."""
         for name, number in list(self.worker(worker_id).runs):
             if name.job_id == job_id:
-                self.board.ended(worker_id, EndedTask(1, str(name), number, how, ""), now)
+                self.cluster_state.run_ended(
+                    worker_id, EndedTask(1, str(name), number, how, ""), now
+                )
 
     def fail_one(self, now: float, *, after_s: float) -> str:
         """A job of one task fails; the worker where it did."""
@@ -49,7 +51,7 @@
         self.plan(now)
         (worker_id,) = self.placed(job_id)
         self.end_on(worker_id, job_id, EndKind.FAILED, now + after_s)
-        self.board.cancel(job_id)
+        self.cluster_state.cancel(job_id)
         return worker_id
 
     def show(self, worker_id: str, percent: int, now: float) -> None:
@@ -57,7 +59,7 @@
         rows = [
             RunningTask(str(n), number, "", percent) for n, number in self.worker(worker_id).runs
         ]
-        self.board.reported(worker_id, rows, now)
+        self.cluster_state.worker_reported(worker_id, rows, now)
 
 
 class WideJobTest(BlameCase):
@@ -71,13 +73,13 @@
         return wide
 
     def test_another_job_starts_at_once_beside_it(self) -> None:
-        self.board.cancel(self.fail_everywhere())
+        self.cluster_state.cancel(self.fail_everywhere())
         other = self.add(step(40, 1))
         starts = self.plan(10.1).starts
         self.assertEqual(sum(s.run.task.name.job_id == other for s in starts), 40)
 
     def test_a_gang_starts_at_once_beside_it(self) -> None:
-        self.board.cancel(self.fail_everywhere())
+        self.cluster_state.cancel(self.fail_everywhere())
         gang = self.add(step(8, 4, gang=True))
         starts = self.plan(10.1).starts
         self.assertEqual(sum(s.run.task.name.job_id == gang for s in starts), 8)
@@ -92,7 +94,7 @@
         wide = self.add(step(12, 8))
         self.plan(0.0)
         self.end(wide, EndKind.FAILED, now=0.02)
-        self.board.cancel(wide)
+        self.cluster_state.cancel(wide)
         self.add(step(12, 8, gang=True))
         self.assertEqual(len(self.plan(0.1).starts), 12)
 
@@ -151,7 +153,7 @@
             self.fail_one(100.0, after_s=kind_s)
             self.assertEqual(self.worker("w11").strikes, 1)
             self.worker("w11").cleared()
-            self.board._blame.ended_well("w11")
+            self.cluster_state._fault_attribution.ended_well("w11")
 
     def test_workers_that_fail_at_once_are_found_beside_runs_that_live_on(self) -> None:
         self.workers(racks=2, each=4)
@@ -172,7 +174,7 @@
             job = self.add(Step(count=1, needs=needs, estimate_ms=150))
             self.plan(100.0)
             self.end_on("w11", job, EndKind.FAILED, 100.0 + took_s)
-            self.board.cancel(job)
+            self.cluster_state.cancel(job)
             self.assertEqual(self.worker("w11").probation_s > 0.0, early)
             self.worker("w11").cleared()
 
@@ -240,7 +242,7 @@
         """How many tasks of another job start beside it."""
         job = self.add(step(4, 1))
         count = sum(start.run.task.name.job_id == job for start in self.plan(now).starts)
-        self.board.cancel(job)
+        self.cluster_state.cancel(job)
         return count
 
     def test_a_run_that_makes_progress_ends_the_trial_after_an_early_failure(self) -> None:
@@ -306,12 +308,12 @@
 
     def take_over(self) -> None:
         """Another board takes over what the records tell."""
-        old, self.board = self.board, ClusterState()
-        self.board.configure({}, {"q": SERVICE})
+        old, self.cluster_state = self.cluster_state, ClusterState()
+        self.cluster_state.configure({}, {"q": SERVICE})
         self.workers(each=2)
         for job in old.jobs.values():
             records = {each.number: each.to_record() for each in job.occurrences}
-            self.board.add_job(job.accepted, records)
+            self.cluster_state.add_job(job.accepted, records)
 
     def test_it_knows_nothing_of_workers(self) -> None:
         self.workers(each=2)
@@ -347,24 +349,24 @@
         wide = self.add(step(WORKERS_KEPT + 8, 8))
         self.plan(0.0)
         self.end(wide, EndKind.FAILED, 5.0)
-        self.board.cancel(wide)
-        blame = self.board._blame
+        self.cluster_state.cancel(wide)
+        blame = self.cluster_state._fault_attribution
         self.assertEqual(len(blame._of_job[wide].workers), WORKERS_KEPT)
         for number in range(JOBS_KEPT + 4):
             job = self.add(step(1, 8, label="a"))
             self.plan(100.0 * (number + 1))
             (worker_id,) = self.placed(job)
             self.end_on(worker_id, job, EndKind.FAILED, 100.0 * (number + 1) + 5.0)
-            self.board.cancel(job)
+            self.cluster_state.cancel(job)
         self.assertLessEqual(max(map(len, blame._on_worker.values())), JOBS_KEPT)
 
     def test_a_failure_of_a_forgotten_job_is_not_remembered(self) -> None:
         self.workers(each=1)
         job = self.add(step(1, 8))
         self.plan(0.0)
-        self.board.forget(job)
+        self.cluster_state.remove_job(job)
         self.end_on("w11", job, EndKind.FAILED, 5.0)
-        self.assertEqual(self.board._blame._of_job, {})
+        self.assertEqual(self.cluster_state._fault_attribution._of_job, {})
         self.assertEqual(self.worker("w11").strikes, 0)
 
     def test_forgotten_jobs_and_workers_leave_nothing(self) -> None:
@@ -373,9 +375,9 @@
         self.plan(0.0)
         first, second = self.placed(job)
         self.end(job, EndKind.FAILED, 5.0)
-        self.board.unlist_worker(first)
-        blame = self.board._blame
+        self.cluster_state.unlist_worker(first)
+        blame = self.cluster_state._fault_attribution
         self.assertNotIn(first, blame._on_worker)
-        self.board.forget(job)
+        self.cluster_state.remove_job(job)
         self.assertEqual(blame._of_job, {})
         self.assertEqual(blame._on_worker, {second: {}})
--- a/tests/test_board.py
+++ b/tests/test_board.py
@@ -16,7 +16,7 @@
 from saddlestack.policy.cluster.departure import SAVE_MARGIN_S
 from saddlestack.policy.cluster.pacing import paces
 from saddlestack.policy.cluster.records import OccurrenceRecord, TaskStatus
-from saddlestack.policy.cluster.shapes import Misses
+from saddlestack.policy.cluster.shapes import FailedShapes
 from saddlestack.policy.cluster.state import ClusterState
 from saddlestack.policy.cluster.workers import PROBATION_S
 from saddlestack.policy.retry import pause
@@ -59,18 +59,18 @@
     return Step(count=count, needs=needs, estimate_ms=1000, **more)  # type: ignore[arg-type]
 
 
-class BoardCase(unittest.TestCase):
+class ClusterCase(unittest.TestCase):
     """A board with workers and jobs, and the events that tests need."""
 
     def setUp(self) -> None:
-        self.board = ClusterState()
+        self.cluster_state = ClusterState()
         self.jobs = 0
 
     def workers(self, racks: int = 1, each: int = 2, **more: int) -> None:
         for rack in range(1, racks + 1):
             for number in range(1, each + 1):
                 made = record(f"w{rack}{number}", rack=f"r{rack}", **more)  # type: ignore[arg-type]
-                self.board.set_worker(made, 0.0)
+                self.cluster_state.set_worker(made, 0.0)
 
     def add(
         self, *steps: Step, priority: int = URGENT, account: str = "depots", attempts: int = 3
@@ -87,28 +87,28 @@
             accepted_ms=self.jobs,
             request=JobRequest(payload="", steps=steps),
         )
-        self.board.add_job(accepted, {})
+        self.cluster_state.add_job(accepted, {})
         return job_id
 
     def plan(self, now: float = 0.0) -> Changes:
-        self.board.plan(now, 0.0)
-        changes = self.board.take()
+        self.cluster_state.plan(now, 0.0)
+        changes = self.cluster_state.take_changes()
         for start in changes.starts:
-            self.board.started(start.run, now)
+            self.cluster_state.run_started(start.run, now)
         return changes
 
     def end(self, job_id: str, how: EndKind, now: float = 1.0, saved: str = "") -> None:
-        for worker in list(self.board.workers.values()):
+        for worker in list(self.cluster_state.workers.values()):
             for key, run in list(worker.runs.items()):
                 if key[0].job_id == job_id:
                     end = EndedTask(1, str(key[0]), run.number, how, saved)
-                    self.board.ended(worker.worker_id, end, now)
+                    self.cluster_state.run_ended(worker.worker_id, end, now)
 
     def state(self, job_id: str) -> JobState:
-        return self.board.jobs[job_id].state
+        return self.cluster_state.jobs[job_id].state
 
 
-class BoardTest(BoardCase):
+class BoardTest(ClusterCase):
     def test_a_gang_waits_until_it_fits_whole(self) -> None:
         self.workers(each=2)
         self.add(step(1, 8))
@@ -130,11 +130,11 @@
 
     def test_a_gang_of_one_rack_waits_for_a_rack_whose_worker_is_on_trial(self) -> None:
         self.workers(racks=1, each=2)
-        self.board.set_worker(record("w21", rack="r2", accelerators=4), 0.0)
+        self.cluster_state.set_worker(record("w21", rack="r2", accelerators=4), 0.0)
         job = self.add(step(1, 1, label="r1"))
         self.plan()
         self.end(job, EndKind.FAILED)
-        self.board.cancel(job)
+        self.cluster_state.cancel(job)
         self.add(step(4, 4, gang=True, same_rack=True))
         self.assertEqual(self.plan(60.0).starts, [])
 
@@ -201,7 +201,7 @@
         bulk = self.add(step(8, 1), priority=BULK)
         self.plan()
         self.assertEqual(self.plan(PATIENT).starts, [])
-        self.board.cancel(gang)
+        self.cluster_state.cancel(gang)
         starts = self.plan(PATIENT).starts
         self.assertEqual({start.run.task.name.job_id for start in starts}, {bulk})
 
@@ -232,7 +232,7 @@
             for rack in ("r1", "r2", "r3"):
                 self.add(step(1, 8, label=rack), priority=NORMAL)
         self.plan(1.0)
-        empty = [worker for worker in self.board.workers.values() if not worker.runs]
+        empty = [worker for worker in self.cluster_state.workers.values() if not worker.runs]
         by_rack = [sum(worker.record.rack == f"r{rack}" for worker in empty) for rack in (1, 2, 3)]
         self.assertGreaterEqual(max(by_rack), 4)
         gang = self.add(step(4, 8, gang=True, same_rack=True), priority=URGENT)
@@ -256,7 +256,7 @@
 
     def test_within_its_guarantee_an_account_takes_back_from_who_is_beyond(self) -> None:
         self.workers(each=2)
-        self.board.configure({"depots": 8, "others": 8}, {"q": SERVICE})
+        self.cluster_state.configure({"depots": 8, "others": 8}, {"q": SERVICE})
         inside = self.add(step(1, 8), account="others")
         beyond = self.add(step(1, 8), account="others")
         self.plan()
@@ -267,7 +267,7 @@
 
     def test_beyond_its_guarantee_an_account_takes_nothing_of_its_equals(self) -> None:
         self.workers(each=1)
-        self.board.configure({"depots": 4}, {"q": SERVICE})
+        self.cluster_state.configure({"depots": 4}, {"q": SERVICE})
         self.add(step(1, 8), account="others")
         self.plan()
         self.add(step(1, 8))
@@ -275,7 +275,7 @@
 
     def test_a_suspected_worker_gets_nothing_new_and_keeps_what_waits_for_it(self) -> None:
         self.workers(each=2)
-        first, second = self.board.workers["w11"], self.board.workers["w12"]
+        first, second = self.cluster_state.workers["w11"], self.cluster_state.workers["w12"]
         first.suspected = True
         self.add(step(8, 1))
         self.assertEqual({s.run.worker_id for s in self.plan().starts}, {"w12"})
@@ -286,7 +286,7 @@
         self.assertEqual(len(self.plan().starts), 1)
 
     def test_reserved_room_on_a_suspected_worker_is_waited_for(self) -> None:
-        self.board.configure({"depots": 16}, {})
+        self.cluster_state.configure({"depots": 16}, {})
         self.workers(each=2)
         bulk = self.add(step(16, 1), priority=BULK)
         self.plan(PATIENT)
@@ -294,9 +294,9 @@
         stops = self.plan(PATIENT).stops
         self.assertTrue(stops)
         self.end(bulk, EndKind.STOPPED, PATIENT)
-        self.board.workers["w11"].suspected = True
+        self.cluster_state.workers["w11"].suspected = True
         self.assertEqual(self.plan(PATIENT + 0.1).starts, [])
-        self.board.workers["w11"].suspected = False
+        self.cluster_state.workers["w11"].suspected = False
         self.assertEqual(len(self.plan(PATIENT + 0.2).starts), 2)
 
     def test_a_reservation_is_given_up_with_its_worker(self) -> None:
@@ -306,9 +306,9 @@
         self.plan(PATIENT)
         self.add(step(1, 8))
         self.plan(PATIENT + 1)
-        self.board.unlist_worker("w11")
+        self.cluster_state.unlist_worker("w11")
         self.plan(PATIENT + 2)
-        self.assertEqual(self.board.workers["w11"].reserved, Resources())
+        self.assertEqual(self.cluster_state.workers["w11"].reserved, Resources())
 
     def test_failures_count_per_task_and_once_for_a_gang(self) -> None:
         self.workers(each=2)
@@ -326,9 +326,9 @@
         gang = self.add(step(2, 8, gang=True))
         run = self.plan().starts[0].run
         end = EndedTask(1, str(run.task.name), 1, EndKind.DONE, "")
-        self.board.ended(run.worker_id, end, 1.0)
+        self.cluster_state.run_ended(run.worker_id, end, 1.0)
         self.assertEqual(self.state(gang), JobState.COMPLETED)
-        self.assertEqual(sum(len(w.runs) for w in self.board.workers.values()), 1)
+        self.assertEqual(sum(len(w.runs) for w in self.cluster_state.workers.values()), 1)
 
     def test_a_worker_that_fails_work_is_left_alone_and_tried_with_one_task(self) -> None:
         self.workers(each=1)
@@ -370,19 +370,21 @@
     def test_what_runs_unknown_to_the_board_is_stopped(self) -> None:
         self.workers(each=1)
         row = RunningTask(str(TaskName("00000000000000ff", 0, 0, 0)), 3, "", 10)
-        self.board.reported("w11", [row], 0.0)
-        self.assertEqual([s.reason for s in self.board.take().stops], [StopReason.NOT_OURS])
+        self.cluster_state.worker_reported("w11", [row], 0.0)
+        self.assertEqual(
+            [s.reason for s in self.cluster_state.take_changes().stops], [StopReason.NOT_OURS]
+        )
 
     def test_progress_counts_from_when_it_was_reported(self) -> None:
         """Reports are up to 2 s old: half done after 2 s means done after 4 s, also at 3.1 s."""
         self.workers(each=1)
         job = self.add(Step(count=1, needs=Resources(1000, 1000, 1), estimate_ms=60_000))
         self.plan()
-        self.board.reported("w11", [RunningTask(f"{job}.0.0.0", 1, "", 50)], 2.0)
+        self.cluster_state.worker_reported("w11", [RunningTask(f"{job}.0.0.0", 1, "", 50)], 2.0)
         leaving = record("w11", draining=True, remaining_ms=2_000)
-        self.board.set_worker(leaving, 3.1)
+        self.cluster_state.set_worker(leaving, 3.1)
         self.assertEqual(self.plan(3.1).stops, [])
-        self.board.set_worker(record("w11", draining=True, remaining_ms=1_000), 3.2)
+        self.cluster_state.set_worker(record("w11", draining=True, remaining_ms=1_000), 3.2)
         self.assertEqual(len(self.plan(3.2).stops), 1)
 
     def test_on_a_notice_saving_work_goes_on_for_as_long_as_it_can_still_save(self) -> None:
@@ -391,8 +393,8 @@
         other = self.add(step(1), priority=NORMAL)
         self.plan()
         rows = [RunningTask(f"{job}.0.0.0", 1, "", 10) for job in (saving, other)]
-        self.board.reported("w11", rows, 9.0)
-        self.board.set_worker(record("w11", draining=True, remaining_ms=4000), 9.0)
+        self.cluster_state.worker_reported("w11", rows, 9.0)
+        self.cluster_state.set_worker(record("w11", draining=True, remaining_ms=4000), 9.0)
         self.assertEqual([stop.task.job_id for stop in self.plan(9.0).stops], [other])
         self.assertEqual(self.plan(13.0 - SAVE_MARGIN_S - 0.1).stops, [])
         stops = self.plan(13.0 - SAVE_MARGIN_S + 0.1).stops
@@ -402,8 +404,8 @@
         self.workers(each=1)
         job = self.add(step(1, checkpoint=True), priority=NORMAL)
         self.plan()
-        self.board.reported("w11", [RunningTask(f"{job}.0.0.0", 1, "", 96)], 9.6)
-        self.board.set_worker(record("w11", draining=True, remaining_ms=1100), 9.6)
+        self.cluster_state.worker_reported("w11", [RunningTask(f"{job}.0.0.0", 1, "", 96)], 9.6)
+        self.cluster_state.set_worker(record("w11", draining=True, remaining_ms=1100), 9.6)
         self.assertEqual(self.plan(9.6).stops, [])
 
     def test_what_ends_shortly_before_its_worker_leaves_is_left_alone(self) -> None:
@@ -415,8 +417,8 @@
             RunningTask(f"{ending}.0.0.0", 1, "", 87),
             RunningTask(f"{later}.0.0.0", 1, "", 80),
         ]
-        self.board.reported("w11", rows, 8.7)
-        self.board.set_worker(record("w11", draining=True, remaining_ms=2000), 8.7)
+        self.cluster_state.worker_reported("w11", rows, 8.7)
+        self.cluster_state.set_worker(record("w11", draining=True, remaining_ms=2000), 8.7)
         self.assertEqual([stop.task.job_id for stop in self.plan(8.7).stops], [later])
         self.assertEqual(self.plan(10.0).stops, [])
 
@@ -427,8 +429,8 @@
         self.plan()
         for task, worker, percent in ((0, "w11", 99), (1, "w12", 50)):
             row = RunningTask(f"{gang}.0.0.{task}", 1, "", percent)
-            self.board.reported(worker, [row], 10.0)
-        self.board.set_worker(record("w11", draining=True, remaining_ms=2000), 10.0)
+            self.cluster_state.worker_reported(worker, [row], 10.0)
+        self.cluster_state.set_worker(record("w11", draining=True, remaining_ms=2000), 10.0)
         stopped = {stop.worker_id for stop in self.plan(10.0).stops}
         self.assertEqual(stopped, {"w11", "w12"})
 
@@ -438,7 +440,7 @@
         long = self.add(step(1), priority=NORMAL)
         self.plan()
         now = 9.0
-        self.board.reported(
+        self.cluster_state.worker_reported(
             "w11",
             [
                 RunningTask(f"{job}.0.0.0", 1, "", percent)
@@ -446,13 +448,13 @@
             ],
             now,
         )
-        self.board.set_worker(record("w11", draining=True, remaining_ms=4000), now)
+        self.cluster_state.set_worker(record("w11", draining=True, remaining_ms=4000), now)
         stops = self.plan(now).stops
         self.assertEqual([stop.task.job_id for stop in stops], [long])
         self.assertIs(stops[0].reason, StopReason.WORKER_LEAVES)
 
 
-class RecordTest(BoardCase):
+class RecordTest(ClusterCase):
     def test_a_board_comes_back_from_its_records(self) -> None:
         self.workers(each=2)
         job = self.add(step(3, checkpoint=True), step(1, after=(0,)))
@@ -460,14 +462,14 @@
         kept = to_msgpack(changes.records[f"{job}.0"])
         other = ClusterState()
         other.set_worker(record("w11"), 0.0)
-        accepted = self.board.jobs[job].accepted
+        accepted = self.cluster_state.jobs[job].accepted
         other.add_job(accepted, {0: from_msgpack(kept, OccurrenceRecord)})
         tasks = other.jobs[job].occurrences[0].steps[0].tasks
         self.assertTrue(all(task.status is TaskStatus.ASSIGNED for task in tasks))
         self.assertTrue(all(task.run is not None and task.run.inherited for task in tasks))
         self.assertEqual(sum(len(w.runs) for w in other.workers.values()), 3)
         other.plan(0.0, 0.0)
-        self.assertEqual(other.take().starts, [])
+        self.assertEqual(other.take_changes().starts, [])
 
 
 class GuaranteeTest(unittest.TestCase):
@@ -477,10 +479,10 @@
     @given(st.integers(0, 2**32))
     def test_one_round_of_stops_is_enough(self, seed: int) -> None:
         rng = random.Random(seed)
-        case = BoardCase()
+        case = ClusterCase()
         case.setUp()
-        board = case.board
-        board.configure({"depots": 64}, {"q": SERVICE})
+        cluster_state = case.cluster_state
+        cluster_state.configure({"depots": 64}, {"q": SERVICE})
         case.workers(racks=3, each=8)
         for _ in range(40):
             wide = rng.choice((1, 2, 4, 8, 16))
@@ -496,31 +498,33 @@
         changes = case.plan(PATIENT + 2.0)
         for stop in changes.stops:
             end = EndedTask(1, str(stop.task), stop.number, EndKind.STOPPED, "")
-            board.ended(stop.worker_id, end, PATIENT + 2.9)
+            cluster_state.run_ended(stop.worker_id, end, PATIENT + 2.9)
         changes.starts += case.plan(PATIENT + 2.9).starts
         started = [s for s in changes.starts if s.run.task.name.job_id == job]
         self.assertEqual(len(started), count)
 
 
-class NewsTest(BoardCase):
+class NewsTest(ClusterCase):
     def test_a_report_that_changes_nothing_is_no_news(self) -> None:
         """Each report started a round of planning: on a large pool these took most of a core."""
         self.workers(each=1)
         job = self.add(step(1, 1))
         start = self.plan().starts[0]
         self.plan()
-        self.assertFalse(self.board.has_news)
+        self.assertFalse(self.cluster_state.has_changes)
         name = str(start.run.task.name)
-        self.board.reported("w11", [RunningTask(name, 1, "", 40, 0)], 1.0)
-        self.assertFalse(self.board.has_news)
-        self.board.reported("w11", [RunningTask("0" * 16 + ".0.0.0", 1, "", 40, 0)], 1.0)
-        self.assertTrue(self.board.has_news)
+        self.cluster_state.worker_reported("w11", [RunningTask(name, 1, "", 40, 0)], 1.0)
+        self.assertFalse(self.cluster_state.has_changes)
+        self.cluster_state.worker_reported(
+            "w11", [RunningTask("0" * 16 + ".0.0.0", 1, "", 40, 0)], 1.0
+        )
+        self.assertTrue(self.cluster_state.has_changes)
         self.plan(1.0)
         self.end(job, EndKind.DONE)
-        self.assertTrue(self.board.has_news)
+        self.assertTrue(self.cluster_state.has_changes)
 
 
-class Forgetful(Misses):
+class Forgetful(FailedShapes):
     """Tries each shape again."""
 
     def note_full(self, shape: int | None) -> None:
@@ -534,20 +538,20 @@
     @given(st.integers(0, 2**32))
     def test_invariants(self, seed: int) -> None:
         rng = random.Random(seed)
-        board = ClusterState()
-        board.configure({"depots": 8}, {"q": SERVICE})
+        cluster_state = ClusterState()
+        cluster_state.configure({"depots": 8}, {"q": SERVICE})
         done: set[TaskName] = set()
         now = 0.0
         for number in range(60):
             now += rng.uniform(0.1, 5.0)
-            self.happen(board, rng, number, now, done)
-            board.plan(now, now * 1000)
-            changes = board.take()
+            self.happen(cluster_state, rng, number, now, done)
+            cluster_state.plan(now, now * 1000)
+            changes = cluster_state.take_changes()
             for start in changes.starts:
                 self.assertNotIn(start.run.task.name, done)
-                worker = board.workers[start.run.worker_id]
+                worker = cluster_state.workers[start.run.worker_id]
                 self.assertTrue(worker.listed and not worker.record.draining)
-            self.check(board)
+            self.check(cluster_state)
 
     @settings(max_examples=60, deadline=None)
     @given(st.integers(0, 2**32))
@@ -556,30 +560,37 @@
         outcomes = []
         for forgetful in (False, True):
             rng = random.Random(seed)
-            board = ClusterState()
-            board.configure({"depots": 8}, {"q": SERVICE})
+            cluster_state = ClusterState()
+            cluster_state.configure({"depots": 8}, {"q": SERVICE})
             if forgetful:
-                board._planner._misses = Forgetful()
+                cluster_state._planner._failed_shapes = Forgetful()
             now = 0.0
             outcome = []
             for number in range(60):
                 now += rng.uniform(0.1, 5.0)
-                self.happen(board, rng, number, now, set())
-                board.plan(now, now * 1000)
-                changes = board.take()
+                self.happen(cluster_state, rng, number, now, set())
+                cluster_state.plan(now, now * 1000)
+                changes = cluster_state.take_changes()
                 outcome.append([(str(s.run.task.name), s.run.worker_id) for s in changes.starts])
                 outcome.append([(str(s.task), s.worker_id) for s in changes.stops])
             outcomes.append(outcome)
         self.assertEqual(*outcomes)
 
     def happen(
-        self, board: ClusterState, rng: random.Random, number: int, now: float, done: set[TaskName]
+        self,
+        cluster_state: ClusterState,
+        rng: random.Random,
+        number: int,
+        now: float,
+        done: set[TaskName],
     ) -> None:
-        runs = [run for worker in board.workers.values() for run in worker.runs.values()]
+        runs = [run for worker in cluster_state.workers.values() for run in worker.runs.values()]
         event = rng.choice(("worker", "job", "job", "end", "end", "started", "lost", "cancel"))
-        if event == "worker" or not board.workers:
+        if event == "worker" or not cluster_state.workers:
             name = f"w{rng.randrange(4)}"
-            board.set_worker(record(name, rack=f"r{name[-1]}", draining=rng.random() < 0.2), now)
+            cluster_state.set_worker(
+                record(name, rack=f"r{name[-1]}", draining=rng.random() < 0.2), now
+            )
         elif event == "job":
             count = rng.randint(1, 4)
             made = step(
@@ -602,36 +613,36 @@
                 accepted_ms=number,
                 request=JobRequest(payload="", steps=steps),
             )
-            board.add_job(accepted, {})
-        elif event == "cancel" and board.jobs:
-            board.cancel(rng.choice(list(board.jobs)))
+            cluster_state.add_job(accepted, {})
+        elif event == "cancel" and cluster_state.jobs:
+            cluster_state.cancel(rng.choice(list(cluster_state.jobs)))
         elif event == "lost":
-            board.worker_over(rng.choice(list(board.workers)))
+            cluster_state.worker_ended(rng.choice(list(cluster_state.workers)))
         elif runs:
             run = rng.choice(runs)
             if event == "started":
-                board.started(run, now)
+                cluster_state.run_started(run, now)
                 return
             how = rng.choice(list(EndKind))
-            members = board.members(run) if run.task.step.step.gang else [run]
+            members = cluster_state.members(run) if run.task.step.step.gang else [run]
             if how is EndKind.DONE:
                 done.update(member.task.name for member in members)
             end = EndedTask(number, str(run.task.name), run.number, how, "saved")
-            board.ended(run.worker_id, end, now)
+            cluster_state.run_ended(run.worker_id, end, now)
 
-    def check(self, board: ClusterState) -> None:
+    def check(self, cluster_state: ClusterState) -> None:
         seen: set[TaskName] = set()
-        for worker in board.workers.values():
+        for worker in cluster_state.workers.values():
             used = Resources()
             for run in worker.runs.values():
-                used = used + run.room
+                used = used + run.allocation
                 if run.task.run is run:
                     self.assertNotIn(run.task.name, seen)
                     seen.add(run.task.name)
             self.assertEqual(used, worker.used)
             self.assertTrue(used.fits(worker.record.capacity))
             self.assertTrue(Resources().fits(worker.reserved))
-        for job in board.jobs.values():
+        for job in cluster_state.jobs.values():
             for occurrence in job.occurrences:
                 for each in occurrence.steps:
                     self.check_step(each)
@@ -647,15 +658,15 @@
             self.assertTrue(all(steps[earlier].finished for earlier in each.step.after))
 
 
-class PacingTest(BoardCase):
+class PacingTest(ClusterCase):
     def report(self, tail: float, now: float) -> list[int]:
-        worker = self.board.workers["w11"]
+        worker = self.cluster_state.workers["w11"]
         rows = [
             RunningTask(str(run.task.name), 1, "", 100, tail if run.task.step.step.target_ms else 0)
             for run in worker.runs.values()
         ]
-        self.board.reported("w11", rows, now)
-        return [pace.percent for pace in self.board.take().paces]
+        self.cluster_state.worker_reported("w11", rows, now)
+        return [pace.percent for pace in self.cluster_state.take_changes().paces]
 
     def test_cut_at_once_and_raised_step_by_step(self) -> None:
         self.workers(each=1)
@@ -675,13 +686,13 @@
         self.add(step(1, long_running=True, fills=True))
         run = self.plan().starts[0].run
         run.pace = 0
-        self.assertEqual([p.percent for p in paces(self.board.workers["w11"], 1.0)], [100])
+        self.assertEqual([p.percent for p in paces(self.cluster_state.workers["w11"], 1.0)], [100])
 
 
-class AdviceTest(BoardCase):
+class AdviceTest(ClusterCase):
     def test_tickets_expire_and_denials_stand(self) -> None:
         self.workers(each=3)
-        workers = list(self.board.workers.values())
+        workers = list(self.cluster_state.workers.values())
         advice = StepAdvice()
         asked = advice.unknown(workers, 0.0)
         self.assertEqual(set(asked), {"w11", "w12", "w13"})
@@ -694,12 +705,12 @@
         self.assertIsNone(advice.ticket("w12", 2.7))
 
 
-class WaveTest(BoardCase):
+class WaveTest(ClusterCase):
     def test_never_more_than_allowed_are_away_and_idle_ones_go_first(self) -> None:
         self.workers(each=4)
         self.add(step(1, 8, label="r1"))
         self.plan()
-        workers = {w.record.machine: w for w in self.board.workers.values()}
+        workers = {w.record.machine: w for w in self.cluster_state.workers.values()}
         busy = next(name for name, worker in workers.items() if worker.runs)
         state = WaveState(Wave(1, tuple(workers), 60.0, 2), 0.0, 2.0)
         chosen = state.prepare(workers, 0.0)
@@ -712,8 +723,8 @@
         state.went_down(due[0])
         self.assertEqual(state.prepare(workers, 1.5), [])
         lives = dict(workers)
-        self.board.set_worker(record("new"), 2.0)
-        lives[due[0]] = self.board.workers["new"]
+        self.cluster_state.set_worker(record("new"), 2.0)
+        lives[due[0]] = self.cluster_state.workers["new"]
         self.assertEqual(len(state.prepare(lives, 2.0)), 1)
         self.assertFalse(state.finished)
         for name in state.machines:
@@ -724,7 +735,7 @@
         self.workers(each=1)
         self.add(step(1, 8))
         self.plan()
-        workers = {w.record.machine: w for w in self.board.workers.values()}
+        workers = {w.record.machine: w for w in self.cluster_state.workers.values()}
         state = WaveState(Wave(1, tuple(workers), 20.0, 1), 0.0, 2.0)
         (_, order_by) = state.prepare(workers, 0.0)[0]
         self.assertLess(order_by, 18.0)
@@ -737,20 +748,20 @@
         self.workers(each=1)
         self.add(step(1, 8))
         self.plan()
-        workers = {w.record.machine: w for w in self.board.workers.values()}
+        workers = {w.record.machine: w for w in self.cluster_state.workers.values()}
         state = WaveState(Wave(1, tuple(workers), 20.0, 1), 0.0, 2.0)
         (before, order_by) = state.prepare(workers, 0.0)[0]
         machine = before.record.machine
-        again = self.board.set_worker(record("again"), 1.0)
+        again = self.cluster_state.set_worker(record("again"), 1.0)
         self.assertEqual(state.prepare({machine: again}, 1.0), [(again, order_by)])
         self.assertEqual(state.prepare({machine: again}, 1.1), [])
         self.assertEqual(state.due({machine: again}, 1.1), [machine])
-        once_more = self.board.set_worker(record("once more"), 1.2)
+        once_more = self.cluster_state.set_worker(record("once more"), 1.2)
         self.assertEqual(state.due({machine: once_more}, 1.2), [machine])
         state.went_down(machine)
         state.prepare({machine: once_more}, 1.3)
         self.assertIs(state.machines[machine].status, MachineStatus.DOWN)
-        returned = self.board.set_worker(record("returned"), 4.0)
+        returned = self.cluster_state.set_worker(record("returned"), 4.0)
         state.prepare({machine: returned}, 4.0)
         self.assertIs(state.machines[machine].status, MachineStatus.DONE)
 
--- a/tests/test_capacity_news.py
+++ b/tests/test_capacity_news.py
@@ -11,7 +11,7 @@
 from saddlestack.policy.cluster.changes import StopReason
 from saddlestack.standins.pool.cluster import PoolCluster, job
 from saddlestack.work import JobState, Resources
-from tests.test_board import BULK, BoardCase, record, step
+from tests.test_board import BULK, ClusterCase, record, step
 from tests.test_pool import PoolTest
 from tests.test_session import Scene, SessionCase
 
@@ -22,10 +22,10 @@
 """Within this a leader has heard of a worker's record."""
 
 
-class ShrinkTest(BoardCase):
+class ShrinkTest(ClusterCase):
     def shrink(self, worker_id: str, capacity: Resources) -> None:
         made = replace(record(worker_id), capacity=capacity)
-        self.board.set_worker(made, 1.0)
+        self.cluster_state.set_worker(made, 1.0)
 
     def test_what_runs_goes_on_and_nothing_joins_it(self) -> None:
         self.workers(each=1)
@@ -52,7 +52,7 @@
         self.shrink("w11", SMALL)
         self.add(step(8, 1))
         self.assertEqual(len(self.plan(1.0).starts), 2)
-        self.board.set_worker(record("w11"), 1.5)
+        self.cluster_state.set_worker(record("w11"), 1.5)
         self.assertEqual(len(self.plan(1.5).starts), 6)
 
     def test_what_is_being_stopped_still_counts(self) -> None:
@@ -60,9 +60,9 @@
         running = self.add(step(1, 2), priority=BULK)
         self.plan()
         self.shrink("w11", SMALL)
-        run = self.board.jobs[running].occurrences[0].steps[0].tasks[0].run
+        run = self.cluster_state.jobs[running].occurrences[0].steps[0].tasks[0].run
         assert run is not None
-        self.board.stop_run(run, StopReason.PREEMPTED)
+        self.cluster_state.stop_run(run, StopReason.PREEMPTED)
         self.add(step(1, 1))
         self.assertEqual(self.plan(1.0).starts, [])
 
@@ -81,7 +81,7 @@
         self.shrink("w12", SMALL)
         self.add(step(2, 8, gang=True))
         self.assertEqual(self.plan(1.0).starts, [])
-        self.board.set_worker(record("w12"), 2.0)
+        self.cluster_state.set_worker(record("w12"), 2.0)
         self.assertEqual(len(self.plan(2.0).starts), 2)
 
 
@@ -90,7 +90,7 @@
         async def body(scene: Scene) -> None:
             start = scene.plan().starts[0]
             shrunk = replace(record("w11"), capacity=Resources(32_000, 64_000, 0))
-            scene.board.set_worker(shrunk, 0.1)
+            scene.cluster_state.set_worker(shrunk, 0.1)
             scene.session.start(start)
             await asyncio.sleep(1.0)
             self.assertEqual(scene.orders.starts, 0)
