--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -35,7 +35,7 @@
 from saddlestack.policy.cluster.state import ClusterState
 from saddlestack.policy.cluster.verdicts import VerdictKind
 from saddlestack.work import AcceptedJob, JobRequest, JobState, TaskName
-from tests.test_board import BULK, BoardCase, record, step
+from tests.test_board import BULK, ClusterCase, record, step
 
 SOON_S = 0.2
 """So soon after its start a task crashes its worker..."""
@@ -46,16 +46,16 @@
 """From one crash to the next."""
 
 
-class CrashCase(BoardCase):
+class CrashCase(ClusterCase):
     """Crashes one by one, in a pool that has been quiet for a while."""
 
     def workers(self, racks: int = 1, each: int = 2, **more: int) -> None:
         super().workers(racks, each, **more)
-        self.board.plan(-QUIET_S, 0.0)
-        self.board.plan(0.0, 0.0)
+        self.cluster_state.plan(-QUIET_S, 0.0)
+        self.cluster_state.plan(0.0, 0.0)
 
     def task(self, job_id: str, index: int = 0) -> Task:
-        return self.board.jobs[job_id].occurrences[0].steps[0].tasks[index]
+        return self.cluster_state.jobs[job_id].occurrences[0].steps[0].tasks[index]
 
     def run_of(self, job_id: str, index: int = 0) -> Run:
         run = self.task(job_id, index).run
@@ -67,14 +67,14 @@
 
     def crash(self, worker_id: str, at_s: float, *, unheard: bool = False) -> None:
         """A worker crashes; it was heard right before, and another life takes its place."""
-        worker = self.board.workers[worker_id]
+        worker = self.cluster_state.workers[worker_id]
         address, rack = worker.record.address, worker.record.rack
-        self.board.heard(worker, at_s - 0.001)
-        self.board.worker_over(worker_id, LifeEnd(at_s - 0.001, at_s + NOTICED_S, unheard))
-        self.board.unlist_worker(worker_id)
+        self.cluster_state.record_answer(worker, at_s - 0.001)
+        self.cluster_state.worker_ended(worker_id, LifeEnd(at_s - 0.001, at_s + NOTICED_S, unheard))
+        self.cluster_state.unlist_worker(worker_id)
         life = record(f"{worker_id}-{at_s:.0f}", rack=rack)
         self.assertEqual(life.address, address)
-        self.board.set_worker(life, at_s + 1.0)
+        self.cluster_state.set_worker(life, at_s + 1.0)
 
     def crash_under(self, job_id: str, now: float, index: int = 0) -> str:
         """The worker of a task crashes soon after the task has started."""
@@ -100,7 +100,7 @@
             self.assertIs(self.state(job), JobState.RUNNING)
             self.crash_under(job, now)
         self.assertIs(self.state(job), JobState.FAILED)
-        changes = self.board.take()
+        changes = self.cluster_state.take_changes()
         verdicts = [verdict.kind for verdict in changes.verdicts]
         self.assertEqual(verdicts, [VerdictKind.GIVEN_UP])
         self.assertEqual(changes.verdicts[0].crashes, 2)
@@ -108,7 +108,7 @@
 
     def test_in_a_pool_of_which_little_is_known_it_takes_a_third(self) -> None:
         """One that met two crashes within seconds may see many."""
-        BoardCase.workers(self, racks=2, each=4)
+        ClusterCase.workers(self, racks=2, each=4)
         job = self.add(step(1, 8))
         for number in range(3):
             self.assertIs(self.state(job), JobState.RUNNING if number else JobState.QUEUED)
@@ -138,7 +138,7 @@
         if self.state(culprit) is not JobState.FAILED:
             self.crash_under(culprit, 2 * PAUSE_S)
         self.assertIs(self.state(culprit), JobState.FAILED)
-        self.assertFalse(self.board._crashes.is_suspect(self.task(other)))
+        self.assertFalse(self.cluster_state._crashes.is_suspect(self.task(other)))
         self.assertIs(self.state(other), JobState.RUNNING)
 
     def run_of_past(self, job_id: str) -> str:
@@ -150,12 +150,12 @@
         job = self.add(step(1, 8))
         self.plan(0.0)
         self.crash_under(job, 0.0)
-        kept = self.board.take().records[f"{job}.0"]
+        kept = self.cluster_state.take_changes().records[f"{job}.0"]
         kept = from_msgpack(to_msgpack(kept), OccurrenceRecord)
-        before = self.board.jobs[job].accepted
-        self.board = ClusterState()
+        before = self.cluster_state.jobs[job].accepted
+        self.cluster_state = ClusterState()
         self.workers(racks=1, each=4)
-        self.board.add_job(before, {0: kept})
+        self.cluster_state.add_job(before, {0: kept})
         self.plan(PAUSE_S)
         self.crash_under(job, PAUSE_S)
         self.assertIs(self.state(job), JobState.FAILED)
@@ -165,12 +165,12 @@
         self.workers(racks=1, each=4)
         job = self.add(step(1, 4))
         self.plan(0.0)
-        kept = self.board.jobs[job].occurrences[0].to_record()
-        before = self.board.jobs[job].accepted
-        self.board = ClusterState()
-        self.board.add_job(before, {0: kept})
-        (ghost,) = self.board.workers
-        self.board.worker_over(ghost, LifeEnd(-math.inf, 5.0, unheard=True))
+        kept = self.cluster_state.jobs[job].occurrences[0].to_record()
+        before = self.cluster_state.jobs[job].accepted
+        self.cluster_state = ClusterState()
+        self.cluster_state.add_job(before, {0: kept})
+        (ghost,) = self.cluster_state.workers
+        self.cluster_state.worker_ended(ghost, LifeEnd(-math.inf, 5.0, unheard=True))
         known = self.known(job)
         assert known is not None
         self.assertEqual(known.crashes, 1)
@@ -184,7 +184,7 @@
         for time in range(LATER_STARTS):
             self.assertIs(self.state(job), JobState.QUEUED if not time else JobState.RUNNING)
             self.assertEqual(len(self.plan(float(time)).starts), 1)
-            self.board.stop_run(self.run_of(job), StopReason.WORKER_LEAVES)
+            self.cluster_state.stop_run(self.run_of(job), StopReason.WORKER_LEAVES)
             self.end(job, EndKind.STOPPED, time + 0.1)
         self.assertIs(self.state(job), JobState.FAILED)
         self.assertEqual(self.plan(9.0).starts, [])
@@ -195,7 +195,7 @@
         self.task(job).step.record.crashes[0] = CrashRecord(COUNTED_FROM, 0.0, 2.0)
         for time in range(LATER_STARTS + 1):
             self.plan(10.0 * time)
-            self.board.stop_run(self.run_of(job), StopReason.WORKER_LEAVES)
+            self.cluster_state.stop_run(self.run_of(job), StopReason.WORKER_LEAVES)
             self.end(job, EndKind.STOPPED, 10.0 * time + 2.5)
         self.assertIs(self.state(job), JobState.RUNNING)
 
@@ -205,8 +205,8 @@
         prior = CrashOdds().prior_log_odds
         self.task(job).step.record.crashes[0] = CrashRecord(COUNTED_FROM, prior, 100.0)
         for time in range(LATER_STARTS + 2):
-            self.board.plan(float(time), 0.0)
-            self.board.not_started(self.run_of(job))
+            self.cluster_state.plan(float(time), 0.0)
+            self.cluster_state.run_not_started(self.run_of(job))
         self.assertEqual(self.known(job), CrashRecord(COUNTED_FROM, prior, 100.0))
 
     def test_one_crash_convicts_nobody(self) -> None:
@@ -221,7 +221,7 @@
         job = self.add(step(1, 8))
         self.plan(0.0)
         worker_id = self.run_of(job).worker_id
-        self.board.set_worker(record(worker_id, draining=True, remaining_ms=500), 0.1)
+        self.cluster_state.set_worker(record(worker_id, draining=True, remaining_ms=500), 0.1)
         self.crash(worker_id, 0.7)
         self.assertIsNone(self.known(job))
 
@@ -230,21 +230,21 @@
         job = self.add(step(1, 8))
         self.plan(0.0)
         worker_id = self.run_of(job).worker_id
-        self.board.set_worker(record(worker_id, draining=True, remaining_ms=30_000), 0.1)
+        self.cluster_state.set_worker(record(worker_id, draining=True, remaining_ms=30_000), 0.1)
         self.crash(worker_id, 0.2)
         self.assertIsNotNone(self.known(job))
 
     def test_an_order_that_never_left_is_none(self) -> None:
         self.workers(racks=1, each=2)
         job = self.add(step(1, 8))
-        self.board.plan(0.0, 0.0)
+        self.cluster_state.plan(0.0, 0.0)
         self.crash_under(job, 0.0)
         self.assertIsNone(self.known(job))
 
     def test_an_order_that_was_not_answered_is_one(self) -> None:
         self.workers(racks=1, each=2)
         job = self.add(step(1, 8))
-        self.board.plan(0.0, 0.0)
+        self.cluster_state.plan(0.0, 0.0)
         self.run_of(job).ordered_s = 0.0
         self.crash_under(job, 0.0)
         self.assertIsNotNone(self.known(job))
@@ -255,12 +255,12 @@
         job = self.add(step(1, 4))
         for time in range(2):
             now = 100.0 + time * PAUSE_S
-            self.board.plan(now, 0.0)
+            self.cluster_state.plan(now, 0.0)
             run = self.run_of(job)
             run.ordered_s = now
-            self.board.worker_over(run.worker_id, LifeEnd(-math.inf, now + NOTICED_S))
+            self.cluster_state.worker_ended(run.worker_id, LifeEnd(-math.inf, now + NOTICED_S))
         self.assertIs(self.state(job), JobState.QUEUED)
-        self.assertFalse(self.board._crashes.is_likely(self.task(job)))
+        self.assertFalse(self.cluster_state._crashes.is_likely(self.task(job)))
 
     def test_a_run_that_is_being_stopped_counts(self) -> None:
         self.workers(racks=1, each=2)
@@ -275,19 +275,19 @@
         job = self.add(step(1, 8))
         self.plan(0.0)
         worker_id = self.run_of(job).worker_id
-        self.board.worker_over(worker_id, LifeEnd(0.2, 0.5, unheard=True))
+        self.cluster_state.worker_ended(worker_id, LifeEnd(0.2, 0.5, unheard=True))
         self.assertIsNone(self.known(job))
-        self.board.unlist_worker(worker_id)
+        self.cluster_state.unlist_worker(worker_id)
         self.assertIsNotNone(self.known(job))
 
     def test_a_listed_worker_that_answers_again_was_none(self) -> None:
         self.workers(racks=1, each=2)
         job = self.add(step(1, 8))
         self.plan(0.0)
-        worker = self.board.workers[self.run_of(job).worker_id]
-        self.board.worker_over(worker.worker_id, LifeEnd(0.2, 0.5, unheard=True))
-        self.board.heard(worker, 12.0)
-        self.board.unlist_worker(worker.worker_id)
+        worker = self.cluster_state.workers[self.run_of(job).worker_id]
+        self.cluster_state.worker_ended(worker.worker_id, LifeEnd(0.2, 0.5, unheard=True))
+        self.cluster_state.record_answer(worker, 12.0)
+        self.cluster_state.unlist_worker(worker.worker_id)
         self.assertIsNone(self.known(job))
 
     def test_a_life_that_is_heard_after_all_takes_the_charge_back(self) -> None:
@@ -297,8 +297,8 @@
         worker_id = self.run_of(job).worker_id
         self.crash(worker_id, SOON_S, unheard=True)
         self.assertIsNotNone(self.known(job))
-        back = self.board.set_worker(record(worker_id), 12.0)
-        self.board.heard(back, 12.0)
+        back = self.cluster_state.set_worker(record(worker_id), 12.0)
+        self.cluster_state.record_answer(back, 12.0)
         self.assertIsNone(self.known(job))
 
     def test_a_rack_that_crashes_at_once_makes_no_suspects(self) -> None:
@@ -307,19 +307,21 @@
         for time in range(3):
             self.plan(time * PAUSE_S)
             runs = {self.run_of(job).worker_id: job for job in jobs}
-            rack = self.board.workers[self.run_of(jobs[0]).worker_id].record.rack
-            lost = [w for w in runs if self.board.workers[w].record.rack == rack]
+            rack = self.cluster_state.workers[self.run_of(jobs[0]).worker_id].record.rack
+            lost = [w for w in runs if self.cluster_state.workers[w].record.rack == rack]
             at_s = time * PAUSE_S + SOON_S
             for worker_id in lost:
-                self.board.heard(self.board.workers[worker_id], at_s - 0.001)
-                self.board.workers[worker_id].silent_s = at_s + NOTICED_S
+                self.cluster_state.record_answer(
+                    self.cluster_state.workers[worker_id], at_s - 0.001
+                )
+                self.cluster_state.workers[worker_id].silent_s = at_s + NOTICED_S
             for worker_id in lost:
                 self.crash(worker_id, at_s)
             self.assertEqual({self.state(job) for job in jobs}, {JobState.RUNNING})
-        self.assertFalse(any(each.isolating for each in self.board.workers.values()))
+        self.assertFalse(any(each.isolating for each in self.cluster_state.workers.values()))
 
     def test_long_runs_on_workers_that_often_crash_are_not_given_up(self) -> None:
-        BoardCase.workers(self, racks=2, each=4)
+        ClusterCase.workers(self, racks=2, each=4)
         jobs = [self.add(step(1, 8)) for _ in range(8)]
         lived_s = 12.0
         for time in range(12):
@@ -345,11 +347,11 @@
 
     def break_gang(self, job: str, lost: str, now: float) -> None:
         """The workers of the other members tell that the gang is broken."""
-        for worker in list(self.board.workers.values()):
+        for worker in list(self.cluster_state.workers.values()):
             for name, number in list(worker.runs):
                 if name.job_id == job and worker.worker_id != lost:
                     end = EndedTask(1, str(name), number, EndKind.BROKEN, "")
-                    self.board.ended(worker.worker_id, end, now)
+                    self.cluster_state.run_ended(worker.worker_id, end, now)
 
     def test_a_gang_with_crashes_under_the_same_member_is_given_up(self) -> None:
         self.workers(racks=2, each=4)
@@ -368,9 +370,9 @@
         for time in range(3):
             self.plan(time * PAUSE_S)
             worker_id = self.run_of(job).worker_id
-            machine = self.board.workers[worker_id].record
+            machine = self.cluster_state.workers[worker_id].record
             self.crash(worker_id, time * PAUSE_S + SOON_S)
-            (life,) = self.board.workers.values()
+            (life,) = self.cluster_state.workers.values()
             life.record = replace(life.record, machine=machine.machine)
         self.assertIs(self.state(job), JobState.RUNNING)
 
@@ -378,16 +380,16 @@
         self.workers(racks=1, each=2)
         (job,) = self.suspects(1)
         crashed = self.task(job).crashed_on
-        for life in self.board.workers.values():
+        for life in self.cluster_state.workers.values():
             if life.worker_id.endswith("-0"):
                 life.record = replace(life.record, machine=next(iter(crashed)))
         self.plan(PAUSE_S)
-        self.assertNotIn(self.board.workers[self.run_of(job).worker_id].machine, crashed)
+        self.assertNotIn(self.cluster_state.workers[self.run_of(job).worker_id].machine, crashed)
 
 
 class IsolationTest(CrashCase):
     def neighbours(self, job: str) -> set[str]:
-        runs = self.board.workers[self.run_of(job).worker_id].runs
+        runs = self.cluster_state.workers[self.run_of(job).worker_id].runs
         return {name.job_id for name, _ in runs if name.job_id != job}
 
     def test_a_suspect_gets_an_empty_worker_that_nothing_joins(self) -> None:
@@ -397,7 +399,7 @@
         others = self.add(step(20, 1))
         self.plan(PAUSE_S + 0.1)
         self.assertEqual(self.neighbours(job), set())
-        self.assertEqual(self.board.jobs[others].state, JobState.RUNNING)
+        self.assertEqual(self.cluster_state.jobs[others].state, JobState.RUNNING)
 
     def test_its_worker_is_open_again_once_it_has_outlived_the_crash(self) -> None:
         self.workers(racks=1, each=1)
@@ -431,7 +433,7 @@
         jobs = self.suspects(8)
         for job in jobs:
             self.task(job).step.record.crashes[0].log_odds = 0.0
-        for worker in list(self.board.workers.values())[:9]:
+        for worker in list(self.cluster_state.workers.values())[:9]:
             worker.reserved = worker.record.capacity
             worker.used = worker.record.capacity
         self.plan(SOON_S)
@@ -459,18 +461,18 @@
         started = [each for each in filling if self.task(each).run is not None]
         self.assertTrue(started)
         self.plan(PAUSE_S)
-        self.assertTrue(any(each.isolating for each in self.board.workers.values()))
+        self.assertTrue(any(each.isolating for each in self.cluster_state.workers.values()))
 
     def kept(self, worker_id: str) -> None:
         """Suspects wait while all others are busy, and a worker is kept for them."""
-        for worker in self.board.workers.values():
+        for worker in self.cluster_state.workers.values():
             if worker.worker_id != worker_id:
                 worker.busy_s = 100.0
-        kept = self.board.workers[worker_id]
+        kept = self.cluster_state.workers[worker_id]
         kept.isolating = True
         self.plan(PAUSE_S)
         kept.isolating = True
-        self.board.planner._isolation._serving[kept] = PAUSE_S
+        self.cluster_state.planner._isolation._serving[kept] = PAUSE_S
         self.plan(PAUSE_S + 0.1)
 
     def test_a_worker_that_is_kept_is_used(self) -> None:
@@ -482,14 +484,14 @@
     def test_it_serves_no_other_service(self) -> None:
         self.workers(racks=1, each=3)
         (job,) = self.suspects(1)
-        self.board.set_worker(replace(record("other", rack="r9"), service="another"), 0.0)
+        self.cluster_state.set_worker(replace(record("other", rack="r9"), service="another"), 0.0)
         self.kept("other")
         self.assertIsNone(self.task(job).run)
 
     def test_where_a_start_needs_leave_none_is_kept(self) -> None:
         self.workers(racks=1, each=3)
         (job,) = self.suspects(1)
-        self.board.configure({}, {}, ["q"])
+        self.cluster_state.configure({}, {}, ["q"])
         self.kept("w13")
         self.assertIsNone(self.task(job).run)
 
@@ -499,7 +501,7 @@
         self.plan(0.0)
         for index in (0, 1):
             self.crash_under(job, 0.0, index)
-        crashes = self.board._crashes
+        crashes = self.cluster_state._crashes
         self.assertTrue(all(crashes.is_suspect(self.task(job, index)) for index in range(12)))
 
     def test_a_task_that_is_done_is_no_suspect(self) -> None:
@@ -516,7 +518,7 @@
         jobs = [self.add(step(1, 2)) for _ in range(3)]
         self.plan(0.0)
         self.crash_under(jobs[0], 0.0)
-        verdicts = self.board.take().verdicts
+        verdicts = self.cluster_state.take_changes().verdicts
         self.assertEqual({each.task for each in verdicts}, {TaskName(j, 0, 0, 0) for j in jobs})
         self.assertEqual({each.beside for each in verdicts}, {2})
 
--- a/tests/test_departure.py
+++ b/tests/test_departure.py
@@ -35,14 +35,14 @@
         scene.assign()
         scene.is_there()
         leaving = record("w11", draining=True, remaining_ms=2000)
-        scene.board.set_worker(leaving, asyncio.get_running_loop().time())
+        scene.cluster_state.set_worker(leaving, asyncio.get_running_loop().time())
 
     def test_its_work_waits_again_once_its_lease_has_lapsed(self) -> None:
         async def body(scene: Scene) -> None:
             self.run_on_leaving(scene)
             await asyncio.sleep(NOTICE_S)
             scene.orders.dark = True
-            scene.board.unlist_worker("w11")
+            scene.cluster_state.unlist_worker("w11")
             await asyncio.sleep(HOLD_S - WAIT_S)
             self.assertIs(scene.status, TaskStatus.ASSIGNED)
             await asyncio.sleep(WAIT_S + HOLD_S * (CLOCK_DRIFT - 1) + LAPSE_SLACK_S + READING_S)
@@ -54,7 +54,7 @@
         async def body(scene: Scene) -> None:
             self.run_on_leaving(scene)
             await asyncio.sleep(NOTICE_S)
-            scene.board.unlist_worker("w11")
+            scene.cluster_state.unlist_worker("w11")
             await asyncio.sleep(3 * HOLD_S)
             self.assertIs(scene.status, TaskStatus.ASSIGNED)
 
@@ -65,7 +65,7 @@
             self.run_on_leaving(scene)
             await asyncio.sleep(NOTICE_S)
             scene.orders.running = (RunningTask(TASK, 1, "", 90),)
-            scene.board.unlist_worker("w11")
+            scene.cluster_state.unlist_worker("w11")
             await asyncio.sleep(LOOKED_S)
             self.assertEqual(
                 scene.session.worker.runs[next(iter(scene.session.worker.runs))].percent, 90
--- a/tests/test_diagnosis.py
+++ b/tests/test_diagnosis.py
@@ -16,13 +16,13 @@
     IDLE_PATIENCE_S,
     NEAR_PATIENCE_S,
 )
-from saddlestack.policy.cluster.queue import STARTS_A_ROUND
+from saddlestack.policy.cluster.planner import MAX_STARTS_PER_ROUND
 from saddlestack.policy.cluster.reasons import Reason
-from saddlestack.policy.cluster.reservations import RESERVATION_S
+from saddlestack.policy.cluster.reservations import RESERVATION_TIMEOUT_S
 from saddlestack.policy.cluster.state import ClusterState
 from saddlestack.policy.standstill import STILL_S, StillWatch
 from saddlestack.work import AcceptedJob, JobRequest, Step
-from tests.test_board import BULK, NORMAL, PATIENT, SERVICE, URGENT, BoardCase, record, step
+from tests.test_board import BULK, NORMAL, PATIENT, SERVICE, URGENT, ClusterCase, record, step
 
 OPERATIONS = Path(__file__).resolve().parent.parent / "docs" / "OPERATIONS.md"
 SEEDS = (4, 5, 13)
@@ -50,10 +50,10 @@
     )
 
 
-class DiagnosisCase(BoardCase):
+class DiagnosisCase(ClusterCase):
     def setUp(self) -> None:
         super().setUp()
-        self.diagnosis = Diagnosis(self.board)
+        self.diagnosis = Diagnosis(self.cluster_state)
 
     def look(self, now: float = 0.0, **more: object) -> dict[str, Wait]:
         looked = self.diagnosis.look(circumstances(now, **more))  # type: ignore[arg-type]
@@ -79,17 +79,17 @@
             accepted_ms=self.jobs,
             request=request,
         )
-        self.board.add_job(accepted, {})
+        self.cluster_state.add_job(accepted, {})
         return job_id
 
     def plan_unconfirmed(self, now: float = 0.0) -> None:
         """A round whose starts no worker has answered yet."""
-        self.board.plan(now, 0.0)
-        self.board.take()
+        self.cluster_state.plan(now, 0.0)
+        self.cluster_state.take_changes()
 
     def fail(self, name: str, now: float) -> None:
         """A run fails on a worker, early: the worker is blamed."""
-        self.board.workers[name].failed(now, early=True)
+        self.cluster_state.workers[name].failed(now, early=True)
 
 
 class RunsTest(DiagnosisCase):
@@ -101,7 +101,7 @@
 
     def test_a_job_that_is_over_does_not_wait(self) -> None:
         job = self.add(step(1))
-        self.board.cancel(job)
+        self.cluster_state.cancel(job)
         self.assertEqual(self.look(), {})
 
     def test_a_start_that_is_not_in_the_store(self) -> None:
@@ -121,9 +121,9 @@
         self.workers()
         job = self.add(step(2, 8, gang=True))
         self.plan()
-        [run, other] = [r for w in self.board.workers.values() for r in w.runs.values()]
+        [run, other] = [r for w in self.cluster_state.workers.values() for r in w.runs.values()]
         end = EndedTask(1, str(run.task.name), run.number, EndKind.FAILED, "")
-        self.board.ended(run.worker_id, end, 5.0)
+        self.cluster_state.run_ended(run.worker_id, end, 5.0)
         self.assertTrue(other.stopping)
         self.assertEqual(self.why(job, 5.0), Reason.STOPPING)
 
@@ -131,7 +131,7 @@
         self.workers()
         job = self.add(step(1))
         [start] = self.plan().starts
-        self.board.workers[start.run.worker_id].reachable = False
+        self.cluster_state.workers[start.run.worker_id].reachable = False
         wait = self.look(1.0)[job]
         self.assertEqual((wait.reason, wait.until_s, wait.tasks), (Reason.LEASE, LEASE_S, 1))
         self.assertTrue(wait.beside_room)
@@ -141,7 +141,7 @@
         job = self.add(step(2, 8, gang=True))
         starts = self.plan().starts
         for start in starts:
-            self.board.workers[start.run.worker_id].reachable = False
+            self.cluster_state.workers[start.run.worker_id].reachable = False
         self.assertEqual(self.look(1.0)[job].tasks, 2)
 
     def test_a_job_that_is_not_due(self) -> None:
@@ -167,7 +167,7 @@
         self.look(1.0)
         [start] = self.plan(1.5).starts
         self.look(2.0)
-        self.board.workers[start.run.worker_id].reachable = False
+        self.cluster_state.workers[start.run.worker_id].reachable = False
         self.assertEqual(self.look(3.0)[job].since_s, 3.0)
 
 
@@ -181,11 +181,11 @@
 
     def test_a_full_round(self) -> None:
         for number in range(60):
-            self.board.set_worker(record(f"more{number}", rack="r2"), 0.0)
+            self.cluster_state.set_worker(record(f"more{number}", rack="r2"), 0.0)
         for _ in range(2):
-            self.add(step(STARTS_A_ROUND // 2, 1))
+            self.add(step(MAX_STARTS_PER_ROUND // 2, 1))
         late = self.add(step(1, 1))
-        full = self.board.plan(0.0, 0.0)
+        full = self.cluster_state.plan(0.0, 0.0)
         self.assertTrue(full)
         self.assertEqual(self.why(late, round_full=full), Reason.ROUND_FULL)
 
@@ -215,7 +215,7 @@
         self.plan()
         self.assertEqual(self.why(job), Reason.TOO_WIDE)
         for number in range(4):
-            self.board.set_worker(record(f"new{number}"), 1.0)
+            self.cluster_state.set_worker(record(f"new{number}"), 1.0)
         self.assertEqual(len(self.plan(1.0).starts), 13)
 
     def test_a_pool_without_workers(self) -> None:
@@ -236,7 +236,7 @@
 
     def test_workers_that_leave_or_are_evacuated(self) -> None:
         self.workers()
-        self.board.evacuate(frozenset({"hall"}))
+        self.cluster_state.evacuate(frozenset({"hall"}))
         job = self.add(step(1))
         self.assertEqual(self.plan().starts, [])
         self.assertEqual(self.why(job), Reason.LEAVING)
@@ -244,10 +244,10 @@
     def test_a_pool_that_is_wide_enough_only_with_an_evacuated_hall(self) -> None:
         self.workers()
         for number in (1, 2):
-            self.board.set_worker(record(f"far{number}", rack="r2", hall="far"), 0.0)
+            self.cluster_state.set_worker(record(f"far{number}", rack="r2", hall="far"), 0.0)
         self.add(step(4, 8), priority=BULK)
         self.plan(PATIENT)
-        self.board.evacuate(frozenset({"far"}))
+        self.cluster_state.evacuate(frozenset({"far"}))
         job = self.add(step(3, 8, gang=True), priority=BULK)
         self.assertEqual(self.why(job), Reason.LEAVING)
 
@@ -267,7 +267,7 @@
         self.workers(each=2)
         for name, at in (("w11", 0.0), ("w12", 0.5)):
             self.fail(name, at)
-            self.board.workers[name].probation_s = 0.0
+            self.cluster_state.workers[name].probation_s = 0.0
         job = self.add(step(2, 8, gang=True), priority=BULK)
         wait = self.look(1.0)[job]
         self.assertEqual((wait.reason, wait.until_s), (Reason.QUARANTINE, 2.5))
@@ -299,15 +299,15 @@
     def test_workers_that_are_kept_for_a_task_that_may_crash_them(self) -> None:
         """It was told that the next round would place it, for as long as that task ran."""
         self.workers(each=1)
-        self.board.workers["w11"].isolating = True
+        self.cluster_state.workers["w11"].isolating = True
         job = self.add(step(1, 1))
         self.assertEqual(self.plan().starts, [])
         self.assertEqual(self.why(job), Reason.ISOLATED)
 
     def test_workers_that_do_not_answer(self) -> None:
         self.workers(each=2)
-        self.board.workers["w11"].reachable = False
-        self.board.workers["w12"].suspected = True
+        self.cluster_state.workers["w11"].reachable = False
+        self.cluster_state.workers["w12"].suspected = True
         job = self.add(step(1))
         self.assertEqual(self.plan().starts, [])
         wait = self.look()[job]
@@ -339,26 +339,26 @@
         self.plan()
         [start] = self.plan(PATIENT).starts
         self.end(job, EndKind.FAILED, 1.0)
-        self.board.workers[start.run.worker_id].succeeded(1.0)
+        self.cluster_state.workers[start.run.worker_id].succeeded(1.0)
         self.assertEqual(self.plan(PATIENT).starts, [])
         self.assertEqual(self.why(job, PATIENT), Reason.FAILED_THERE)
 
     def test_the_adviser(self) -> None:
         self.workers()
-        self.board.configure({}, {}, advised=("q",))
+        self.cluster_state.configure({}, {}, advised=("q",))
         job = self.add(step(1))
         self.assertEqual(self.plan().starts, [])
         self.assertEqual(self.why(job), Reason.ADVISER)
-        [state] = self.board.jobs[job].occurrences[0].steps
+        [state] = self.cluster_state.jobs[job].occurrences[0].steps
         state.advice.told(["w11"], [Leave("w11", "ticket", 10.0)], 0.0)
         self.assertEqual(self.why(job), Reason.NEXT_ROUND)
 
     def test_a_diagnosis_asks_no_adviser(self) -> None:
         self.workers()
-        self.board.configure({}, {}, advised=("q",))
+        self.cluster_state.configure({}, {}, advised=("q",))
         self.add(step(1))
         self.look()
-        self.assertFalse(self.board.has_news)
+        self.assertFalse(self.cluster_state.has_changes)
 
     def test_workers_that_are_kept_for_a_gang(self) -> None:
         self.workers(each=2)
@@ -383,7 +383,7 @@
         self.assertEqual(self.plan(PATIENT).starts, [])
         looked = self.look(PATIENT)
         self.assertEqual(looked[urgent].reason, Reason.MAKING_ROOM)
-        self.assertEqual(looked[urgent].until_s, PATIENT + RESERVATION_S)
+        self.assertEqual(looked[urgent].until_s, PATIENT + RESERVATION_TIMEOUT_S)
         self.assertEqual(looked[bulk].reason, Reason.RESERVED)
 
     def test_the_headroom(self) -> None:
@@ -402,7 +402,7 @@
 
     def test_a_planted_standstill_is_found_once(self) -> None:
         self.workers(racks=2, each=4)
-        for worker in self.board.workers.values():
+        for worker in self.cluster_state.workers.values():
             worker.quarantine_s = PATIENT
         job = self.add(step(2, 8, gang=True), priority=BULK)
         watch = StillWatch()
@@ -422,17 +422,17 @@
 
     def test_a_gang_of_one_rack_has_room_where_whole_gangs_fit(self) -> None:
         self.workers(racks=2, each=3)
-        for worker in self.board.workers.values():
+        for worker in self.cluster_state.workers.values():
             worker.quarantine_s = PATIENT
         fits_twice = self.add(step(3, 8, gang=True, same_rack=True), priority=BULK)
         looked = self.look()
         self.assertTrue(looked[fits_twice].beside_room)
-        self.board.unlist_worker("w21")
+        self.cluster_state.unlist_worker("w21")
         self.assertFalse(self.look()[fits_twice].beside_room)
 
     def test_room_in_an_evacuated_hall_is_none(self) -> None:
         self.workers(each=4)
-        self.board.evacuate(frozenset({"hall"}))
+        self.cluster_state.evacuate(frozenset({"hall"}))
         job = self.add(step(1))
         self.assertFalse(self.look()[job].beside_room)
 
@@ -469,7 +469,7 @@
 """Told of a board, the time, and whether a round was just decided."""
 
 
-class DecisionsTest(BoardCase):
+class DecisionsTest(ClusterCase):
     """A diagnosis changes no decision, and what it calls fitting is placed."""
 
     def play(self, look: Look, seed: int) -> list[str]:
@@ -478,34 +478,34 @@
         decided = []
         for number in range(12):
             made = record(f"w{number}", rack=f"r{number % 3}", hall=f"hall{number % 2}")
-            self.board.set_worker(made, 0.0)
+            self.cluster_state.set_worker(made, 0.0)
         for number in range(240):
             now = number * 0.25
             for _ in range(rng.choice((0, 1, 2))):
                 self.add(_some_step(rng), priority=rng.choice((URGENT, NORMAL, BULK)))
-            look(self.board, now, False)
+            look(self.cluster_state, now, False)
             changes = self.plan(now)
             decided += [f"{s.run.task.name} {s.run.worker_id}" for s in changes.starts]
             decided += [f"{s.task} {s.worker_id} {s.reason}" for s in changes.stops]
-            look(self.board, now, True)
+            look(self.cluster_state, now, True)
             self.some_ends(rng, now)
         return decided
 
     def some_ends(self, rng: random.Random, now: float) -> None:
-        for worker in list(self.board.workers.values()):
+        for worker in list(self.cluster_state.workers.values()):
             for key, run in list(worker.runs.items()):
                 how = rng.choices((EndKind.DONE, EndKind.FAILED, None), (3, 1, 20))[0]
                 if run.stopping:
                     how = rng.choice((EndKind.STOPPED, None))
                 if how is not None:
                     end = EndedTask(1, str(key[0]), run.number, how, "")
-                    self.board.ended(worker.worker_id, end, now + 0.1)
+                    self.cluster_state.run_ended(worker.worker_id, end, now + 0.1)
 
     def test_the_same_is_decided_with_and_without(self) -> None:
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 looks = Looks()
-                without = self.play(lambda board, now, planned: None, seed)
+                without = self.play(lambda cluster_state, now, planned: None, seed)
                 self.assertEqual(self.play(looks.look, seed), without)
                 self.assertGreater(len(looks.reasons), 8)
 
@@ -530,9 +530,9 @@
         self._diagnosis: Diagnosis | None = None
         self._left: dict[str, int] = {}
 
-    def look(self, board: ClusterState, now: float, planned: bool) -> None:
+    def look(self, cluster_state: ClusterState, now: float, planned: bool) -> None:
         if self._diagnosis is None:
-            self._diagnosis = Diagnosis(board)
+            self._diagnosis = Diagnosis(cluster_state)
         waits = self._diagnosis.look(circumstances(now)).waits
         self.reasons.update(wait.reason for wait in waits)
         if planned:
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -50,8 +50,8 @@
         """Workers that the leader may give work to, by id."""
         leader = cluster.leader
         assert leader is not None and leader.scheduler is not None
-        board = leader.scheduler.board
-        return {worker.worker_id for worker in board.workers.values() if worker.stays}
+        cluster_state = leader.scheduler.cluster_state
+        return {worker.worker_id for worker in cluster_state.workers.values() if worker.stays}
 
 
 class MalformedTest(EntryCase):
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -12,7 +12,7 @@
 from saddlestack.standins.loop import run
 from saddlestack.standins.pool.cluster import PoolCluster, job
 from saddlestack.work import JobState
-from tests.test_board import BULK, PATIENT, BoardCase, record, step
+from tests.test_board import BULK, PATIENT, ClusterCase, record, step
 from tests.test_pool import PoolTest
 from tests.test_session import Scene, SessionCase
 
@@ -23,43 +23,45 @@
 """A watch tells of a change at once, in 4 ms; a round of decisions follows."""
 
 
-class BoardEvacuationTest(BoardCase):
+class BoardEvacuationTest(ClusterCase):
     def setUp(self) -> None:
         super().setUp()
         for hall, rack in ((NEAR, "r1"), (FAR, "r2")):
             for number in (1, 2):
                 made = record(f"{rack}-{number}", rack=rack, hall=hall)
-                self.board.set_worker(made, 0.0)
+                self.cluster_state.set_worker(made, 0.0)
 
     def halls(self, now: float = 0.0) -> set[str]:
         """The halls in which something is started now."""
         starts = self.plan(now).starts
-        return {self.board.workers[start.run.worker_id].record.data_hall for start in starts}
+        return {
+            self.cluster_state.workers[start.run.worker_id].record.data_hall for start in starts
+        }
 
     def test_nothing_starts_there_from_then_on_and_what_runs_goes_on(self) -> None:
         running = self.add(step(32, 1))
         self.assertEqual(self.halls(), {NEAR, FAR})
-        self.board.evacuate(frozenset({FAR}))
+        self.cluster_state.evacuate(frozenset({FAR}))
         changes = self.plan(1.0)
         self.assertEqual(changes.stops, [])
-        self.board.evacuate(frozenset())
-        self.board.cancel(running)
+        self.cluster_state.evacuate(frozenset())
+        self.cluster_state.cancel(running)
 
     def test_work_goes_to_what_is_left(self) -> None:
-        self.board.evacuate(frozenset({FAR}))
+        self.cluster_state.evacuate(frozenset({FAR}))
         self.add(step(20, 1))
         self.assertEqual(self.halls(), {NEAR})
 
     def test_all_halls_are_evacuated_and_one_is_taken_back(self) -> None:
-        self.board.evacuate(frozenset({NEAR, FAR}))
+        self.cluster_state.evacuate(frozenset({NEAR, FAR}))
         self.add(step(2, 8, gang=True))
         self.assertEqual(self.halls(), set())
-        self.board.evacuate(frozenset({NEAR}))
+        self.cluster_state.evacuate(frozenset({NEAR}))
         self.assertEqual(self.halls(1.0), {FAR})
 
     def test_a_worker_that_comes_meanwhile_gets_nothing(self) -> None:
-        self.board.evacuate(frozenset({NEAR, FAR, "hall-3"}))
-        self.board.set_worker(record("new", rack="r3", hall="hall-3"), 1.0)
+        self.cluster_state.evacuate(frozenset({NEAR, FAR, "hall-3"}))
+        self.cluster_state.set_worker(record("new", rack="r3", hall="hall-3"), 1.0)
         self.add(step(1, 1))
         self.assertEqual(self.halls(1.0), set())
 
@@ -68,23 +70,23 @@
         self.plan(PATIENT)
         self.add(step(2, 8, gang=True))
         stops = self.plan(PATIENT + 1).stops
-        first = {self.board.workers[stop.worker_id].record.data_hall for stop in stops}
+        first = {self.cluster_state.workers[stop.worker_id].record.data_hall for stop in stops}
         self.assertEqual(len(first), 1)
-        self.board.evacuate(frozenset(first))
+        self.cluster_state.evacuate(frozenset(first))
         stops = self.plan(PATIENT + 1.1).stops
-        second = {self.board.workers[stop.worker_id].record.data_hall for stop in stops}
+        second = {self.cluster_state.workers[stop.worker_id].record.data_hall for stop in stops}
         self.assertEqual(second, {NEAR, FAR} - first)
-        held = [w for w in self.board.workers.values() if w.reserved.accelerators]
+        held = [w for w in self.cluster_state.workers.values() if w.reserved.accelerators]
         self.assertEqual({w.record.data_hall for w in held}, second)
 
     def test_the_headroom_is_a_share_of_what_is_left(self) -> None:
         """Of two workers one may be opened: a quarter of six would have to stay empty."""
         for number in (1, 2):
-            self.board.set_worker(record(f"r3-{number}", rack="r3", hall="hall-3"), 0.0)
-        self.board.evacuate(frozenset({NEAR}))
+            self.cluster_state.set_worker(record(f"r3-{number}", rack="r3", hall="hall-3"), 0.0)
+        self.cluster_state.evacuate(frozenset({NEAR}))
         self.add(step(4, 8), priority=BULK)
         self.assertEqual(self.halls(), {FAR, "hall-3"})
-        self.board.evacuate(frozenset({FAR, "hall-3"}))
+        self.cluster_state.evacuate(frozenset({FAR, "hall-3"}))
         for starts in (1, 0):
             self.add(step(1, 8), priority=BULK)
             self.assertEqual(len(self.plan(1.0).starts), starts)
@@ -92,8 +94,8 @@
     def test_nothing_waits_for_the_headroom_while_most_of_the_service_is_idle(self) -> None:
         """Half of the four workers that are left is in use, a third of all six."""
         for name in ("r1-3", "r1-4"):
-            self.board.set_worker(record(name, rack="r1", hall=NEAR), 0.0)
-        self.board.evacuate(frozenset({FAR}))
+            self.cluster_state.set_worker(record(name, rack="r1", hall=NEAR), 0.0)
+        self.cluster_state.evacuate(frozenset({FAR}))
         self.add(step(2, 8), priority=BULK)
         self.plan()
         self.add(step(1, 8), priority=BULK)
@@ -102,11 +104,11 @@
 
     def test_the_headroom_stays_shut_while_half_of_the_whole_service_is_in_use(self) -> None:
         for name in ("r1-3", "r1-4"):
-            self.board.set_worker(record(name, rack="r1", hall=NEAR), 0.0)
-        self.board.evacuate(frozenset({NEAR}))
+            self.cluster_state.set_worker(record(name, rack="r1", hall=NEAR), 0.0)
+        self.cluster_state.evacuate(frozenset({NEAR}))
         self.add(step(2, 8), priority=BULK)
         self.assertEqual(self.halls(), {FAR})
-        self.board.evacuate(frozenset({FAR}))
+        self.cluster_state.evacuate(frozenset({FAR}))
         self.add(step(2, 8), priority=BULK)
         self.plan(1.0)
         self.add(step(1, 8), priority=BULK)
@@ -114,7 +116,7 @@
         self.assertEqual(self.plan(2.5 + IDLE_PATIENCE_S).starts, [])
 
     def test_a_gang_of_one_rack_uses_a_rack_that_is_left(self) -> None:
-        self.board.evacuate(frozenset({FAR}))
+        self.cluster_state.evacuate(frozenset({FAR}))
         self.add(step(2, 8, gang=True, same_rack=True))
         self.assertEqual(self.halls(), {NEAR})
 
@@ -122,7 +124,7 @@
         for name in ("r1-1", "r1-2", "r2-1"):
             rack = name[:2]
             hall = NEAR if rack == "r1" else FAR
-            self.board.set_worker(record(name, rack=rack, hall=hall, cold_ms=4000), 1.0)
+            self.cluster_state.set_worker(record(name, rack=rack, hall=hall, cold_ms=4000), 1.0)
         self.add(step(1, 8))
         self.assertEqual([start.run.worker_id for start in self.plan(1.0).starts], ["r2-2"])
         self.add(step(1, 8))
@@ -130,20 +132,20 @@
 
     def test_a_record_that_is_read_again_makes_nobody_cold_again(self) -> None:
         cold = record("r1-1", rack="r1", hall=NEAR, cold_ms=4000)
-        self.board.set_worker(cold, 1.0)
-        worker = self.board.set_worker(cold, 4.0)
+        self.cluster_state.set_worker(cold, 1.0)
+        worker = self.cluster_state.set_worker(cold, 4.0)
         self.assertFalse(worker.is_cold(5.1))
 
     def test_no_run_is_called_stuck_while_its_worker_is_cold(self) -> None:
-        for worker in list(self.board.workers.values()):
+        for worker in list(self.cluster_state.workers.values()):
             cold = record(worker.worker_id, rack=worker.record.rack, cold_ms=30_000)
-            self.board.set_worker(cold, 0.0)
+            self.cluster_state.set_worker(cold, 0.0)
         self.add(step(1, 1))
         run = self.plan().starts[0].run
         for now in (0.1, 1.0, 1.0 + LEAST_STILL_S, 9.0):
             row = RunningTask(str(run.task.name), 1, "", 5)
-            self.board.reported(run.worker_id, [row], now)
-        self.assertEqual(self.board.take().stops, [])
+            self.cluster_state.worker_reported(run.worker_id, [row], now)
+        self.assertEqual(self.cluster_state.take_changes().stops, [])
 
 
 class OrderEvacuationTest(SessionCase):
@@ -152,7 +154,7 @@
             scene.orders.start_faults = [WorkerUnreachable]
             scene.assign()
             await asyncio.sleep(0.1)
-            scene.board.evacuate(frozenset({"hall"}))
+            scene.cluster_state.evacuate(frozenset({"hall"}))
             await asyncio.sleep(2.0)
             self.assertEqual(scene.orders.starts, 1)
             self.assertEqual(len(scene.orders.stops), 1)
@@ -163,7 +165,7 @@
     def test_a_start_that_has_not_left_yet_never_does(self) -> None:
         async def body(scene: Scene) -> None:
             scene.assign()
-            scene.board.evacuate(frozenset({"hall"}))
+            scene.cluster_state.evacuate(frozenset({"hall"}))
             await asyncio.sleep(1.0)
             self.assertEqual(scene.orders.starts, 0)
             self.assertIs(scene.status, TaskStatus.WAITING)
@@ -276,10 +278,10 @@
             await cluster.submit(A, job(4, accelerators=8, gang=True), queue="urgent", at="entry-2")
             await asyncio.sleep(0.4)
             assert leader.vm.scheduler is not None
-            leader.vm.scheduler.board.evacuate(frozenset({FAR}))
+            leader.vm.scheduler.cluster_state.evacuate(frozenset({FAR}))
             await asyncio.sleep(3.0)
             self.assertEqual(self.starts_in(cluster, FAR), 0)
-            leader.vm.scheduler.board.evacuate(frozenset())
+            leader.vm.scheduler.cluster_state.evacuate(frozenset())
             leader.vm.scheduler.changed()
             await cluster.until_state(A, JobState.COMPLETED)
 
--- a/tests/test_inherited.py
+++ b/tests/test_inherited.py
@@ -72,8 +72,8 @@
         """Wait until the present leader counts no run of the job as present."""
         leader = cluster.leader
         assert leader is not None and leader.scheduler is not None
-        board = leader.scheduler.board
-        tasks = board.jobs[A].occurrences[0].steps[0].tasks
+        cluster_state = leader.scheduler.cluster_state
+        tasks = cluster_state.jobs[A].occurrences[0].steps[0].tasks
         first = [task.run for task in tasks]
         await cluster.until(
             lambda: all(task.run is not run for task, run in zip(tasks, first, strict=True))
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -12,12 +12,12 @@
 
 from saddlestack.interfaces.workers import EndKind
 from saddlestack.policy.cluster.changes import Changes, StopReason
-from saddlestack.policy.cluster.lending import LATE_S, LONGEST_STOP_S
+from saddlestack.policy.cluster.lending import DEFAULT_STOP_S, LOAN_GRACE_S
 from saddlestack.policy.cluster.patience import LENDING_PATIENCE_S
-from saddlestack.policy.cluster.reservations import OVERDUE_S
+from saddlestack.policy.cluster.reservations import STOP_OVERDUE_S
 from saddlestack.policy.cluster.survey import pools
 from saddlestack.work import Step
-from tests.test_board import BULK, NORMAL, PATIENT, SERVICE, BoardCase, step
+from tests.test_board import BULK, NORMAL, PATIENT, SERVICE, ClusterCase, step
 
 ASKED_S = 2 * PATIENT
 """The urgent gang is handed in then."""
@@ -36,7 +36,7 @@
     return [start.run.task.name.job_id for start in changes.starts]
 
 
-class LendingCase(BoardCase):
+class LendingCase(ClusterCase):
     """Twelve workers, four of them held; an urgent gang needs nine, so that one run has to stop."""
 
     def setUp(self) -> None:
@@ -69,15 +69,15 @@
     def test_short_work_is_lent_room_before_it_stalls(self) -> None:
         job = self.beside(lasting(step(1), 1.0))
         self.assertEqual(jobs_of(self.plan(LENT_S - 0.1)), [])
-        self.assertEqual(self.board.planner.borrows_s, LENT_S)
+        self.assertEqual(self.cluster_state.planner.next_loan_s, LENT_S)
         self.assertEqual(jobs_of(self.plan(LENT_S)), [job])
 
     def test_idle_reserved_room_is_told(self) -> None:
-        pool = pools(self.board.workers.values(), ASKED_S)[SERVICE]
+        pool = pools(self.cluster_state.workers.values(), ASKED_S)[SERVICE]
         self.assertEqual(pool.reserved_idle, 8 * WHOLE)
         self.beside(lasting(step(1, 3), 1.0))
         self.plan(LENT_S)
-        pool = pools(self.board.workers.values(), LENT_S)[SERVICE]
+        pool = pools(self.cluster_state.workers.values(), LENT_S)[SERVICE]
         self.assertEqual(pool.reserved_idle, 8 * WHOLE - 3)
 
     def test_a_gang_is_lent_room_whole(self) -> None:
@@ -85,7 +85,7 @@
         self.assertEqual(jobs_of(self.plan(LENT_S)), [job] * 4)
 
     def test_work_that_is_expected_to_outlast_the_stops_is_lent_none(self) -> None:
-        left_s = LONGEST_STOP_S - LENDING_PATIENCE_S + LATE_S
+        left_s = DEFAULT_STOP_S - LENDING_PATIENCE_S + LOAN_GRACE_S
         self.beside(lasting(step(1), left_s + 0.01))
         self.beside(step(1, long_running=True))
         self.assertEqual(jobs_of(self.plan(LENT_S)), [])
@@ -98,7 +98,7 @@
         self.add(lasting(step(1), 0.0), priority=NORMAL)
         self.plan(LENT_S)
         later_s = LENT_S + LENDING_PATIENCE_S
-        self.assertGreater(later_s - LENT_S, ASKED_S + LONGEST_STOP_S - later_s + LATE_S)
+        self.assertGreater(later_s - LENT_S, ASKED_S + DEFAULT_STOP_S - later_s + LOAN_GRACE_S)
         self.assertEqual(jobs_of(self.plan(later_s)), [])
 
     def test_runs_of_a_queue_tell_how_long_its_work_takes(self) -> None:
@@ -145,14 +145,14 @@
         self.beside(lasting(step(1, once=True), 1.0))
         self.plan(LENT_S)
         self.stops_are_through(LENT_S + 0.5)
-        late_s = ASKED_S + 2 * OVERDUE_S
+        late_s = ASKED_S + 2 * STOP_OVERDUE_S
         self.assertNotIn("once", [stop.reason for stop in self.plan(late_s).stops])
         self.assertTrue(all(stop.task.job_id in self.held for stop in self.plan(late_s).stops))
 
     def test_other_urgent_work_stops_a_run_that_was_lent_room_as_any_other(self) -> None:
         job = self.beside(lasting(step(1), 1.0))
         self.plan(LENT_S)
-        self.board.cancel(self.gang)
+        self.cluster_state.cancel(self.gang)
         self.add(step(12, WHOLE, gang=True))
         stopped = {stop.task.job_id for stop in self.plan(LENT_S + 0.1).stops}
         self.assertIn(job, stopped)
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -8,39 +8,39 @@
 
 from saddlestack.models import Adjacency, Shape
 from saddlestack.policy.assigning import CellKind, CellSearch
-from saddlestack.policy.cluster.backfill import KEPT_GANGS, Backfill
+from saddlestack.policy.cluster.backfill import MAX_KEPT_GANGS, Backfill
 from saddlestack.policy.cluster.changes import Start
-from saddlestack.policy.cluster.fits import Fit, Fits
+from saddlestack.policy.cluster.fits import FitCache, FitKey
 from saddlestack.policy.cluster.headroom import may_open
-from saddlestack.policy.cluster.index import RoomIndex, ServiceRooms
+from saddlestack.policy.cluster.index import CapacityIndex, ServiceCapacity
 from saddlestack.policy.cluster.jobs import StepState
 from saddlestack.policy.cluster.places import IndexedPlaces, ListedPlaces
-from saddlestack.policy.cluster.reservations import RESERVATION_S, Reservations
+from saddlestack.policy.cluster.reservations import RESERVATION_TIMEOUT_S, Reservations
 from saddlestack.policy.cluster.workers import Worker
 from saddlestack.work import JobState, Resources, Step
-from tests.test_board import BULK, NORMAL, SERVICE, BoardCase, record, step
+from tests.test_board import BULK, NORMAL, SERVICE, ClusterCase, record, step
 
 
-class HeadroomTest(BoardCase):
+class HeadroomTest(ClusterCase):
     def pool(self, racks: int, each: int) -> list[Worker]:
         self.workers(racks, each)
-        return list(self.board.workers.values())
+        return list(self.cluster_state.workers.values())
 
     def use(self, *workers: Worker) -> None:
         """Fill workers whole, with something that counts as running there."""
         for worker in workers:
-            job = self.board.jobs[self.add(step(1, 8))]
-            self.board.assign(job.occurrences[0].steps[0].tasks[0], worker, 1, 0.0)
+            job = self.cluster_state.jobs[self.add(step(1, 8))]
+            self.cluster_state.assign(job.occurrences[0].steps[0].tasks[0], worker, 1, 0.0)
 
-    def rooms(self) -> ServiceRooms:
-        index = RoomIndex()
-        for worker in self.board.workers.values():
+    def service_capacity(self) -> ServiceCapacity:
+        index = CapacityIndex()
+        for worker in self.cluster_state.workers.values():
             index.add(worker)
-        index.begin(0.0)
+        index.begin_round(0.0)
         return index.service(SERVICE)
 
     def may_open(self, *places: Worker) -> bool:
-        return may_open(self.rooms(), places, 0.0)
+        return may_open(self.service_capacity(), places, 0.0)
 
     def test_an_idle_pool_may_be_opened(self) -> None:
         pool = self.pool(racks=1, each=4)
@@ -48,13 +48,13 @@
 
     def test_half_of_accelerators_or_of_processors_is_half_used(self) -> None:
         pool = self.pool(racks=1, each=2)
-        self.assertFalse(self.rooms().open.half_used)
+        self.assertFalse(self.service_capacity().open.is_half_used)
         pool[0].used = Resources(0, 0, 8)
-        self.assertTrue(self.rooms().open.half_used)
+        self.assertTrue(self.service_capacity().open.is_half_used)
         pool[0].used = Resources(32_000, 0, 0)
-        self.assertTrue(self.rooms().open.half_used)
+        self.assertTrue(self.service_capacity().open.is_half_used)
         pool[0].used = Resources(31_000, 0, 7)
-        self.assertFalse(self.rooms().open.half_used)
+        self.assertFalse(self.service_capacity().open.is_half_used)
 
     def test_a_quarter_stays_shut_once_half_is_used(self) -> None:
         pool = self.pool(racks=4, each=2)
@@ -83,18 +83,18 @@
         self.assertFalse(self.may_open(pool[8]))
 
 
-class BackfillTest(BoardCase):
+class BackfillTest(ClusterCase):
     def waiting(self, job_id: str) -> StepState:
-        return self.board.jobs[job_id].occurrences[0].steps[0]
+        return self.cluster_state.jobs[job_id].occurrences[0].steps[0]
 
     def kept(self, gang: StepState, asking: StepState) -> set[str]:
         """Workers that one step leaves to another, alike by the index and by looking at each."""
-        workers = list(self.board.workers.values())
-        index = RoomIndex()
+        workers = list(self.cluster_state.workers.values())
+        index = CapacityIndex()
         for worker in workers:
             index.add(worker)
-        index.begin(0.0)
-        fits = Fits(index).of(Fit(SERVICE, gang.step.room, gang.step.label, proven=True))
+        index.begin_round(0.0)
+        fits = FitCache(index).of(FitKey(SERVICE, gang.step.room, gang.step.label, proven=True))
         found = []
         for places in (ListedPlaces(gang, workers), IndexedPlaces(gang, fits, None)):
             backfill = Backfill()
@@ -142,7 +142,7 @@
 
     def test_no_more_gangs_than_the_bound_keep_workers(self) -> None:
         backfill = Backfill()
-        for _ in range(KEPT_GANGS):
+        for _ in range(MAX_KEPT_GANGS):
             self.assertFalse(backfill.is_full)
             backfill.keep((), NORMAL)
         self.assertTrue(backfill.is_full)
@@ -150,17 +150,17 @@
         self.assertFalse(backfill.is_full)
 
 
-class VictimsTest(BoardCase):
+class VictimsTest(ClusterCase):
     """Whole gangs are stopped, so what one gang frees has to count for all of the need."""
 
     def run_on(self, made: Step, workers: list[str], now: float) -> str:
         """Have a bulk job run on some workers since some time."""
         job_id = self.add(made, priority=BULK)
-        tasks = self.board.jobs[job_id].occurrences[0].steps[0].tasks
+        tasks = self.cluster_state.jobs[job_id].occurrences[0].steps[0].tasks
         for task, worker_id in zip(tasks, workers, strict=True):
-            self.board.assign(task, self.board.workers[worker_id], 1, now)
-        for start in self.board.take().starts:
-            self.board.started(start.run, now)
+            self.cluster_state.assign(task, self.cluster_state.workers[worker_id], 1, now)
+        for start in self.cluster_state.take_changes().starts:
+            self.cluster_state.run_started(start.run, now)
         return job_id
 
     def stopped(self, wanted: Step, now: float) -> list[str]:
@@ -192,17 +192,19 @@
         self.assertEqual(self.state(small), JobState.RUNNING)
 
 
-class HallsTest(BoardCase):
+class HallsTest(ClusterCase):
     """A gang over several data halls is lost with each of them."""
 
     def halls(self, names: Sequence[str], each: int) -> None:
         for name in names:
             for number in range(each):
                 made = record(f"{name}{number}", rack=f"{name}-{number}")
-                self.board.set_worker(replace(made, data_hall=name), 0.0)
+                self.cluster_state.set_worker(replace(made, data_hall=name), 0.0)
 
     def halls_of(self, starts: Sequence[Start]) -> set[str]:
-        return {self.board.workers[start.run.worker_id].record.data_hall for start in starts}
+        return {
+            self.cluster_state.workers[start.run.worker_id].record.data_hall for start in starts
+        }
 
     def test_a_gang_lies_in_one_hall_where_it_fits(self) -> None:
         self.halls(("north", "south"), each=3)
@@ -224,21 +226,21 @@
         """On a pool of 24 workers that cost 0.04 of a calm day."""
         self.halls(("north", "south"), each=3)
         for worker_id in ("north0", "south0"):
-            job = self.board.jobs[self.add(step(1, 4))]
-            worker = self.board.workers[worker_id]
-            self.board.assign(job.occurrences[0].steps[0].tasks[0], worker, 1, 0.0)
-        self.board.take()
+            job = self.cluster_state.jobs[self.add(step(1, 4))]
+            worker = self.cluster_state.workers[worker_id]
+            self.cluster_state.assign(job.occurrences[0].steps[0].tasks[0], worker, 1, 0.0)
+        self.cluster_state.take_changes()
         self.add(step(2, 4, gang=True))
         starts = self.plan().starts
         self.assertEqual({start.run.worker_id for start in starts}, {"north0", "south0"})
 
 
-class ReservationsTest(BoardCase):
+class ReservationsTest(ClusterCase):
     def setUp(self) -> None:
         super().setUp()
         self.workers(each=1)
-        self.worker = self.board.workers["w11"]
-        job = self.board.jobs[self.add(step(2, 4))]
+        self.worker = self.cluster_state.workers["w11"]
+        job = self.cluster_state.jobs[self.add(step(2, 4))]
         self.step = job.occurrences[0].steps[0]
         self.reservations = Reservations()
 
@@ -260,21 +262,21 @@
 
     def test_it_is_kept_for_a_while_and_no_longer(self) -> None:
         self.reservations.reserve(self.step, [self.worker], 0.0)
-        self.reservations.release_stale(RESERVATION_S)
+        self.reservations.release_expired(RESERVATION_TIMEOUT_S)
         self.assertIsNotNone(self.reservations.of(self.step))
-        self.reservations.release_stale(RESERVATION_S + 0.1)
+        self.reservations.release_expired(RESERVATION_TIMEOUT_S + 0.1)
         self.assert_given_up()
 
     def test_it_is_given_up_with_its_worker(self) -> None:
         self.reservations.reserve(self.step, [self.worker], 0.0)
         self.worker.listed = False
-        self.reservations.release_stale(0.0)
+        self.reservations.release_expired(0.0)
         self.assert_given_up()
 
     def test_it_is_given_up_with_its_job(self) -> None:
         self.reservations.reserve(self.step, [self.worker], 0.0)
         self.step.occurrence.job.cancelled = True
-        self.reservations.release_stale(0.0)
+        self.reservations.release_expired(0.0)
         self.assert_given_up()
 
     def assert_given_up(self) -> None:
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -652,7 +652,9 @@
             leader = cluster.leader
             assert leader is not None and leader.scheduler is not None
             fence = leader.scheduler.fence
-            with unittest.mock.patch.object(leader.scheduler.board, "plan", side_effect=KeyError):
+            with unittest.mock.patch.object(
+                leader.scheduler.cluster_state, "plan", side_effect=KeyError
+            ):
                 await cluster.until(
                     lambda: (
                         cluster.leader is not None
@@ -674,8 +676,8 @@
             await cluster.until(lambda: cluster.floor.starts_of(A) == 4)
             leader = cluster.leader
             assert leader is not None and leader.scheduler is not None
-            board = leader.scheduler.board
-            with unittest.mock.patch.object(board, "reported", side_effect=KeyError):
+            cluster_state = leader.scheduler.cluster_state
+            with unittest.mock.patch.object(cluster_state, "worker_reported", side_effect=KeyError):
                 await asyncio.sleep(4.0)
             await cluster.until_state(A, JobState.COMPLETED)
             self.assertEqual(cluster.floor.starts_of(A), 4)
--- a/tests/test_progress.py
+++ b/tests/test_progress.py
@@ -9,12 +9,12 @@
 from saddlestack.policy.cluster.changes import Changes, StopReason
 from saddlestack.policy.cluster.progress import LEAST_STILL_S, MOST_MOVES, RESUMING_S, needs_looks
 from saddlestack.work import Step
-from tests.test_board import BULK, URGENT, BoardCase, step
+from tests.test_board import BULK, URGENT, ClusterCase, step
 
 ESTIMATE_S = 1.0
 
 
-class ProgressTest(BoardCase):
+class ProgressTest(ClusterCase):
     def setUp(self) -> None:
         super().setUp()
         self.workers(each=4)
@@ -26,17 +26,17 @@
 
     def report(self, now: float, percents: dict[str, int]) -> Changes:
         """Each worker tells how far its runs are; workers not named tell 50 %."""
-        for worker in list(self.board.workers.values()):
+        for worker in list(self.cluster_state.workers.values()):
             percent = percents.get(worker.worker_id, 50)
             rows = [
                 RunningTask(str(name), number, run.saved, percent, 0.0)
                 for (name, number), run in worker.runs.items()
             ]
-            self.board.reported(worker.worker_id, rows, now)
-        return self.board.take()
+            self.cluster_state.worker_reported(worker.worker_id, rows, now)
+        return self.cluster_state.take_changes()
 
     def placed(self, job_id: str) -> list[str]:
-        tasks = self.board.jobs[job_id].occurrences[0].steps[0].tasks
+        tasks = self.cluster_state.jobs[job_id].occurrences[0].steps[0].tasks
         return [task.run.worker_id for task in tasks if task.run is not None]
 
     def test_an_urgent_gang_with_a_member_that_stands_still_begins_again_elsewhere(self) -> None:
@@ -68,13 +68,13 @@
 
     def test_members_that_are_not_all_there_do_not_work_yet(self) -> None:
         gang = self.add(step(2, 8, gang=True))
-        self.board.plan(0.0, 0.0)
-        starts = self.board.take().starts
-        self.board.started(starts[0].run, 0.0)
+        self.cluster_state.plan(0.0, 0.0)
+        starts = self.cluster_state.take_changes().starts
+        self.cluster_state.run_started(starts[0].run, 0.0)
         first = starts[0].run.worker_id
         for now in (0.3, 2.0):
             self.assertEqual(self.report(now, {first: 0}).stops, [])
-        self.board.started(starts[1].run, 2.0)
+        self.cluster_state.run_started(starts[1].run, 2.0)
         self.assertEqual(self.report(2.5, dict.fromkeys(self.placed(gang), 0)).stops, [])
         self.assertEqual(len(self.report(2.7, {first: 0}).stops), 2)
 
@@ -99,7 +99,7 @@
 
     def test_a_run_that_resumes_may_take_longer_to_move(self) -> None:
         job = self.begin(step(1, 8, checkpoint=True))
-        self.board.jobs[job].occurrences[0].steps[0].tasks[0].record.saved = "saved"
+        self.cluster_state.jobs[job].occurrences[0].steps[0].tasks[0].record.saved = "saved"
         (worker,) = self.placed(job)
         self.assertEqual(self.report(0.3, {worker: 0}).stops, [])
         patience_s = 0.3 + LEAST_STILL_S + RESUMING_S
@@ -126,18 +126,18 @@
 
     def test_workers_with_urgent_work_are_looked_at_often(self) -> None:
         bulk = self.begin(step(1, 8), priority=BULK)
-        self.assertFalse(needs_looks(self.board.workers[self.placed(bulk)[0]]))
+        self.assertFalse(needs_looks(self.cluster_state.workers[self.placed(bulk)[0]]))
         urgent = self.begin(step(1, 8))
-        self.assertTrue(needs_looks(self.board.workers[self.placed(urgent)[0]]))
+        self.assertTrue(needs_looks(self.cluster_state.workers[self.placed(urgent)[0]]))
         self.end(urgent, EndKind.DONE)
-        self.assertFalse(any(needs_looks(worker) for worker in self.board.workers.values()))
+        self.assertFalse(any(needs_looks(worker) for worker in self.cluster_state.workers.values()))
 
 
-class CautionTest(BoardCase):
+class CautionTest(ClusterCase):
     """Workers that fail all that they start are free, and take both tries of a job."""
 
     def prove(self, worker_id: str, now: float) -> None:
-        self.board.workers[worker_id].succeeded(now)
+        self.cluster_state.workers[worker_id].succeeded(now)
 
     def fail(self, job_id: str, now: float) -> None:
         self.end(job_id, EndKind.FAILED, now=now)
@@ -168,7 +168,7 @@
             (start,) = self.plan(0.0).starts
             self.assertEqual(start.run.worker_id, worker_id)
             self.fail(job_id, 0.1)
-            self.board.cancel(job_id)
+            self.cluster_state.cancel(job_id)
 
     def test_while_workers_fail_at_once_urgent_work_goes_where_work_has_ended_well(self) -> None:
         self.wave()
@@ -179,15 +179,15 @@
         self.workers(each=8)
         gangs = [self.add(step(2, 8, gang=True)) for _ in range(2)]
         self.plan(0.0)
-        bad = [self.board.jobs[g].occurrences[0].steps[0].tasks[0].run for g in gangs]
+        bad = [self.cluster_state.jobs[g].occurrences[0].steps[0].tasks[0].run for g in gangs]
         names = {run.worker_id for run in bad if run is not None}
         for now in (0.3, 1.0):
-            for worker in list(self.board.workers.values()):
+            for worker in list(self.cluster_state.workers.values()):
                 percent = 0 if worker.worker_id in names else round(now * 50)
                 rows = [
                     RunningTask(str(name), number, "", percent, 0.0) for name, number in worker.runs
                 ]
-                self.board.reported(worker.worker_id, rows, now)
+                self.cluster_state.worker_reported(worker.worker_id, rows, now)
         for gang in gangs:
             self.end(gang, EndKind.STOPPED, now=1.2)
         placed = {s.run.worker_id for s in self.plan(1.3).starts[:2]}
@@ -200,7 +200,7 @@
             job_id = self.add(step(1, 8), attempts=9)
             self.plan(3.0)
             self.fail(job_id, 3.1)
-            self.board.cancel(job_id)
+            self.cluster_state.cancel(job_id)
         self.assertNotEqual(self.place(3.2)[1], "w16")
 
     def test_other_work_does_not_care_for_them(self) -> None:
@@ -218,7 +218,7 @@
         job_id = self.add(step(2, 8, gang=True, same_rack=True), attempts=2)
         self.plan(0.0)
         self.fail(job_id, 1.0)
-        for worker in self.board.workers.values():
+        for worker in self.cluster_state.workers.values():
             worker.quarantine_s = worker.probation_s = 0.0
             worker.strikes = 0
         self.prove("w13", 4.0)
@@ -231,7 +231,7 @@
         job_id = self.add(step(2, 8, gang=True), attempts=2)
         self.plan(0.0)
         self.end(job_id, EndKind.FAILED, now=1.0)
-        for worker in self.board.workers.values():
+        for worker in self.cluster_state.workers.values():
             worker.quarantine_s = worker.probation_s = 0.0
             worker.strikes = 0
         self.prove("w13", 1.0)
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -123,7 +123,7 @@
     :param stored: whether the store has all that is known.
     """
 
-    board: ClusterState
+    cluster_state: ClusterState
     fence: int = FENCE
     hold_s: float = HOLD_S
     rounds: int = 0
@@ -153,7 +153,7 @@
 class Scene:
     """One worker, one job of one task, and the session under test."""
 
-    board: ClusterState
+    cluster_state: ClusterState
     owner: LoneOwner
     orders: ScriptedOrders
     session: WorkerSession
@@ -166,8 +166,8 @@
         return session
 
     def plan(self) -> Changes:
-        self.board.plan(asyncio.get_running_loop().time(), 0.0)
-        return self.board.take()
+        self.cluster_state.plan(asyncio.get_running_loop().time(), 0.0)
+        return self.cluster_state.take_changes()
 
     def assign(self) -> None:
         """Decide that the task runs, and order it."""
@@ -188,7 +188,7 @@
     @property
     def status(self) -> TaskStatus:
         """Where the task stands."""
-        return self.board.jobs[JOB].occurrences[0].steps[0].tasks[0].status
+        return self.cluster_state.jobs[JOB].occurrences[0].steps[0].tasks[0].status
 
 
 class SessionCase(unittest.TestCase):
@@ -196,8 +196,8 @@
 
     def play(self, body: Callable[[Scene], Awaitable[None]]) -> None:
         async def main() -> None:
-            board = ClusterState()
-            worker = board.set_worker(record("w11"), 0.0)
+            cluster_state = ClusterState()
+            worker = cluster_state.set_worker(record("w11"), 0.0)
             step = Step(count=1, needs=Resources(1000, 1000, 1), estimate_ms=1000)
             accepted = AcceptedJob(
                 job_id=JOB,
@@ -209,15 +209,15 @@
                 accepted_ms=1,
                 request=JobRequest(payload="", steps=(step,)),
             )
-            board.add_job(accepted, {})
-            owner = LoneOwner(board)
+            cluster_state.add_job(accepted, {})
+            owner = LoneOwner(cluster_state)
             owner.stored.set()
             orders = ScriptedOrders()
             leases = Leases(HOLD_S, -LONG_AGO_S)
             session = WorkerSession(worker, orders, owner, Clock(), leases)
             session.begin()
             try:
-                await body(Scene(board, owner, orders, session, leases))
+                await body(Scene(cluster_state, owner, orders, session, leases))
             finally:
                 await session.close()
 
@@ -257,7 +257,7 @@
             scene.assign()
             scene.is_there(percent=0)
             await asyncio.sleep(LEAST_STILL_S + 3 * LOOK_S)
-            stops = scene.board.take().stops
+            stops = scene.cluster_state.take_changes().stops
             self.assertEqual([stop.reason for stop in stops], [StopReason.STUCK])
             self.assertGreaterEqual(len(scene.orders.seen), 4)
 
@@ -270,7 +270,7 @@
             scene.is_there(percent=0)
             scene.session.suspect()  # has it looked at, as a new leader does
             await asyncio.sleep(LEAST_STILL_S + 4 * LOOK_S)
-            stops = scene.board.take().stops
+            stops = scene.cluster_state.take_changes().stops
             self.assertEqual([stop.reason for stop in stops], [StopReason.STUCK])
 
         self.play(body)
@@ -307,7 +307,7 @@
             await asyncio.sleep(0.1)
             scene.session.start(start)
             await asyncio.sleep(0.1)
-            scene.board.worker_over(start.run.worker_id)
+            scene.cluster_state.worker_ended(start.run.worker_id)
             await asyncio.sleep(2.0)
             self.assertEqual(scene.orders.starts, 0)
 
@@ -327,7 +327,7 @@
             await asyncio.sleep(0.2)  # the look that waits has told of the end at 2.0 s
             self.assertIs(scene.status, TaskStatus.DONE)
             await asyncio.sleep(0.5)
-            self.assertEqual(scene.board.take().stops, [])
+            self.assertEqual(scene.cluster_state.take_changes().stops, [])
 
         self.play(body)
 
@@ -337,7 +337,7 @@
             scene.is_there()
             await asyncio.sleep(2 * WAIT_S + 0.1)
             run = next(iter(scene.session.worker.runs.values()))
-            scene.board.stop_run(run, StopReason.PREEMPTED)
+            scene.cluster_state.stop_run(run, StopReason.PREEMPTED)
             scene.session.stop(run.task.name, run.number)
             await asyncio.sleep(WAIT_S)
             scene.orders.hold_faults = [WorkerUnreachable]
@@ -471,7 +471,7 @@
             scene.assign()
             scene.is_there()
             await asyncio.sleep(0.5)
-            scene.board.unlist_worker("w11")
+            scene.cluster_state.unlist_worker("w11")
             scene.orders.ended = (EndedTask(1, TASK, 1, EndKind.DONE, ""),)
             scene.orders.running = ()
             await asyncio.sleep(WAIT_S)
@@ -534,8 +534,8 @@
             scene.assign()
             scene.is_there()
             await asyncio.sleep(1.0)
-            scene.board.unlist_worker(scene.session.worker.worker_id)
-            scene.board.worker_over(scene.session.worker.worker_id)
+            scene.cluster_state.unlist_worker(scene.session.worker.worker_id)
+            scene.cluster_state.worker_ended(scene.session.worker.worker_id)
             with self.assertNoLogs("saddlestack.session", "ERROR"):
                 await asyncio.sleep(2 * WAIT_S)
             self.assertIs(scene.status, TaskStatus.WAITING)
--- a/tests/test_stale_beliefs.py
+++ b/tests/test_stale_beliefs.py
@@ -228,7 +228,7 @@
             await asyncio.sleep(1.0)
             leader = cluster.leader
             assert leader is not None and leader.scheduler is not None
-            known = leader.scheduler.board.workers[worker.worker_id]
+            known = leader.scheduler.cluster_state.workers[worker.worker_id]
             known.record = replace(known.record, address="")
             worker.unreachable = True
             await asyncio.sleep(HOLD_S / 2)
@@ -309,14 +309,14 @@
         ``listed`` looks for what is gone among the workers and the refused records alone.
         """
         floor_record = PlatformDocuments().worker(Item("servers/w", encoded(), 1))
-        board = ClusterState()
+        cluster_state = ClusterState()
         context = unittest.mock.Mock(documents=PlatformDocuments(), metrics=unittest.mock.Mock())
         context.clock.now.return_value = 1.0
-        workers = WorkerList(context, board, unittest.mock.Mock())
+        workers = WorkerList(context, cluster_state, unittest.mock.Mock())
         workers.listed([Item("servers/w", encoded(), 1)])
         workers.listed([])
         workers.know_services([floor_record.service])
-        self.assertEqual(list(board.workers), [])
+        self.assertEqual(list(cluster_state.workers), [])
 
 
 if __name__ == "__main__":
--- a/tests/test_standstills.py
+++ b/tests/test_standstills.py
@@ -15,7 +15,7 @@
 
 from saddlestack.interfaces.workers import EndKind
 from saddlestack.policy.cluster.jobs import StepState
-from saddlestack.policy.cluster.queue import Planner
+from saddlestack.policy.cluster.planner import Planner
 from saddlestack.policy.standstill import STILL_S
 from saddlestack.standins.loop import WALL_EPOCH_S
 from saddlestack.work import JobRequest, Step, TaskName
@@ -146,7 +146,7 @@
         leader = self.leader
         assert leader.entry is not None
         assert leader.entry.scheduler is not None
-        leader.entry.scheduler.board.forget(JOB)
+        leader.entry.scheduler.cluster_state.remove_job(JOB)
         self.assertEqual(self.after(SKIPPED_S).unexplained, [])
 
     # Explained
--- a/tests/test_still_steps.py
+++ b/tests/test_still_steps.py
@@ -12,13 +12,13 @@
 import unittest
 
 from saddlestack.policy.standstill import STILL_S
-from tests.test_board import BULK, NORMAL, URGENT, BoardCase, record, step
+from tests.test_board import BULK, NORMAL, URGENT, ClusterCase, record, step
 
 TICK_S = 0.5
 """A leader decides at least so often."""
 
 
-class StillStepsTest(BoardCase):
+class StillStepsTest(ClusterCase):
     def started_within(self, job_id: str, until_s: float) -> bool:
         """Whether something of a job starts up to some time, with a round each tick."""
         now = 0.0
@@ -65,10 +65,10 @@
         """Halls that are being evacuated count as free room of the pool."""
         self.workers(racks=2, each=2)
         for name in ("w31", "w32", "w33", "w34", "w35", "w36"):
-            self.board.set_worker(record(name, rack="r3", hall="other"), 0.0)
+            self.cluster_state.set_worker(record(name, rack="r3", hall="other"), 0.0)
         self.add(step(4, 4), priority=BULK)
         self.plan()
-        self.board.evacuate(frozenset({"other"}))
+        self.cluster_state.evacuate(frozenset({"other"}))
         self.add(step(3, 8, gang=True), priority=NORMAL)
         job = self.add(step(4, 1), priority=BULK)
         self.assertTrue(self.started_within(job, STILL_S - TICK_S))
@@ -78,7 +78,7 @@
             with self.subTest(same_rack=same_rack):
                 self.setUp()
                 self.workers(racks=4, each=2)
-                for worker in self.board.workers.values():
+                for worker in self.cluster_state.workers.values():
                     worker.strikes = 1
                     worker.trial_s = 60.0
                     worker.probation_s = 60.0
@@ -88,7 +88,7 @@
 
     def test_workers_in_quarantine_hold_no_work_up_for_long_in_a_free_pool(self) -> None:
         self.workers(racks=2, each=2)
-        for worker in self.board.workers.values():
+        for worker in self.cluster_state.workers.values():
             worker.strikes = 3
             worker.quarantine_s = 60.0
         job = self.add(step(4, 2), priority=BULK)
@@ -97,13 +97,13 @@
     def last_try(self, *, quarantine_s: float) -> str:
         """A job whose next failure is its last, beside workers that have all failed work."""
         self.workers(racks=2, each=2)
-        for worker in self.board.workers.values():
+        for worker in self.cluster_state.workers.values():
             worker.strikes = 3
             worker.quarantine_s = quarantine_s
             worker.probation_s = 60.0
             worker.trial_s = 60.0
         job = self.add(step(1, 2), priority=BULK, attempts=2)
-        self.board.jobs[job].occurrences[0].steps[0].tasks[0].record.failures = 1
+        self.cluster_state.jobs[job].occurrences[0].steps[0].tasks[0].record.failures = 1
         return job
 
     def test_a_last_try_goes_to_no_worker_in_quarantine(self) -> None:
@@ -115,20 +115,20 @@
     def test_sound_workers_go_before_those_in_quarantine(self) -> None:
         self.workers(racks=2, each=4)
         for name in ("w11", "w12", "w13", "w14", "w21", "w22"):
-            self.board.workers[name].strikes = 1
-            self.board.workers[name].quarantine_s = 60.0
+            self.cluster_state.workers[name].strikes = 1
+            self.cluster_state.workers[name].quarantine_s = 60.0
         job = self.add(step(3, 8, gang=True), priority=NORMAL)
         self.assertTrue(self.started_within(job, STILL_S - TICK_S))
-        tasks = self.board.jobs[job].occurrences[0].steps[0].tasks
+        tasks = self.cluster_state.jobs[job].occurrences[0].steps[0].tasks
         self.assertLessEqual({"w23", "w24"}, {task.record.worker for task in tasks})
 
     def test_workers_that_do_not_answer_make_no_pool_look_used(self) -> None:
         self.workers(racks=4, each=2)
         self.add(step(4, 8))
         self.plan()
-        for worker in self.board.workers.values():
+        for worker in self.cluster_state.workers.values():
             worker.reachable = not worker.runs
-        self.board.set_worker(record("w19", rack="r1", accelerators=1), 0.0)
+        self.cluster_state.set_worker(record("w19", rack="r1", accelerators=1), 0.0)
         self.add(step(1, 1, label="r1"))
         self.plan()
         job = self.add(step(1, 1, data_rack="r1"), priority=NORMAL)
@@ -143,7 +143,7 @@
         first = self.add(step(2, 8, gang=True, same_rack=True), priority=NORMAL)
         second = self.add(step(2, 8, gang=True, same_rack=True), priority=NORMAL)
         self.plan(0.0)
-        self.board.jobs[first].occurrences[0].steps[0].standing_since_s = 2.0
+        self.cluster_state.jobs[first].occurrences[0].steps[0].stalled_since_s = 2.0
         self.assertTrue(self.started_within(second, STILL_S - TICK_S))
 
     def test_tasks_that_never_ran_go_past_one_that_avoids_what_is_free(self) -> None:
@@ -151,9 +151,9 @@
         self.add(step(1, 8))
         self.plan()
         job = self.add(step(2, 8), priority=BULK)
-        tasks = self.board.jobs[job].occurrences[0].steps[0].tasks
+        tasks = self.cluster_state.jobs[job].occurrences[0].steps[0].tasks
         tasks[0].avoid |= {"w12", "w13", "w14"}
-        tasks[0].step.avoids = True
+        tasks[0].step.has_avoided_workers = True
         started = [start.run.task.name.index for start in self.plan(1.0).starts]
         self.assertEqual(started, [1])
 
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -21,23 +21,23 @@
 from saddlestack.interfaces.workers import WorkerOrders, WorkerRecord
 from saddlestack.kernel.clock import Clock
 from saddlestack.policy.cluster.changes import Start
-from saddlestack.policy.cluster.queue import STARTS_A_ROUND
+from saddlestack.policy.cluster.planner import MAX_STARTS_PER_ROUND
 from saddlestack.standins.loop import run
-from tests.test_board import BULK, NORMAL, URGENT, BoardCase, step
+from tests.test_board import BULK, NORMAL, URGENT, ClusterCase, step
 from tests.test_session import LoneOwner, ScriptedOrders
 
 WIDTH = 40
 HOLD_S = 10.0
 
 
-class RoundTest(BoardCase):
+class RoundTest(ClusterCase):
     def rounds(self) -> list[list[Start]]:
         """What each round starts, until nothing is left to decide."""
         found = []
         more = True
         while more:
-            more = self.board.plan(0.0, 0.0)
-            found.append(self.board.take().starts)
+            more = self.cluster_state.plan(0.0, 0.0)
+            found.append(self.cluster_state.take_changes().starts)
         return found
 
     def test_a_backlog_is_started_in_rounds_the_most_urgent_first(self) -> None:
@@ -46,7 +46,7 @@
             for _ in range(12):
                 self.add(step(WIDTH), priority=priority)
         rounds = self.rounds()
-        most = STARTS_A_ROUND + WIDTH
+        most = MAX_STARTS_PER_ROUND + WIDTH
         self.assertTrue(all(len(starts) <= most for starts in rounds))
         order = [start.run.task.step.occurrence.job.priority for each in rounds for start in each]
         self.assertEqual(len(order), 36 * WIDTH)
@@ -55,17 +55,17 @@
     def test_a_round_that_is_not_full_leaves_nothing(self) -> None:
         self.workers(racks=1, each=2)
         self.add(step(4))
-        self.assertFalse(self.board.plan(0.0, 0.0))
-        self.assertEqual(len(self.board.take().starts), 4)
+        self.assertFalse(self.cluster_state.plan(0.0, 0.0))
+        self.assertEqual(len(self.cluster_state.take_changes().starts), 4)
 
 
-class OpeningTest(BoardCase):
+class OpeningTest(ClusterCase):
     def test_sessions_are_opened_a_batch_after_the_other(self) -> None:
         self.workers(racks=30, each=10)
         self.add(step(300 * 8), priority=BULK)
-        while self.board.plan(0.0, 0.0):
-            self.board.take()
-        busy = sum(1 for worker in self.board.workers.values() if worker.runs)
+        while self.cluster_state.plan(0.0, 0.0):
+            self.cluster_state.take_changes()
+        busy = sum(1 for worker in self.cluster_state.workers.values() if worker.runs)
         opened: list[float] = []
 
         def orders(record: WorkerRecord) -> WorkerOrders:
@@ -74,7 +74,7 @@
 
         async def main() -> None:
             context = SimpleNamespace(orders=orders, clock=Clock())
-            owner = LoneOwner(self.board)
+            owner = LoneOwner(self.cluster_state)
             sessions = Sessions(
                 cast(EntryContext, cast(Any, context)), owner, Leases(HOLD_S, Clock().now())
             )
--- a/tests/test_told_crashes.py
+++ b/tests/test_told_crashes.py
@@ -136,14 +136,14 @@
         job_id = self.add(step(1, 1))
         self.plan(0.0)
         self.crash_under(job_id, 0.0)
-        crashes = self.board._crashes
+        crashes = self.cluster_state._crashes
         self.assertTrue(crashes.is_suspect(self.task(job_id)))
-        self.assertEqual(self.board.clear_suspects(job_id), 1)
+        self.assertEqual(self.cluster_state.clear_suspects(job_id), 1)
         self.assertFalse(crashes.is_suspect(self.task(job_id)))
         known = self.known(job_id)
         assert known is not None
         self.assertEqual(known.crashes, 1)
-        self.assertEqual(self.board.clear_suspects("no such job"), 0)
+        self.assertEqual(self.cluster_state.clear_suspects("no such job"), 0)
         self.assertGreater(SOON_S, 0.0)
 
 
@@ -190,6 +190,6 @@
         self.plan(SOON_S)
         waiting = next(each for each in (first, second) if self.task(each).run is None)
         around = Circumstances(SOON_S, 0.0, SOON_S, False, False, lambda _: False, lambda _: 0.0)
-        waits = Diagnosis(self.board).look(around).waits
+        waits = Diagnosis(self.cluster_state).look(around).waits
         found = {wait.job_id: wait.reason for wait in waits}
         self.assertIs(found[waiting], Reason.ISOLATION)
--- a/tests/test_told_waits.py
+++ b/tests/test_told_waits.py
@@ -18,7 +18,7 @@
 from saddlestack.services.metrics import Metrics
 from saddlestack.standins.pool.cluster import PoolCluster, job
 from saddlestack.work import JobState
-from tests.test_board import BULK, BoardCase, step
+from tests.test_board import BULK, ClusterCase, step
 from tests.test_pool import PoolTest
 
 A = "00000000000000aa"
@@ -39,12 +39,12 @@
         return self.now_s
 
 
-class WaitsCase(BoardCase):
+class WaitsCase(ClusterCase):
     def setUp(self) -> None:
         super().setUp()
         self.clock = SteppedClock()
         self.metrics = Metrics("vm", self.clock)
-        self.waits = Waits(self.board, self.clock, self.metrics, lambda worker_id: 0.0)
+        self.waits = Waits(self.cluster_state, self.clock, self.metrics, lambda worker_id: 0.0)
         self.waits.show()
         self.lines: list[logging.LogRecord] = []
         handler = logging.Handler()
@@ -68,8 +68,8 @@
         return [line for line in self.lines if line.event == event]  # type: ignore[attr-defined]
 
     def quarantine(self, *names: str) -> None:
-        for name in names or self.board.workers:
-            self.board.workers[name].quarantine_s = QUARANTINED_S
+        for name in names or self.cluster_state.workers:
+            self.cluster_state.workers[name].quarantine_s = QUARANTINED_S
 
     def figure(self, name: str) -> int:
         return self.metrics.view().counters[name]
@@ -126,7 +126,7 @@
         self.assertEqual(self.told("waits"), [])
         self.play(3 * TOLD_AFTER_S)
         self.assertEqual(len(self.told("waits")), 1)
-        for worker in self.board.workers.values():
+        for worker in self.cluster_state.workers.values():
             worker.quarantine_s = 0.0
             worker.reachable = False
         self.play(5 * TOLD_AFTER_S)
@@ -138,10 +138,10 @@
         self.quarantine()
         self.add(step(1, 1), priority=BULK)
         self.play(2.0)
-        for worker in self.board.workers.values():
+        for worker in self.cluster_state.workers.values():
             worker.quarantine_s = 0.0
         self.play(3.0)
-        for worker in self.board.workers.values():
+        for worker in self.cluster_state.workers.values():
             worker.reachable = False
         self.play(6.0)
         self.assertEqual(
@@ -174,8 +174,8 @@
     def test_a_write_that_waits_for_the_store(self) -> None:
         self.workers()
         job_id = self.add(step(1))
-        self.board.plan(0.0, 0.0)
-        changes = self.board.take()
+        self.cluster_state.plan(0.0, 0.0)
+        changes = self.cluster_state.take_changes()
         self.waits.writing(each.job_id for each in changes.by_job())
         self.waits.look()
         self.assertIn(f"({Reason.WRITE})", self.waits.of(job_id) or "")
@@ -201,9 +201,9 @@
     def test_the_share_of_the_pool_that_is_kept_out(self) -> None:
         self.workers(each=4)
         self.quarantine("w11")
-        self.board.workers["w11"].probation_s = QUARANTINED_S
+        self.cluster_state.workers["w11"].probation_s = QUARANTINED_S
         for name in ("w12", "w13"):
-            self.board.workers[name].probation_s = QUARANTINED_S
+            self.cluster_state.workers[name].probation_s = QUARANTINED_S
         self.assertEqual(self.figure("pool_quarantine_percent"), 25)
         self.assertEqual(self.figure("pool_probation_percent"), 50)
 
--- a/tests/test_waits_board.py
+++ b/tests/test_waits_board.py
@@ -23,7 +23,7 @@
     TaskRecord,
     TaskStatus,
 )
-from saddlestack.policy.cluster.reservations import OVERDUE_S, RESERVATION_S
+from saddlestack.policy.cluster.reservations import RESERVATION_TIMEOUT_S, STOP_OVERDUE_S
 from saddlestack.policy.cluster.state import ClusterState
 from saddlestack.policy.cluster.waiting import may_start
 from saddlestack.work import AcceptedJob, JobRequest, Step
@@ -33,7 +33,7 @@
     NORMAL,
     PATIENT,
     SERVICE,
-    BoardCase,
+    ClusterCase,
     record,
     step,
 )
@@ -49,7 +49,7 @@
     return TaskRecord(TaskStatus.WAITING, 1, "w12")
 
 
-class RestoredTest(BoardCase):
+class RestoredTest(ClusterCase):
     """A leader was lost after it had written an end, and before its stops of what goes on left.
 
     The next one read from the record that some members of a gang wait and others run, and ordered
@@ -58,7 +58,7 @@
 
     def restore(self, step: Step, records: dict[int, OccurrenceRecord], times: int = 0) -> None:
         request = JobRequest(payload="", steps=(step,), times=times, first_at_ms=times)
-        self.board.add_job(
+        self.cluster_state.add_job(
             AcceptedJob(
                 job_id=JOB,
                 account="depots",
@@ -87,7 +87,7 @@
     def test_members_of_a_whole_gang_go_on_and_so_do_tasks_of_no_gang(self) -> None:
         self.workers(each=2)
         for gang, tasks in ((True, [assigned(), assigned()]), (False, [assigned(), waiting()])):
-            self.board.jobs.clear()
+            self.cluster_state.jobs.clear()
             self.restore(
                 step(2, 1, gang=gang),
                 {0: OccurrenceRecord(OccurrenceStatus.OPEN, [StepRecord(tasks)], {})},
@@ -104,7 +104,7 @@
         self.assertEqual(self.stopped(), [("w11", StopReason.JOB_FAILED)])
 
 
-class AvoidedWorkerTest(BoardCase):
+class AvoidedWorkerTest(ClusterCase):
     """A task has failed on the one worker that can hold it.
 
     It goes elsewhere where there is another, and any other of its service counted as such, also one
@@ -113,7 +113,7 @@
 
     def start_again(self, needs: Step) -> list[str]:
         self.workers(each=1)
-        self.board.set_worker(record("small", accelerators=2), 0.0)
+        self.cluster_state.set_worker(record("small", accelerators=2), 0.0)
         job = self.add(needs, attempts=5)
         self.assertEqual([start.run.worker_id for start in self.plan().starts], ["w11"])
         self.end(job, EndKind.FAILED)
@@ -137,7 +137,7 @@
         self.assertEqual(len(self.plan(PATIENT).starts), 1)
 
 
-class ShutTest(BoardCase):
+class ShutTest(ClusterCase):
     """The headroom is closed to a step, and with it to others of its shape in that round.
 
     It opens with the time that a step has waited, which differs between steps of one shape: one
@@ -147,8 +147,8 @@
     def test_a_step_that_has_waited_is_not_held_up_by_one_that_has_not(self) -> None:
         self.workers(racks=1, each=4)
         for number in range(1, 5):
-            self.board.set_worker(record(f"gone{number}", rack="r2", hall="evacuated"), 0.0)
-        self.board.evacuate(frozenset({"evacuated"}))
+            self.cluster_state.set_worker(record(f"gone{number}", rack="r2", hall="evacuated"), 0.0)
+        self.cluster_state.evacuate(frozenset({"evacuated"}))
         self.add(step(2, 8))
         self.plan()
         old = self.add(step(1, 8), priority=BULK)
@@ -159,7 +159,7 @@
         self.assertEqual(starts, [old])
 
 
-class FullTest(BoardCase):
+class FullTest(ClusterCase):
     """A shape finds no room since workers are kept for a gang; lasting work may take those.
 
     It has the same shape as work that may not, and was held up by it in each round.
@@ -176,7 +176,7 @@
         self.assertEqual({start.run.task.name.job_id for start in starts}, {lasting})
 
 
-class AdvisedGangTest(BoardCase):
+class AdvisedGangTest(ClusterCase):
     """Workers with the adviser's leave have room enough for a gang, in no one rack.
 
     No more were asked about, since their sum was enough. The gang was spread over racks, as if no
@@ -185,13 +185,13 @@
 
     def test_more_workers_are_asked_about_until_the_gang_fits(self) -> None:
         self.workers(racks=20, each=2)
-        self.board.configure({}, {"q": SERVICE}, ["q"])
+        self.cluster_state.configure({}, {"q": SERVICE}, ["q"])
         self.add(step(2, 8, gang=True, same_rack=True), priority=NORMAL)
         for round_s in range(5):
             changes = self.plan(float(round_s))
             if changes.starts:
                 break
-            for question in changes.questions:
+            for question in changes.advice_requests:
                 # The first of each rack is good, and the second of the last alone.
                 good = [w for w in question.workers if w.endswith("1") or w == "w202"]
                 leaves = [Leave(worker, "ticket", 60.0) for worker in good]
@@ -200,7 +200,7 @@
         self.assertEqual({start.run.worker_id for start in changes.starts}, {"w201", "w202"})
 
 
-class ReservationTest(BoardCase):
+class ReservationTest(ClusterCase):
     """Urgent work waits for the room of a run that is to stop, and does not end.
 
     A run that is stopping costs nothing more to stop, so it was chosen again each time that the
@@ -216,10 +216,10 @@
         self.add(step(1, 8))
         stops = self.plan(2 * PATIENT).stops
         self.assertEqual(len(stops), 1)
-        late_s = 2 * PATIENT + OVERDUE_S
-        for now in (2 * PATIENT + RESERVATION_S + 0.1, late_s - 0.1):
+        late_s = 2 * PATIENT + STOP_OVERDUE_S
+        for now in (2 * PATIENT + RESERVATION_TIMEOUT_S + 0.1, late_s - 0.1):
             self.assertEqual(self.plan(now).stops, [])
-        others = self.plan(late_s + RESERVATION_S + 0.1).stops
+        others = self.plan(late_s + RESERVATION_TIMEOUT_S + 0.1).stops
         self.assertEqual(len(others), 1)
         self.assertNotEqual(others[0].worker_id, stops[0].worker_id)
 
@@ -230,7 +230,7 @@
         self.plan(2 * PATIENT)
         urgent = self.add(step(1, 8))
         self.assertEqual(len(self.plan(2 * PATIENT).stops), 1)
-        late_s = 2 * PATIENT + 2 * OVERDUE_S
+        late_s = 2 * PATIENT + 2 * STOP_OVERDUE_S
         self.assertEqual(self.plan(late_s).stops, [])
         self.end(bulk, EndKind.STOPPED, late_s)
         starts = self.plan(late_s).starts
@@ -242,25 +242,25 @@
 
     EVENTS = test_board.RandomEventsTest("test_invariants")
 
-    def happen(self, board: ClusterState, seed: int) -> float:
+    def happen(self, cluster_state: ClusterState, seed: int) -> float:
         """Let 60 things happen; when the last of them did."""
         rng = random.Random(seed)
-        board.configure({"depots": 8}, {"q": SERVICE})
+        cluster_state.configure({"depots": 8}, {"q": SERVICE})
         now = 0.0
         for number in range(60):
             now += rng.uniform(0.1, 5.0)
-            self.EVENTS.happen(board, rng, number, now, set())
-            board.plan(now, now * 1000)
-            board.take()
-            self.assertEqual(self.forgotten(board), [])
+            self.EVENTS.happen(cluster_state, rng, number, now, set())
+            cluster_state.plan(now, now * 1000)
+            cluster_state.take_changes()
+            self.assertEqual(self.forgotten(cluster_state), [])
         return now
 
-    def forgotten(self, board: ClusterState) -> list[str]:
+    def forgotten(self, cluster_state: ClusterState) -> list[str]:
         """Steps that may start, and that no round would try."""
-        tried = board._planner._waiting._known
+        tried = cluster_state._planner._waiting._known
         steps = [
             step
-            for job in board.jobs.values()
+            for job in cluster_state.jobs.values()
             for occurrence in job.occurrences
             for step in occurrence.steps
         ]
@@ -274,20 +274,20 @@
     @settings(max_examples=100, deadline=None)
     @given(st.integers(0, 2**32))
     def test_all_ends_once_there_is_room(self, seed: int) -> None:
-        board = ClusterState()
-        now = self.happen(board, seed) + PATIENT
+        cluster_state = ClusterState()
+        now = self.happen(cluster_state, seed) + PATIENT
         for number in range(16):
             made = record(f"fresh{number}", rack=f"fresh{number // 8}")
-            board.set_worker(made, now)
+            cluster_state.set_worker(made, now)
         for number in range(40):
             now += 1.0
-            board.plan(now, now * 1000)
-            board.take()
-            for worker in list(board.workers.values()):
+            cluster_state.plan(now, now * 1000)
+            cluster_state.take_changes()
+            for worker in list(cluster_state.workers.values()):
                 for name, run in list(worker.runs):
                     end = EndedTask(1000 + number, str(name), run, EndKind.DONE, "")
-                    board.ended(worker.worker_id, end, now)
-        left = [job.job_id for job in board.jobs.values() if not job.over]
+                    cluster_state.run_ended(worker.worker_id, end, now)
+        left = [job.job_id for job in cluster_state.jobs.values() if not job.over]
         self.assertEqual(left, [])
 
 
--- a/tests/test_waits_orders.py
+++ b/tests/test_waits_orders.py
@@ -62,7 +62,7 @@
             )
             scene.session.suspect()
             await asyncio.sleep(ANSWER_S)  # the worker has told its clock
-            scene.board.add_job(wide, {})
+            scene.cluster_state.add_job(wide, {})
             starts = scene.plan().starts
             self.assertEqual(len(starts), 7)
             scene.orders.dark = True
--- a/tests/test_waits_reviewed.py
+++ b/tests/test_waits_reviewed.py
@@ -30,14 +30,14 @@
 from tests.simulation.troubles import DOUBT_S
 from tests.simulation.ways import ANY, Fault
 from tests.support import bare_context
-from tests.test_board import BULK, NORMAL, BoardCase, record, step
+from tests.test_board import BULK, NORMAL, ClusterCase, record, step
 from tests.test_diagnosis import DiagnosisCase
 from tests.test_session import Scene, SessionCase
 
 QUARANTINE_AT_S = 1.0
 
 
-class FailingWorkersTest(BoardCase):
+class FailingWorkersTest(ClusterCase):
     """All workers fail what they start, and are in quarantine; the pool is free."""
 
     def setUp(self) -> None:
@@ -45,7 +45,7 @@
         self.workers(racks=1, each=4)
 
     def quarantine(self, now: float) -> None:
-        for worker in self.board.workers.values():
+        for worker in self.cluster_state.workers.values():
             for _ in range(3):
                 worker.failed(now, early=True)
 
@@ -54,7 +54,7 @@
         for tick in range(2, 15):
             now = tick * 0.5
             for start in self.plan(now).starts:
-                worker = self.board.workers[start.run.worker_id]
+                worker = self.cluster_state.workers[start.run.worker_id]
                 if start.run.task.name.job_id == job and now < worker.quarantine_s:
                     found.append(now)
         return found
@@ -77,12 +77,12 @@
         self.assertEqual(self.starts_in_quarantine(job), [])
 
 
-class AdvisedTest(BoardCase):
+class AdvisedTest(ClusterCase):
     """Work of an advised queue, with leave for every worker."""
 
     def setUp(self) -> None:
         super().setUp()
-        self.board.configure({}, {}, advised=("q",))
+        self.cluster_state.configure({}, {}, advised=("q",))
 
     def started_within(self, job: str, until_s: float) -> bool:
         for tick in range(int(until_s / 0.5) + 1):
@@ -90,7 +90,7 @@
             changes = self.plan(now)
             if any(start.run.task.name.job_id == job for start in changes.starts):
                 return True
-            for question in changes.questions:
+            for question in changes.advice_requests:
                 leaves = [Leave(worker, "ticket", 600.0) for worker in question.workers]
                 question.step.advice.told(question.workers, leaves, now)
                 question.step.advice.asking = False
@@ -106,7 +106,7 @@
 
     def test_probation_holds_no_advised_gang_up_in_a_free_pool(self) -> None:
         self.workers(racks=4, each=2)
-        for worker in self.board.workers.values():
+        for worker in self.cluster_state.workers.values():
             worker.failed(0.0, early=True)
         job = self.add(step(2, 8, gang=True), priority=NORMAL)
         self.assertTrue(self.started_within(job, STILL_S + 1.0))
@@ -118,17 +118,17 @@
         self.workers(each=2)
         self.add(step(1, 8, label="r1"))
         self.plan(0.0)
-        for worker in self.board.workers.values():
+        for worker in self.cluster_state.workers.values():
             worker.failed(0.0, early=True)
         job = self.add(step(1, 1), priority=NORMAL)
-        self.board.jobs[job].occurrences[0].steps[0].tasks[0].record.failures = 2
+        self.cluster_state.jobs[job].occurrences[0].steps[0].tasks[0].record.failures = 2
         self.assertEqual(self.plan(5.0).starts, [])
         self.assertEqual(self.why(job, 5.0), Reason.PROBATION)
 
     def test_a_wait_for_quarantine_beside_a_free_pool_ends_with_patience(self) -> None:
         """As the waits for probation and trial do; told as lasting to the quarantine's end."""
         self.workers(each=2)
-        for worker in self.board.workers.values():
+        for worker in self.cluster_state.workers.values():
             for _ in range(4):
                 worker.failed(0.0, early=False)
         job = self.add(step(1, 1), priority=NORMAL)
@@ -137,7 +137,7 @@
         self.assertEqual(len(self.plan(5.0 + IDLE_PATIENCE_S + 0.1).starts), 1)
 
 
-class CostTest(BoardCase):
+class CostTest(ClusterCase):
     def test_one_job_of_many_steps_costs_no_look_at_all_its_tasks_a_step(self) -> None:
         """256 steps of 39 tasks for a label that none has: 0.1 s a round in a pool of 100."""
         self.workers(racks=10, each=5)
@@ -155,7 +155,7 @@
 
         sys.setprofile(note)
         try:
-            self.board.plan(now, 0.0)
+            self.cluster_state.plan(now, 0.0)
         finally:
             sys.setprofile(None)
         return calls
@@ -178,7 +178,7 @@
 
         with unittest.mock.patch.object(Worker, "matches", matches):
             self.plan(STILL_S)
-        self.assertLessEqual(looks, 4 * len(self.board.workers))
+        self.assertLessEqual(looks, 4 * len(self.cluster_state.workers))
 
     def test_gangs_wider_than_the_pool_cost_no_more_once_they_stand(self) -> None:
         """With 3,000 workers each takes 7 ms a round, and they wait for good."""
@@ -199,11 +199,11 @@
         self.assertLessEqual(calls, 1)
 
 
-class BusyWorkerTest(BoardCase):
+class BusyWorkerTest(ClusterCase):
     def test_standing_work_goes_last_to_a_worker_that_turns_all_away(self) -> None:
         """It has no strikes, so it comes before those that had failures, again and again."""
         self.workers(racks=1, each=6)
-        workers = list(self.board.workers.values())
+        workers = list(self.cluster_state.workers.values())
         for worker in workers[1:]:
             worker.failed(1.0, early=True)
             worker.failed(1.0, early=True)
@@ -215,23 +215,23 @@
         self.assertNotEqual(start.run.worker_id, workers[0].worker_id)
 
 
-class EarlyFailureTest(BoardCase):
+class EarlyFailureTest(ClusterCase):
     def test_work_without_an_estimate_that_fails_at_once_fails_early(self) -> None:
         """Counted as late it puts nobody on probation, so gangs and urgent work go there."""
         self.workers(racks=1, each=2)
         job = self.add(msgspec.structs.replace(step(1, 1), estimate_ms=0), priority=NORMAL)
         [start] = self.plan(0.0).starts
         self.end(job, EndKind.FAILED, 0.03)
-        self.assertGreater(self.board.workers[start.run.worker_id].probation_s, 0.0)
+        self.assertGreater(self.cluster_state.workers[start.run.worker_id].probation_s, 0.0)
 
 
-class StandingOnTest(BoardCase):
+class StandingOnTest(ClusterCase):
     """A job that still stands is not told from one that has just begun to wait."""
 
     def test_a_start_that_never_began_does_not_make_a_job_wait_anew(self) -> None:
         """Placed after 2 s, refused, and placed no sooner than 2 s after that: 4 s in all."""
         self.workers(racks=1, each=6)
-        for worker in self.board.workers.values():
+        for worker in self.cluster_state.workers.values():
             for _ in range(5):
                 worker.failed(0.0, early=True)
         job = self.add(step(1, 1), priority=NORMAL)
@@ -239,20 +239,20 @@
         now = 0.0
         while run is None and now < STILL_S:
             now += 0.1
-            self.board.plan(now, 0.0)
-            run = next(iter(start.run for start in self.board.take().starts), None)
+            self.cluster_state.plan(now, 0.0)
+            run = next(iter(start.run for start in self.cluster_state.take_changes().starts), None)
         assert run is not None
-        self.board.workers[run.worker_id].refused(now)
-        self.board.not_started(run)
-        self.board.plan(now + 0.1, 0.0)
-        starts = self.board.take().starts
+        self.cluster_state.workers[run.worker_id].refused(now)
+        self.cluster_state.run_not_started(run)
+        self.cluster_state.plan(now + 0.1, 0.0)
+        starts = self.cluster_state.take_changes().starts
         self.assertEqual([start.run.task.name.job_id for start in starts], [job])
 
     def test_a_run_on_a_worker_that_is_silent_keeps_no_other_task_waiting(self) -> None:
         """Nothing of the job runs as far as anybody knows."""
         self.workers(racks=1, each=6)
         job = self.add(step(2, 8), priority=NORMAL)
-        workers = list(self.board.workers.values())
+        workers = list(self.cluster_state.workers.values())
         for worker in workers[1:]:
             for _ in range(5):
                 worker.failed(0.0, early=True)
@@ -300,7 +300,7 @@
         async def body(scene: Scene) -> None:
             start = scene.plan().starts[0]
             now = asyncio.get_running_loop().time()
-            scene.board.set_worker(record("w11", draining=True), now)
+            scene.cluster_state.set_worker(record("w11", draining=True), now)
             await asyncio.sleep(3.5)
             scene.session.start(start)
             await asyncio.sleep(1.0)
