--- a/benchmarks/idle.py
+++ b/benchmarks/idle.py
@@ -96,7 +96,7 @@
             state = scheduler.state(job_id)
             if state is None or state in FINAL_STATES:
                 continue
-            told = _REASON.search(scheduler.waits.of(job_id) or "")
+            told = _REASON.search(scheduler.waits.explain(job_id) or "")
             found[job_id] = told.group(1) if told else NOT_SHOWN
         return found
 
--- a/benchmarks/variants.py
+++ b/benchmarks/variants.py
@@ -204,16 +204,16 @@
     Variant(
         "batches",
         "batches of records beside each other",
-        (Edit("control/commits.py", "WRITES_AT_ONCE = 8", "WRITES_AT_ONCE = 1"),),
+        (Edit("control/commits.py", "MAX_CONCURRENT_WRITES = 8", "MAX_CONCURRENT_WRITES = 1"),),
     ),
     Variant(
         "notices",
         "the leader hears of a job from the VM that took it",
         (
             Edit(
-                "control/desk.py",
-                "        self._peers.tasks.spawn(self._tell(",
-                "        _ = (self._tell, (",
+                "control/leaderrpc.py",
+                "        self._peers.tasks.spawn(self._send(",
+                "        _ = (self._send, (",
             ),
         ),
     ),
--- a/src/saddlestack/control/commits.py
+++ b/src/saddlestack/control/commits.py
@@ -14,12 +14,17 @@
 from dataclasses import dataclass, field
 
 from saddlestack.control.context import EntryContext
-from saddlestack.control.journal import RECORDS_A_WRITE, Displaced, Journal, Unanswered
+from saddlestack.control.journal import (
+    MAX_RECORDS_PER_WRITE,
+    Journal,
+    LeadershipLost,
+    RetriesExhausted,
+)
 from saddlestack.kernel.service import TaskGroup
 
 log = logging.getLogger("saddlestack.commits")
 
-WRITES_AT_ONCE = 8
+MAX_CONCURRENT_WRITES = 8
 """A store that answers in 0.3 s takes some 25 transactions a second this way; more wait together.
 """
 
@@ -66,7 +71,7 @@
         self.follows.append(decided.then)
 
 
-class Commits:
+class CommitQueue:
     """The records of one term on their way to the store.
 
     A job's records are written in the order in which they were decided: while some are under way,
@@ -130,7 +135,7 @@
 
     def _write_more(self) -> None:
         """Begin as many transactions as may be under way."""
-        while self._writes < WRITES_AT_ONCE:
+        while self._writes < MAX_CONCURRENT_WRITES:
             batch = self._next_batch()
             if not batch:
                 return
@@ -151,7 +156,7 @@
                 continue
             count += len(entry.records)
             size += entry.size
-            if batch and (count > RECORDS_A_WRITE or size > BYTES_A_WRITE):
+            if batch and (count > MAX_RECORDS_PER_WRITE or size > BYTES_A_WRITE):
                 break
             batch.append(entry)
         for entry in batch:
@@ -165,11 +170,11 @@
             await self._journal.commit(records, TRIES_TOGETHER if len(batch) > 1 else math.inf)
             self._context.metrics.time("commit", self._context.clock.now() - began)
             self._finish(batch)
-        except Unanswered:
+        except RetriesExhausted:
             self._alone += batch
             self._writes -= 1
             self._write_more()
-        except Displaced:
+        except LeadershipLost:
             self._on_failed("the store has another leader")
         except Exception:
             log.exception("commit failed", extra={"event": "commit_failed"})
--- a/src/saddlestack/control/configuration.py
+++ b/src/saddlestack/control/configuration.py
@@ -7,7 +7,7 @@
 
 from saddlestack.control.context import EntryContext
 from saddlestack.control.feed import Feed
-from saddlestack.control.refusals import Refusals
+from saddlestack.control.invalidrecords import InvalidRecords
 from saddlestack.errors import SaddlestackError
 from saddlestack.interfaces.documents import PoolConfiguration
 from saddlestack.interfaces.store import Item
@@ -27,7 +27,7 @@
         super().__init__(NAME, context.clock)
         self._context = context
         self._key = context.documents.places.configuration_key
-        self._refusals = Refusals(context.metrics, "configuration")
+        self._invalid_records = InvalidRecords(context.metrics, "configuration")
         self.current: PoolConfiguration | None = None
         self._listeners: list[Listener] = []
         self._feed = Feed(
@@ -57,7 +57,7 @@
         try:
             configuration = self._context.documents.configuration(item.value)
         except SaddlestackError as error:
-            self._refusals.refuse(item.key, str(error))
+            self._invalid_records.report(item.key, str(error))
             return
         if self.current is not None and configuration.version <= self.current.version:
             return
--- a/src/saddlestack/control/crashlog.py
+++ b/src/saddlestack/control/crashlog.py
@@ -21,7 +21,7 @@
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
 
-    def tell(self, verdicts: Sequence[Verdict]) -> None:
+    def log_verdicts(self, verdicts: Sequence[Verdict]) -> None:
         """Write a line for each verdict, and count it."""
         others = 0
         for verdict in verdicts:
--- a/src/saddlestack/control/endings.py
+++ b/src/saddlestack/control/endings.py
@@ -12,7 +12,7 @@
 log = logging.getLogger("saddlestack.endings")
 
 
-class Proof(enum.StrEnum):
+class EndProof(enum.StrEnum):
     """Why a run counts as over though its worker has told no end of it."""
 
     REPLACED = "replaced"
@@ -23,7 +23,7 @@
     """Every lease that may have been granted there is over."""
 
 
-def log_over(runs: Iterable[Run], proof: Proof, age_s: float) -> None:
+def log_runs_over(runs: Iterable[Run], proof: EndProof, age_s: float) -> None:
     """Tell that runs count as over.
 
     :param age_s: how old the proof is: since the answer, the question for the report, or the last
@@ -44,7 +44,7 @@
         )
 
 
-def log_wait(worker: Worker, left_s: float) -> None:
+def log_lease_wait(worker: Worker, left_s: float) -> None:
     """Tell that what runs on a worker is waited for until its lease has lapsed.
 
     :param left_s: how long that takes at most, if the worker does not answer meanwhile.
--- a/src/saddlestack/control/entry.py
+++ b/src/saddlestack/control/entry.py
@@ -11,14 +11,14 @@
 from pathlib import Path
 
 from saddlestack.control.access import StoreAccess
-from saddlestack.control.callers import Callers
 from saddlestack.control.configuration import Configuration
 from saddlestack.control.context import EntryContext, OrdersFactory
-from saddlestack.control.desk import Desk
 from saddlestack.control.guarded import GuardedStore
 from saddlestack.control.halls import PingQuestion, answer_ping
 from saddlestack.control.health import StoreHealth
+from saddlestack.control.jobapi import JobApi
 from saddlestack.control.jobs import Jobs
+from saddlestack.control.leaderrpc import LeaderRpc
 from saddlestack.control.leadership import Leadership, Term
 from saddlestack.control.membership import Membership
 from saddlestack.control.peers import Peers
@@ -26,7 +26,7 @@
 from saddlestack.control.renewals import Renewals
 from saddlestack.control.scheduler import Scheduler
 from saddlestack.control.settings import EntrySettings, load, parse_address
-from saddlestack.control.waits import show_none
+from saddlestack.control.waits import reset_gauges
 from saddlestack.errors import SaddlestackError
 from saddlestack.interfaces.documents import DocumentReader
 from saddlestack.interfaces.machines import Adviser, Machines
@@ -72,7 +72,7 @@
         dialer = dialer or Dialer()
         clock = clock or SystemClock()
         self.metrics = Metrics(settings.vm, clock)
-        show_none(self.metrics)
+        reset_gauges(self.metrics)
         store = store or _store_at(settings.store, dialer)
         self.health = StoreHealth(store, clock)
         self.context = EntryContext(
@@ -95,15 +95,15 @@
         self.peers.serve(PingQuestion, answer_ping)
         self.renewals = Renewals(self.peers, self.membership, self._renews)
         self.leadership = Leadership(self.context, self, lambda: self.membership.is_told)
-        desk = Desk(self.peers, self.leadership, lambda: self.scheduler)
+        leader_rpc = LeaderRpc(self.peers, self.leadership, lambda: self.scheduler)
         relays = Relays(self.peers, self.membership, self.health)
         access = StoreAccess(self.context, self.peers, relays)
-        self.jobs = Jobs(self.context, access, desk)
+        self.jobs = Jobs(self.context, access, leader_rpc)
         gateway = Gateway(self.jobs, lambda: self.configuration.current, self._ready)
         self.clients = HttpServer(gateway.handle, max_connections=MAX_CONNECTIONS)
         self.readiness = HttpServer(gateway.readiness)
         self.figures = HttpServer(self._figures)
-        callers = Callers(self.jobs, lambda: self.configuration.current)
+        callers = JobApi(self.jobs, lambda: self.configuration.current)
         self.callers = HttpServer(callers.handle, max_connections=MAX_CONNECTIONS)
         self.scheduler: Scheduler | None = None
         self._ending = 0
--- a/src/saddlestack/control/refusals.py
+++ b/src/saddlestack/control/invalidrecords.py
@@ -18,7 +18,7 @@
 _DIGITS = re.compile(r"\d+")
 
 
-class Refusals:
+class InvalidRecords:
     """Tells of records of one kind that cannot be used, in a line for each record and reason.
 
     A record is written anew with each heartbeat of its writer, and may stay wrong for days.
@@ -31,7 +31,7 @@
         self._counter = f"{kind}_records_refused"
         self._told: set[tuple[str, str]] = set()
 
-    def refuse(self, key: str, reason: str) -> None:
+    def report(self, key: str, reason: str) -> None:
         """Count a record that cannot be used, and tell of it once.
 
         :param reason: what is wrong with it; its figures may differ from one time to the next.
--- a/src/saddlestack/control/callers.py
+++ b/src/saddlestack/control/jobapi.py
@@ -46,7 +46,7 @@
 }
 
 
-class Callers:
+class JobApi:
     """Answers callers of the product's own interface.
 
     :param configuration: the configuration in force, or ``None`` while there is none.
--- a/src/saddlestack/control/stored.py
+++ b/src/saddlestack/control/jobcodec.py
@@ -23,7 +23,7 @@
 from saddlestack.work import AcceptedJob, Step, faults_of
 
 
-def accepted_job(job_id: str, value: bytes) -> AcceptedJob:
+def decode_job(job_id: str, value: bytes) -> AcceptedJob:
     """The job that is kept under an id.
 
     :raises SaddlestackError: there is none.
@@ -40,7 +40,7 @@
     return accepted
 
 
-def occurrence(name: str, value: bytes) -> OccurrenceRecord:
+def decode_occurrence(name: str, value: bytes) -> OccurrenceRecord:
     """The progress of an occurrence; addresses that spell none are left out.
 
     :param name: of the occurrence, for errors.
--- a/src/saddlestack/control/jobs.py
+++ b/src/saddlestack/control/jobs.py
@@ -5,10 +5,10 @@
 import logging
 
 from saddlestack.codec import to_msgpack
-from saddlestack.control import keys, stored
+from saddlestack.control import jobcodec, keys
 from saddlestack.control.access import KeyAnswer, OutOfReach, StoreAccess
 from saddlestack.control.context import EntryContext
-from saddlestack.control.desk import Desk, NoLeader
+from saddlestack.control.leaderrpc import LeaderRpc, LeaderUnavailable
 from saddlestack.errors import ErrorKind, SaddlestackError, invalid
 from saddlestack.interfaces.clients import ClientCall
 from saddlestack.interfaces.store import Item
@@ -29,10 +29,10 @@
 class Jobs:
     """The clients' calls. What is accepted is in the store before the client hears of it."""
 
-    def __init__(self, context: EntryContext, access: StoreAccess, desk: Desk) -> None:
+    def __init__(self, context: EntryContext, access: StoreAccess, leader_rpc: LeaderRpc) -> None:
         self._access = access
         self._metrics = context.metrics
-        self._desk = desk
+        self._leader_rpc = leader_rpc
         self._clock = context.clock
 
     async def submit(self, call: ClientCall, job_id: str, request: JobRequest) -> AcceptedJob:
@@ -47,7 +47,7 @@
         began = self._clock.now()
         answer = await self._create(call, keys.job_key(job_id), to_msgpack(accepted), job_id)
         if answer.created:
-            self._desk.tell(Item(keys.job_key(job_id), answer.value, answer.revision))
+            self._leader_rpc.notify(Item(keys.job_key(job_id), answer.value, answer.revision))
         else:
             accepted = _known(answer.value, call, job_id)
         self._metrics.time("accept", self._clock.now() - began)
@@ -76,10 +76,10 @@
     async def state(self, call: ClientCall, job_id: str) -> JobState | None:
         """A job's state; ``None`` where no such job exists."""
         try:
-            state = await self._desk.state(job_id, call.account)
+            state = await self._leader_rpc.state(job_id, call.account)
             if state is not None:
                 return state
-        except NoLeader as error:
+        except LeaderUnavailable as error:
             log.info(
                 "state is read from the store",
                 extra={"event": "state_from_store", "job": job_id, "reason": str(error)},
@@ -89,8 +89,8 @@
     async def waits(self, call: ClientCall, job_id: str) -> str | None:
         """What a job waits for; ``None`` where something of it runs, or that is not known."""
         try:
-            return await self._desk.waits(job_id, call.account)
-        except NoLeader as error:
+            return await self._leader_rpc.waits(job_id, call.account)
+        except LeaderUnavailable as error:
             log.info(
                 "nobody tells what a job waits for",
                 extra={"event": "wait_not_known", "job": job_id, "reason": str(error)},
@@ -104,7 +104,7 @@
             return False
         _known(value, call, job_id)
         answer = await self._create(call, keys.cancel_key(job_id), call.account.encode(), job_id)
-        self._desk.tell(Item(keys.cancel_key(job_id), answer.value, answer.revision))
+        self._leader_rpc.notify(Item(keys.cancel_key(job_id), answer.value, answer.revision))
         log.info("cancelled", extra={"event": "cancelled", "job": job_id})
         return True
 
@@ -114,8 +114,8 @@
         :raises SaddlestackError: nobody leads.
         """
         try:
-            return await self._desk.clear(job_id, call.account)
-        except NoLeader as error:
+            return await self._leader_rpc.clear(job_id, call.account)
+        except LeaderUnavailable as error:
             raise SaddlestackError(
                 ErrorKind.CELL_UNAVAILABLE, f"nobody leads: {error}", retry_after=1
             ) from error
@@ -123,8 +123,8 @@
     async def pending(self, call: ClientCall) -> int:
         """Accepted jobs of a queue none of whose tasks has begun."""
         try:
-            return await self._desk.pending(call.queue.name)
-        except NoLeader as error:
+            return await self._leader_rpc.pending(call.queue.name)
+        except LeaderUnavailable as error:
             raise SaddlestackError(
                 ErrorKind.CELL_UNAVAILABLE, str(error), retry_after=RETRY_AFTER_S
             ) from error
@@ -153,8 +153,8 @@
         for number in range(accepted.request.occurrences):
             progress = await self._read(call, keys.progress_key(f"{job_id}.{number}"))
             if progress is not None:
-                records[number] = stored.occurrence(f"{job_id}.{number}", progress)
-        stored.check_progress(accepted, records)
+                records[number] = jobcodec.decode_occurrence(f"{job_id}.{number}", progress)
+        jobcodec.check_progress(accepted, records)
         job = new_job(accepted, records)
         job.cancelled = await self._read(call, keys.cancel_key(job_id)) is not None
         return job.state
@@ -222,7 +222,7 @@
 
     :raises SaddlestackError: it is another client account's, or cannot be read.
     """
-    accepted = stored.accepted_job(job_id, value)
+    accepted = jobcodec.decode_job(job_id, value)
     if call.account and accepted.account and accepted.account != call.account:
         raise SaddlestackError(ErrorKind.FORBIDDEN, f"job {job_id} is another account's")
     return accepted
--- a/src/saddlestack/control/journal.py
+++ b/src/saddlestack/control/journal.py
@@ -8,8 +8,8 @@
 from collections.abc import Mapping, Sequence
 
 from saddlestack.control.context import EntryContext
+from saddlestack.control.invalidrecords import InvalidRecords
 from saddlestack.control.keys import LEADER
-from saddlestack.control.refusals import Refusals
 from saddlestack.interfaces.store import (
     Committed,
     Conflict,
@@ -24,7 +24,7 @@
 
 log = logging.getLogger("saddlestack.journal")
 
-RECORDS_A_WRITE = 15
+MAX_RECORDS_PER_WRITE = 15
 """A transaction has at most 32 entries: the guard, and two for each record."""
 KEYS_A_REMOVAL = 31
 FIRST_RETRY_S = 0.03
@@ -38,11 +38,11 @@
 base64 around them: a record of 10,000 tasks has 0.4 MB."""
 
 
-class Displaced(Exception):
+class LeadershipLost(Exception):
     """Another leader has taken over: nothing more can be written."""
 
 
-class Unanswered(Exception):
+class RetriesExhausted(Exception):
     """A write was not answered as often as it might be tried; it may still be done."""
 
 
@@ -60,7 +60,7 @@
         self._context = context
         self._fence = fence
         self._revisions: dict[str, int] = {}
-        self._refusals = Refusals(context.metrics, "progress")
+        self._invalid_records = InvalidRecords(context.metrics, "progress")
 
     def known(self, item: Item) -> None:
         """Note a record that was read."""
@@ -73,12 +73,12 @@
         no more than one of two writes that expect the same revisions.
 
         :param tries: of each transaction.
-        :raises Displaced: another leader has taken over.
-        :raises Unanswered: not one of the tries was answered.
+        :raises LeadershipLost: another leader has taken over.
+        :raises RetriesExhausted: not one of the tries was answered.
         """
         keys = list(records)
-        for start in range(0, len(keys), RECORDS_A_WRITE):
-            part = {key: records[key] for key in keys[start : start + RECORDS_A_WRITE]}
+        for start in range(0, len(keys), MAX_RECORDS_PER_WRITE):
+            part = {key: records[key] for key in keys[start : start + MAX_RECORDS_PER_WRITE]}
             await self._write(part, tries)
 
     async def remove(self, names: Sequence[str]) -> bool:
@@ -105,7 +105,7 @@
                 async with asyncio.timeout(self._patience_s(failures) + sending_s):
                     outcome = await self._context.store.transact(transaction)
             except LeaseOver as error:
-                raise Displaced from error
+                raise LeadershipLost from error
             except (StoreUnavailable, WriteInDoubt, TimeoutError) as error:
                 failures += 1
                 if failures == 1:
@@ -114,7 +114,7 @@
                         extra={"event": "journal_waits", "reason": type(error).__name__},
                     )
                 if failures >= tries:
-                    raise Unanswered from error
+                    raise RetriesExhausted from error
                 await self._context.health.pause(
                     pause(failures, FIRST_RETRY_S, LONGEST_RETRY_S, self._context.rng)
                 )
@@ -145,17 +145,17 @@
         here alone, so it is written again over what is there now; no earlier try can be done any
         more, since it expects what was there before.
 
-        :raises Displaced: somebody else leads.
+        :raises LeadershipLost: somebody else leads.
         """
         present = {item.key: item for item in conflict.items}
         leader = present.get(LEADER)
         if leader is None or leader.revision != self._fence:
-            raise Displaced
+            raise LeadershipLost
         done = True
         for key, value in records.items():
             item = present.get(key, Item(key, b"", 0))
             self._revisions[key] = item.revision
             if not item.revision or item.value != value:
                 done = False
-                self._refusals.refuse(key, "somebody else has changed it")
+                self._invalid_records.report(key, "somebody else has changed it")
         return done
--- a/src/saddlestack/control/desk.py
+++ b/src/saddlestack/control/leaderrpc.py
@@ -83,11 +83,11 @@
     """The leader knows of it."""
 
 
-class NoLeader(Exception):
+class LeaderUnavailable(Exception):
     """There is no leader, or it did not answer."""
 
 
-class Desk:
+class LeaderRpc:
     """Asks the leader, and answers while this VM leads.
 
     :param scheduler: this VM's scheduler, or ``None`` while it does not lead.
@@ -108,49 +108,49 @@
     async def state(self, job_id: str, account: str) -> JobState | None:
         """A job's state, as far as the leader knows the job.
 
-        :raises NoLeader: nobody answered.
+        :raises LeaderUnavailable: nobody answered.
         """
         return (await self._ask(StateQuestion(job_id, account), StateAnswer)).state
 
     async def waits(self, job_id: str, account: str) -> str | None:
         """What a job waits for, as far as the leader knows.
 
-        :raises NoLeader: nobody answered.
+        :raises LeaderUnavailable: nobody answered.
         """
         return (await self._ask(WaitQuestion(job_id, account), WaitAnswer)).waits
 
     async def clear(self, job_id: str, account: str) -> int:
         """Hold the tasks of a job to be sound, though workers crashed under them.
 
-        :raises NoLeader: nobody answered.
+        :raises LeaderUnavailable: nobody answered.
         """
         return (await self._ask(ClearOrder(job_id, account), ClearAnswer)).suspects
 
     async def pending(self, queue: str) -> int:
         """How many jobs of a queue have not begun.
 
-        :raises NoLeader: nobody answered.
+        :raises LeaderUnavailable: nobody answered.
         """
         return (await self._ask(PendingQuestion(queue), PendingAnswer)).count
 
-    def tell(self, item: Item) -> None:
+    def notify(self, item: Item) -> None:
         """Tell the leader of a request that was written; nobody waits for it."""
-        self._peers.tasks.spawn(self._tell(WrittenNotice(item.key, item.value, item.revision)))
+        self._peers.tasks.spawn(self._send(WrittenNotice(item.key, item.value, item.revision)))
 
-    async def _tell(self, notice: WrittenNotice) -> None:
+    async def _send(self, notice: WrittenNotice) -> None:
         try:
             await self._ask(notice, NoticeTaken)
-        except NoLeader as error:
+        except LeaderUnavailable as error:
             log.info("leader was not told", extra={"event": "not_told", "reason": str(error)})
 
     async def _ask(self, question: object, kind: type[T]) -> T:
         leader = self._leadership.leader
         if leader is None:
-            raise NoLeader("nobody leads")
+            raise LeaderUnavailable("nobody leads")
         try:
             return await self._peers.ask(leader.vm, question, kind)
         except (PeerUnavailable, SaddlestackError) as error:
-            raise NoLeader(str(error)) from error
+            raise LeaderUnavailable(str(error)) from error
 
     def _leading(self) -> Scheduler:
         scheduler = self._scheduler()
@@ -168,7 +168,7 @@
         scheduler = self._leading()
         if not _is_shown(scheduler, question.job_id, question.account):
             return WaitAnswer(None)
-        return WaitAnswer(scheduler.waits.of(question.job_id))
+        return WaitAnswer(scheduler.waits.explain(question.job_id))
 
     async def _clear(self, order: ClearOrder) -> ClearAnswer:
         scheduler = self._leading()
@@ -177,7 +177,7 @@
         return ClearAnswer(scheduler.clear_suspects(order.job_id))
 
     async def _written(self, notice: WrittenNotice) -> NoticeTaken:
-        self._leading().told(Item(notice.key, notice.value, notice.revision))
+        self._leading().receive_notice(Item(notice.key, notice.value, notice.revision))
         return NoticeTaken()
 
     async def _pending(self, question: PendingQuestion) -> PendingAnswer:
--- a/src/saddlestack/control/leadership.py
+++ b/src/saddlestack/control/leadership.py
@@ -11,8 +11,8 @@
 
 from saddlestack.codec import from_json, to_json
 from saddlestack.control.context import EntryContext
+from saddlestack.control.invalidrecords import InvalidRecords
 from saddlestack.control.keys import LEADER
-from saddlestack.control.refusals import Refusals
 from saddlestack.errors import SaddlestackError
 from saddlestack.interfaces.store import (
     Committed,
@@ -100,7 +100,7 @@
         self._revision = 0
         self._unreadable: int | None = None
         self._unreadable_s = 0.0
-        self._refusals = Refusals(context.metrics, "leader")
+        self._invalid_records = InvalidRecords(context.metrics, "leader")
         self.leader: LeaderRecord | None = None
         self.term: Term | None = None
         self._lasts_s = LEASE_S
@@ -227,7 +227,7 @@
 
         A term whose key was replaced learns it from its next write.
         """
-        self._refusals.refuse(item.key, str(error))
+        self._invalid_records.report(item.key, str(error))
         if item.revision not in {self._revision, self._unreadable}:
             self._unreadable = item.revision
             self._unreadable_s = self.clock.now()
--- a/src/saddlestack/control/listing.py
+++ b/src/saddlestack/control/listing.py
@@ -15,7 +15,7 @@
 from collections.abc import Iterable
 
 from saddlestack.control.context import EntryContext
-from saddlestack.control.refusals import Refusals
+from saddlestack.control.invalidrecords import InvalidRecords
 from saddlestack.control.sessions import Sessions
 from saddlestack.errors import SaddlestackError
 from saddlestack.interfaces.lives import born_of, id_of
@@ -34,7 +34,7 @@
         self._documents = context.documents
         self._cluster_state = cluster_state
         self._sessions = sessions
-        self._refusals = Refusals(context.metrics, "worker")
+        self._invalid_records = InvalidRecords(context.metrics, "worker")
         self._services: set[str] = set()
         self._no_service: dict[str, Item] = {}
         self._lives: dict[str, str] = {}
@@ -100,7 +100,7 @@
         self._lives[worker_id] = record.worker_id
         self._cluster_state.set_worker(record, self._clock.now())
         if another:
-            self._sessions.recall(record.worker_id)
+            self._sessions.revoke_starts(record.worker_id)
 
     def _supersede(self, life: str) -> None:
         """A record tells of another life of a worker: this one is asked whether it is over."""
@@ -116,7 +116,7 @@
 
     def _refuse(self, item: Item, reason: str) -> None:
         worker_id = self._id(item)
-        self._refusals.refuse(item.key, reason)
+        self._invalid_records.report(item.key, reason)
         self._no_service.pop(worker_id, None)
         self._unlist(self._lives.get(worker_id, worker_id))
 
--- a/src/saddlestack/control/membership.py
+++ b/src/saddlestack/control/membership.py
@@ -11,8 +11,8 @@
 from saddlestack.codec import from_json, to_json
 from saddlestack.control.context import EntryContext
 from saddlestack.control.feed import Feed
+from saddlestack.control.invalidrecords import InvalidRecords
 from saddlestack.control.keys import MEMBERS, member_key
-from saddlestack.control.refusals import Refusals
 from saddlestack.control.settings import MAX_PORT
 from saddlestack.errors import SaddlestackError, invalid
 from saddlestack.interfaces.store import (
@@ -85,7 +85,7 @@
         self._gone: dict[str, tuple[Member, float]] = {}
         self._unreadable: set[str] = set()
         self._unreadable_gone_s = -math.inf
-        self._refusals = Refusals(context.metrics, "member")
+        self._invalid_records = InvalidRecords(context.metrics, "member")
         self._overwritten = False
         self._feed = Feed(context, MEMBERS, self._replace, self._change)
 
@@ -218,7 +218,7 @@
 
     def _refuse(self, vm: str, item: Item, error: SaddlestackError) -> None:
         """Go on with what a VM told before, if it did."""
-        self._refusals.refuse(item.key, str(error))
+        self._invalid_records.report(item.key, str(error))
         if vm == self.me.vm:
             self._overwritten = True
         elif vm not in self._members:
--- a/src/saddlestack/control/reports.py
+++ b/src/saddlestack/control/reports.py
@@ -10,7 +10,7 @@
 import math
 from collections.abc import Sequence
 
-from saddlestack.control.endings import Proof, log_over
+from saddlestack.control.endings import EndProof, log_runs_over
 from saddlestack.control.owner import Owner
 from saddlestack.interfaces.workers import EndedTask, RunningTask, WorkerReport
 from saddlestack.kernel.clock import Clock
@@ -23,7 +23,7 @@
 COMMIT_WAIT_S = 1.0
 
 
-class Reports:
+class ReportHandler:
     """The reports of one life of a worker.
 
     A run's fate is taken from the worker's own account only: its end, or a report, asked for
@@ -172,5 +172,5 @@
                 "confirmed": run.started_s is not None,
             },
         )
-        log_over([run], Proof.ABSENT, age_s)
+        log_runs_over([run], EndProof.ABSENT, age_s)
         self._owner.cluster_state.run_not_started(run)
--- a/src/saddlestack/control/scheduler.py
+++ b/src/saddlestack/control/scheduler.py
@@ -15,11 +15,11 @@
 
 from saddlestack.codec import to_msgpack
 from saddlestack.control import keys
-from saddlestack.control.commits import Commits, JobRecords
+from saddlestack.control.commits import CommitQueue, JobRecords
 from saddlestack.control.configuration import Configuration
 from saddlestack.control.context import EntryContext
 from saddlestack.control.crashlog import CrashLog
-from saddlestack.control.endings import Proof, log_over, log_wait
+from saddlestack.control.endings import EndProof, log_lease_wait, log_runs_over
 from saddlestack.control.evacuations import Evacuations
 from saddlestack.control.feed import Feed
 from saddlestack.control.halls import HallWatch
@@ -30,10 +30,10 @@
 from saddlestack.control.membership import Membership
 from saddlestack.control.peers import Peers
 from saddlestack.control.renewals import Renewals
-from saddlestack.control.requests import Requests
 from saddlestack.control.sessions import Sessions
+from saddlestack.control.storedjobs import StoredJobs
 from saddlestack.control.upkeep import Upkeep
-from saddlestack.control.waits import LOOK_S, Waits
+from saddlestack.control.waits import CHECK_INTERVAL_S, WaitMonitor
 from saddlestack.interfaces.documents import PoolConfiguration
 from saddlestack.interfaces.machines import AdviserUnavailable
 from saddlestack.interfaces.store import Item
@@ -50,10 +50,10 @@
 TICK_S = 0.5
 LENDING_SLACK_S = 0.001
 """A timer set for the very moment at which work may be lent room could fire just before it."""
-WORKERS_GAP_S = 0.3
+WORKER_FEED_GAP_S = 0.3
 """Workers' heartbeats change the store 16 times a second at 24 workers; what counts, a worker that
 leaves or comes, may be known this much later: it gets no work for 2 s from its notice on."""
-WORKERS_WAIT_S = 0.5
+WORKER_WATCH_WAIT_S = 0.5
 """A watch of workers waits no longer: they write their records many times a second, so one that
 hears nothing has a connection that went silent. With 1 s of slack a notice is then heard 1.5 s
 late, where it was 4 s; work may go to a worker for 2 s from its notice on."""
@@ -64,8 +64,8 @@
 """A job whose notice was lost is told of by a watch; one that went silent alone is found out 1 s
 after this. The leader asks once a second so, where a quiet store was asked each 3 s."""
 ADVICE_RETRY_S = 0.5
-RENEWALS_GAP_S = 1.0
-RENEWALS_ASKED = 6
+RENEWAL_CHECK_INTERVAL_S = 1.0
+MAX_RENEWAL_CHECKS = 6
 """For so many gaps the other VMs may be asked whether they renew leases: one that leads without the
 store has stopped after 5.5 s, and a later answer would make no difference."""
 ADVICE_AT_ONCE = 4
@@ -102,13 +102,13 @@
         self.fence = term.fence
         self.hold_s = context.settings.timings.longest_hold_ms / 1000
         self._journal = Journal(context, term.fence)
-        self._requests = Requests(context, self.cluster_state, self._journal)
-        self._commits = Commits(context, self._journal, self._displaced)
+        self._requests = StoredJobs(context, self.cluster_state, self._journal)
+        self._commits = CommitQueue(context, self._journal, self._displaced)
         self._began_s = context.clock.now()
         self._crashing = CrashLog(context.metrics)
         self._leases = Leases(self.hold_s, self._began_s)
         self._sessions = Sessions(context, self, self._leases)
-        self.waits = Waits(
+        self.waits = WaitMonitor(
             self.cluster_state, context.clock, context.metrics, self._leases.lasts_until
         )
         self._workers = WorkerList(context, self.cluster_state, self._sessions)
@@ -117,8 +117,8 @@
             context.documents.places.workers_prefix,
             self._workers_listed,
             self._workers_changed,
-            wait_s=WORKERS_WAIT_S,
-            gap_s=WORKERS_GAP_S,
+            wait_s=WORKER_WATCH_WAIT_S,
+            gap_s=WORKER_FEED_GAP_S,
         )
         self._suspicion = Suspicion()
         self._evacuations = Evacuations(context, self._evacuated)
@@ -167,7 +167,7 @@
         self.changed()
         return found
 
-    def told(self, item: Item) -> None:
+    def receive_notice(self, item: Item) -> None:
         """A VM has written a request; the store tells of it as well, but later."""
         self._requested((item,))
 
@@ -204,7 +204,7 @@
         """Another life answered where a worker's was; orders to the one before may reach it."""
         life = self._workers.life_after(worker.worker_id)
         if life is not None:
-            self._sessions.recall(life)
+            self._sessions.revoke_starts(life)
 
     def fenced(self) -> None:
         """A worker obeys a later term."""
@@ -241,10 +241,10 @@
                 "jobs": len(self.cluster_state.jobs),
             },
         )
-        self.waits.show()
+        self.waits.register_gauges()
         self._sessions.open()
         for worker in self._ghosts():
-            log_wait(worker, self._leases.left_s(worker.worker_id, self._clock.now()))
+            log_lease_wait(worker, self._leases.left_s(worker.worker_id, self._clock.now()))
         self._tasks.spawn(self._tick())
         self._tasks.spawn(self._look())
         self._tasks.spawn(self._halls.run())
@@ -319,18 +319,18 @@
         """
         mark = self._known
         more = self.cluster_state.plan(self._clock.now(), self._clock.wall() * 1000)
-        self.waits.planned(more)
+        self.waits.round_finished(more)
         changes = self.cluster_state.take_changes()
         for stop in changes.stops:
             self._context.metrics.count(f"stops_{stop.reason.value}")
             self._sessions.order_stop(stop)
         for pace in changes.paces:
             self._sessions.order_pace(pace)
-        self._crashing.tell(changes.verdicts)
+        self._crashing.log_verdicts(changes.verdicts)
         for question in changes.advice_requests:
             self._tasks.spawn(self._ask(question))
         by_job = changes.by_job()
-        self.waits.writing(each.job_id for each in by_job)
+        self.waits.write_started(each.job_id for each in by_job)
         self._commits.put(mark, [self._records(each) for each in by_job])
         return more
 
@@ -342,7 +342,7 @@
 
     def _follow(self, changes: JobChanges) -> None:
         """What may follow from changes of a job that are in the store."""
-        self.waits.written((changes.job_id,))
+        self.waits.write_finished((changes.job_id,))
         for job, state in changes.state_updates:
             self._show(job.job_id, state)
         self._context.metrics.count("starts", len(changes.starts))
@@ -390,33 +390,33 @@
         while True:
             await asyncio.sleep(TICK_S)
             self._end_ghosts()
-            self._sessions.close_gone()
+            self._sessions.close_orphaned()
             self.changed()
 
     async def _forget_old(self) -> None:
         """Forget jobs that are over; apart from the tick, since the store may answer late."""
-        await self._requests.forget_rest()
+        await self._requests.remove_leftovers()
         while True:
             await asyncio.sleep(TICK_S)
-            await self._requests.forget_expired()
+            await self._requests.remove_expired()
 
     async def _look(self) -> None:
         """Look at what waits; apart from the tick, which may itself wait for the store."""
         while True:
-            await asyncio.sleep(LOOK_S)
-            self.waits.look(round_due=self._wake.is_set())
+            await asyncio.sleep(CHECK_INTERVAL_S)
+            self.waits.check(round_due=self._wake.is_set())
 
     async def _see_renewals_over(self) -> None:
         """Ask the others until none renews a lease, or it makes no difference any more.
 
         Nobody is asked while every worker answers that runs what an earlier leader started.
         """
-        for _ in range(RENEWALS_ASKED):
+        for _ in range(MAX_RENEWAL_CHECKS):
             if self._waits_for_lapse() and await self._renewals.are_over():
                 self._leases.renewed_until(self._clock.now())
                 log.info("nobody else renews leases", extra={"event": "renewals_over"})
                 return
-            await asyncio.sleep(RENEWALS_GAP_S)
+            await asyncio.sleep(RENEWAL_CHECK_INTERVAL_S)
 
     def _waits_for_lapse(self) -> bool:
         """Whether work that an earlier leader started is on a worker that does not answer."""
@@ -433,7 +433,7 @@
         for worker in self._ghosts():
             if now < self._leases.lasts_until(worker.worker_id):
                 continue
-            log_over(worker.runs.values(), Proof.LAPSED, now - self._began_s)
+            log_runs_over(worker.runs.values(), EndProof.LAPSED, now - self._began_s)
             self.cluster_state.worker_ended(worker.worker_id, LifeEnd(-math.inf, now, unheard=True))
 
     def _ghosts(self) -> list[Worker]:
--- a/src/saddlestack/control/session.py
+++ b/src/saddlestack/control/session.py
@@ -9,11 +9,11 @@
 from typing import TypeVar
 
 from saddlestack.control.contact import Contact
-from saddlestack.control.doubts import LATEST_S, Doubts
-from saddlestack.control.endings import Proof, log_over, log_wait
+from saddlestack.control.endings import EndProof, log_lease_wait, log_runs_over
 from saddlestack.control.leases import Leases
 from saddlestack.control.owner import Owner
-from saddlestack.control.reports import Reports
+from saddlestack.control.reports import ReportHandler
+from saddlestack.control.unanswered import MAX_ORDER_DELAY_S, UnansweredStarts
 from saddlestack.interfaces.workers import (
     Refusal,
     StartOrder,
@@ -40,18 +40,18 @@
 T = TypeVar("T")
 
 ORDER_TIMEOUT_S = 0.6
-ORDERS_AT_ONCE = 2
-START_TRIES = 3
+MAX_CONCURRENT_ORDERS = 2
+MAX_START_TRIES = 3
 RETRY_S = 0.3
 PROBE_S = 1.0
-LOOK_NOW_TIMEOUT_S = 0.3
+POLL_TIMEOUT_S = 0.3
 """A look that waits for nothing is answered in 1 to 3 ms, in 0.1 s by a slow worker."""
-WAIT_S = 2.0
+LONG_POLL_S = 2.0
 WATCHED_WAIT_S = 0.5
 """How often a worker is looked at on which serving and filling work meet."""
 STOPPING_WAIT_S = 0.4
 """How often one is looked at on which runs are to stop, since room is waited for there."""
-HOLD_SLACK_S = 0.4
+LONG_POLL_SLACK_S = 0.4
 
 
 class _NotWanted(Exception):
@@ -70,7 +70,7 @@
     """Orders to one worker, and looks at it, while this VM leads.
 
     :param leases: what was granted to workers in this term and before.
-    :param doubts: told which starts were answered.
+    :param unanswered_starts: told which starts were answered.
     """
 
     def __init__(
@@ -80,20 +80,20 @@
         owner: Owner,
         clock: Clock,
         leases: Leases,
-        doubts: Doubts | None = None,
+        unanswered_starts: UnansweredStarts | None = None,
     ) -> None:
         self.worker = worker
         self._orders = orders
         self._owner = owner
         self._clock = clock
         self._leases = leases
-        self._doubts = doubts or Doubts()
+        self._unanswered_starts = unanswered_starts or UnansweredStarts()
         self._began_s = clock.now()
         self._contact = Contact(worker, owner, clock, leases)
         self._tasks = TaskGroup(f"session {worker.worker_id}")
-        self._gate = asyncio.Semaphore(ORDERS_AT_ONCE)
+        self._gate = asyncio.Semaphore(MAX_CONCURRENT_ORDERS)
         self._wake = asyncio.Event()
-        self._reports = Reports(worker, owner, clock)
+        self._reports = ReportHandler(worker, owner, clock)
         self._stops: set[RunKey] = set()
         self._watching = False
         self.over = False
@@ -163,7 +163,7 @@
     async def _start(self, start: Start, key: RunKey) -> None:
         run = start.run
         clean = True
-        for _ in range(START_TRIES):
+        for _ in range(MAX_START_TRIES):
             sent = self._clock.now()
             try:
                 reply = await self._send(start)
@@ -197,7 +197,7 @@
                 clean = False
                 break
             if clean:
-                self._doubts.answered(self.worker.worker_id, key)
+                self._unanswered_starts.record_answered(self.worker.worker_id, key)
             if reply.refusal is Refusal.LATE and clean:
                 continue
             self._answered(run, key, reply, clean)
@@ -242,7 +242,9 @@
                 fence=self._owner.fence,
                 ticket=start.ticket,
             )
-            self._doubts.sent(self.worker.worker_id, (run.task.name, run.number), now)
+            self._unanswered_starts.record_sent(
+                self.worker.worker_id, (run.task.name, run.number), now
+            )
             run.ordered_s = now if run.ordered_s is None else run.ordered_s
             reply = await self._answer_of(self._orders.start(order, ORDER_TIMEOUT_S))
         if reply.clock_ms is None:
@@ -347,9 +349,10 @@
         """Until when a start that was sent up to now may still be carried out.
 
         The worker refuses it once the lease that it brings is over by its clock. A life after it
-        may count on another clock, but no order is held back for longer than :data:`LATEST_S`.
+        may count on another clock, but no order is held back for longer than
+        :data:`MAX_ORDER_DELAY_S`.
         """
-        return self._clock.now() + max(self._leases.longest_s, LATEST_S)
+        return self._clock.now() + max(self._leases.longest_s, MAX_ORDER_DELAY_S)
 
     def _settle(self, key: RunKey) -> None:
         self._reports.settle(key)
@@ -357,7 +360,7 @@
 
     def _never_began(self, run: Run, key: RunKey) -> None:
         """No order for a run is under way, and none was carried out."""
-        self._doubts.answered(self.worker.worker_id, key)
+        self._unanswered_starts.record_answered(self.worker.worker_id, key)
         self._reports.withdrawn(key)
         self._owner.cluster_state.run_not_started(run)
         self._owner.changed()
@@ -405,7 +408,7 @@
         """Look without waiting for an end, beside the look that does."""
         asked = self._clock.now()
         try:
-            report = await self._hold(None, 0.0, LOOK_NOW_TIMEOUT_S)
+            report = await self._hold(None, 0.0, POLL_TIMEOUT_S)
         except WorkerReplaced:
             self._replaced()
         except WorkerFenced:
@@ -427,7 +430,7 @@
     def _over(self) -> None:
         """Nothing runs there any more: every lease has lapsed."""
         heard_s = max(self._contact.heard_s, self._began_s)
-        log_over(self.worker.runs.values(), Proof.LAPSED, self._clock.now() - heard_s)
+        log_runs_over(self.worker.runs.values(), EndProof.LAPSED, self._clock.now() - heard_s)
         self._owner.cluster_state.worker_ended(
             self.worker.worker_id, self._contact.end(unheard=True)
         )
@@ -465,7 +468,7 @@
         willing = answers and not self._contact.turned_away
         renews = self.worker.runs and willing and self._owner.may_grant
         deadline = self._contact.deadline(asked) if renews else None
-        return await self._hold(deadline, wait_s, wait_s + HOLD_SLACK_S)
+        return await self._hold(deadline, wait_s, wait_s + LONG_POLL_SLACK_S)
 
     async def _hold(self, deadline_ms: int | None, wait_s: float, timeout_s: float) -> WorkerReport:
         return await self._answer_of(
@@ -480,7 +483,7 @@
             return 0.0
         if any(run.stopping for run in self.worker.runs.values()):
             return STOPPING_WAIT_S
-        return WATCHED_WAIT_S if needs_watching(self.worker) else WAIT_S
+        return WATCHED_WAIT_S if needs_watching(self.worker) else LONG_POLL_S
 
     async def _take(self, report: WorkerReport, asked: float) -> None:
         if self._owner.cluster_state.workers.get(self.worker.worker_id) is not self.worker:
@@ -500,7 +503,9 @@
     def _wait_begins(self) -> None:
         """What runs there may go on unseen, until its leases have lapsed at most."""
         if self.worker.runs:
-            log_wait(self.worker, self._leases.left_s(self.worker.worker_id, self._clock.now()))
+            log_lease_wait(
+                self.worker, self._leases.left_s(self.worker.worker_id, self._clock.now())
+            )
 
     def _unanswered(self, asked: float) -> bool:
         """Note a failed look; ``True`` where nothing can be running there any more."""
@@ -548,7 +553,7 @@
         )
         self.over = True
         self.worker.listed = False
-        log_over(self.worker.runs.values(), Proof.REPLACED, 0.0)
+        log_runs_over(self.worker.runs.values(), EndProof.REPLACED, 0.0)
         self._owner.cluster_state.worker_ended(
             self.worker.worker_id, self._contact.end(unheard=False)
         )
--- a/src/saddlestack/control/sessions.py
+++ b/src/saddlestack/control/sessions.py
@@ -7,10 +7,10 @@
 from collections.abc import Iterator
 
 from saddlestack.control.context import EntryContext
-from saddlestack.control.doubts import Doubts
 from saddlestack.control.leases import Leases
 from saddlestack.control.owner import Owner
 from saddlestack.control.session import WorkerSession
+from saddlestack.control.unanswered import UnansweredStarts
 from saddlestack.kernel.service import TaskGroup
 from saddlestack.policy.cluster.changes import Start, Stop
 from saddlestack.policy.cluster.pacing import Pace
@@ -18,8 +18,8 @@
 
 log = logging.getLogger("saddlestack.sessions")
 
-OPENED_AT_ONCE = 64
-OPENING_PAUSE_S = 0.02
+OPEN_BATCH_SIZE = 64
+OPEN_BATCH_PAUSE_S = 0.02
 """A first look costs some 1 ms of a core: a new leader that opened 3,000 sessions at once came to
 nothing else for longer than its lease of 1 s, its renewals included. So paced it takes that long,
 and each renewal waits for one batch."""
@@ -38,7 +38,7 @@
         self._sessions: dict[str, WorkerSession] = {}
         self._tasks = TaskGroup("sessions")
         self._leases = leases
-        self._doubts = Doubts()
+        self._unanswered_starts = UnansweredStarts()
         self._opening = False
 
     def __len__(self) -> int:
@@ -60,14 +60,14 @@
             return
         due = self._without_session()
         self._open_some(due)
-        if len(due) > OPENED_AT_ONCE:
+        if len(due) > OPEN_BATCH_SIZE:
             self._opening = True
             self._tasks.spawn(self._open_rest())
 
     async def _open_rest(self) -> None:
         try:
             while due := self._without_session():
-                await asyncio.sleep(OPENING_PAUSE_S)
+                await asyncio.sleep(OPEN_BATCH_PAUSE_S)
                 self._open_some(due)
         finally:
             self._opening = False
@@ -79,7 +79,7 @@
         return [worker for worker in busy if not self._is_open(worker)]
 
     def _open_some(self, workers: list[Worker]) -> None:
-        for worker in workers[:OPENED_AT_ONCE]:
+        for worker in workers[:OPEN_BATCH_SIZE]:
             self._session(worker.worker_id)
 
     def _is_open(self, worker: Worker) -> bool:
@@ -92,7 +92,7 @@
         if session is not None:
             self._tasks.spawn(session.close())
 
-    def close_gone(self) -> None:
+    def close_orphaned(self) -> None:
         """End the sessions with lives that are over and of which no record tells any more."""
         for worker_id in [
             each for each in self._sessions if each not in self._owner.cluster_state.workers
@@ -111,7 +111,7 @@
         if session is not None:
             session.suspect()
 
-    def recall(self, life: str) -> None:
+    def revoke_starts(self, life: str) -> None:
         """Have the life after another refuse the starts that the other may not have carried out.
 
         A look tells it the present fencing token, which it does not know of before, so that it
@@ -121,7 +121,7 @@
         if session is None:
             return
         session.suspect()
-        for task, number in self._doubts.of(life, self._context.clock.now()):
+        for task, number in self._unanswered_starts.pending(life, self._context.clock.now()):
             session.stop(task, number)
 
     def order_start(self, start: Start, news_s: float) -> bool:
@@ -195,7 +195,7 @@
             self._owner,
             self._context.clock,
             self._leases,
-            self._doubts,
+            self._unanswered_starts,
         )
         self._sessions[worker_id] = session
         session.begin()
--- a/src/saddlestack/control/requests.py
+++ b/src/saddlestack/control/storedjobs.py
@@ -9,10 +9,10 @@
 import logging
 from collections.abc import Iterable
 
-from saddlestack.control import keys, stored
+from saddlestack.control import jobcodec, keys
 from saddlestack.control.context import EntryContext
+from saddlestack.control.invalidrecords import InvalidRecords
 from saddlestack.control.journal import Journal
-from saddlestack.control.refusals import Refusals
 from saddlestack.errors import SaddlestackError
 from saddlestack.interfaces.store import Item, StoreUnavailable
 from saddlestack.policy.cluster.records import OccurrenceRecord
@@ -28,7 +28,7 @@
 listing is under way."""
 
 
-class Requests:
+class StoredJobs:
     """Clients' requests and the progress of jobs, between the store and a board."""
 
     def __init__(
@@ -37,7 +37,7 @@
         self._context = context
         self._cluster_state = cluster_state
         self._journal = journal
-        self._refusals = Refusals(context.metrics, "job")
+        self._invalid_records = InvalidRecords(context.metrics, "job")
         self._records: dict[str, dict[int, OccurrenceRecord]] = {}
         self._left_alone: set[str] = set()
         self._revisions: dict[str, int] = {}
@@ -61,12 +61,14 @@
         try:
             job_id, number = keys.occurrence_of(item.key)
         except ValueError:
-            self._refusals.refuse(item.key, "expected JOB.NUMBER")
+            self._invalid_records.report(item.key, "expected JOB.NUMBER")
             return
         try:
-            self._records.setdefault(job_id, {})[number] = stored.occurrence(name, item.value)
+            self._records.setdefault(job_id, {})[number] = jobcodec.decode_occurrence(
+                name, item.value
+            )
         except SaddlestackError as error:
-            self._refusals.refuse(item.key, str(error))
+            self._invalid_records.report(item.key, str(error))
             self._left_alone.add(job_id)
 
     def begin(self) -> None:
@@ -98,10 +100,10 @@
             return None
         records = {} if self._begun else self._records.get(job_id, {})
         try:
-            accepted = stored.accepted_job(job_id, item.value)
-            stored.check_progress(accepted, records)
+            accepted = jobcodec.decode_job(job_id, item.value)
+            jobcodec.check_progress(accepted, records)
         except SaddlestackError as error:
-            self._refusals.refuse(item.key, str(error))
+            self._invalid_records.report(item.key, str(error))
             if job_id not in self._cluster_state.jobs:
                 self._left_alone.add(job_id)
             return None
@@ -109,7 +111,7 @@
         self._revisions[job_id] = max(item.revision, self._revisions.get(job_id, 0))
         return accepted
 
-    async def forget_expired(self) -> None:
+    async def remove_expired(self) -> None:
         """Remove jobs from the store that nobody has to be told of any more."""
         retention_s = self._context.settings.timings.retention_s
         expired = self._cluster_state.expired_jobs(self._context.clock.now(), retention_s)
@@ -132,7 +134,7 @@
         while len(self._forgotten) > MOST_FORGOTTEN:
             del self._forgotten[next(iter(self._forgotten))]
 
-    async def forget_rest(self) -> None:
+    async def remove_leftovers(self) -> None:
         """Remove progress of jobs that an earlier leader did not forget whole."""
         known = self._cluster_state.jobs.keys() | self._left_alone
         for job_id in [job_id for job_id in self._records if job_id not in known]:
--- a/src/saddlestack/control/doubts.py
+++ b/src/saddlestack/control/unanswered.py
@@ -10,31 +10,31 @@
 from saddlestack.interfaces.lives import id_of
 from saddlestack.policy.cluster.workers import RunKey
 
-LATEST_S = 15.0
+MAX_ORDER_DELAY_S = 15.0
 """An order is carried out at most 12 s after it was sent; the rest is for clocks and stalls."""
 
 
-class Doubts:
+class UnansweredStarts:
     """The unanswered starts of each worker, by its id. Times are seconds on this VM's clock."""
 
     def __init__(self) -> None:
         self._sent: dict[str, dict[RunKey, float]] = {}
 
-    def sent(self, life: str, key: RunKey, now: float) -> None:
+    def record_sent(self, life: str, key: RunKey, now: float) -> None:
         """A start of a run leaves for a life."""
         starts = self._sent.setdefault(id_of(life), {})
-        for old in [each for each, sent_s in starts.items() if now - sent_s > LATEST_S]:
+        for old in [each for each, sent_s in starts.items() if now - sent_s > MAX_ORDER_DELAY_S]:
             del starts[old]
         starts[key] = now
 
-    def answered(self, life: str, key: RunKey) -> None:
+    def record_answered(self, life: str, key: RunKey) -> None:
         """Each start of a run that was sent to a life was answered."""
         starts = self._sent.get(id_of(life), {})
         starts.pop(key, None)
         if not starts:
             self._sent.pop(id_of(life), None)
 
-    def of(self, life: str, now: float) -> list[RunKey]:
+    def pending(self, life: str, now: float) -> list[RunKey]:
         """Runs that may still begin on any life of a worker though nobody waits for them."""
         starts = self._sent.get(id_of(life), {})
-        return [key for key, sent_s in starts.items() if now - sent_s <= LATEST_S]
+        return [key for key, sent_s in starts.items() if now - sent_s <= MAX_ORDER_DELAY_S]
--- a/src/saddlestack/control/upkeep.py
+++ b/src/saddlestack/control/upkeep.py
@@ -13,8 +13,8 @@
 from saddlestack.codec import from_json, to_json
 from saddlestack.control.context import EntryContext
 from saddlestack.control.feed import Feed
+from saddlestack.control.invalidrecords import InvalidRecords
 from saddlestack.control.keys import LEADER, wave_key
-from saddlestack.control.refusals import Refusals
 from saddlestack.errors import SaddlestackError
 from saddlestack.interfaces.machines import Machines, MachinesUnavailable, UpkeepOutcome
 from saddlestack.interfaces.store import (
@@ -63,7 +63,7 @@
             context, context.documents.places.waves_prefix, self._ordered, self._ordered
         )
         self._fresh: list[Item] = []
-        self._refusals = Refusals(context.metrics, "wave")
+        self._invalid_records = InvalidRecords(context.metrics, "wave")
 
     async def run(self) -> None:
         """Drive waves until cancelled."""
@@ -91,7 +91,7 @@
         try:
             wave = self._context.documents.wave(item)
         except SaddlestackError as error:
-            self._refusals.refuse(item.key, str(error))
+            self._invalid_records.report(item.key, str(error))
             return
         if wave.wave in self._waves or wave.wave in self._completed:
             return
@@ -99,7 +99,7 @@
             kept = await self._read(wave.wave)
         except SaddlestackError as error:
             # Some of its machines may have had their upkeep, and none is to have it twice.
-            self._refusals.refuse(wave_key(wave.wave), str(error))
+            self._invalid_records.report(wave_key(wave.wave), str(error))
             return
         if kept.completed:
             self._completed.add(wave.wave)
--- a/src/saddlestack/control/waits.py
+++ b/src/saddlestack/control/waits.py
@@ -24,14 +24,14 @@
 
 log = logging.getLogger("saddlestack.scheduler")
 
-LOOK_S = 0.5
+CHECK_INTERVAL_S = 0.5
 """From one look to the next; as often as the leader ticks, so that a wait told of after 1 s and a
 standstill after 3 s are told of half a second later at most."""
-TOLD_AFTER_S = 1.0
+REPORT_AFTER_S = 1.0
 """A wait is told of once it has lasted so long: most last for less than a round of decisions."""
-STANDSTILLS_A_TICK = 10
+MAX_STALL_LINES = 10
 """Lines ``stands_still`` in one look..."""
-WAITS_A_TICK = 10
+MAX_WAIT_LINES = 10
 """...and lines ``waits``: 40 lines a second in all at two looks a second. The rest is counted in
 one line; a wait that was left out is told of in a later look."""
 PERCENT = 100
@@ -59,7 +59,7 @@
         return figures
 
 
-def show_none(metrics: Metrics) -> None:
+def reset_gauges(metrics: Metrics) -> None:
     """Show that nothing waits: a VM that does not lead knows of no wait."""
     _show(metrics, lambda reason: 0, lambda reason: 0, lambda: 0, lambda: 0, lambda: 0)
 
@@ -80,7 +80,7 @@
     metrics.gauge("pool_reserved_idle_percent", reserved_idle)
 
 
-class Waits:
+class WaitMonitor:
     """Tells what the jobs of one term wait for.
 
     :param lease_until_s: when every lease of a worker has lapsed.
@@ -108,7 +108,7 @@
         self._told: dict[str, Reason] = {}
         self._figures = WaitFigures()
 
-    def show(self) -> None:
+    def register_gauges(self) -> None:
         """Show figures from now on; the first look follows."""
         self._looked_s = self._clock.now()
         _show(
@@ -122,11 +122,11 @@
 
     def close(self) -> None:
         """The term is over."""
-        show_none(self._metrics)
+        reset_gauges(self._metrics)
 
     # What the scheduler tells
 
-    def planned(self, full: bool) -> None:
+    def round_finished(self, full: bool) -> None:
         """A round of decisions has been taken.
 
         :param full: it has left some for the next one.
@@ -134,11 +134,11 @@
         self._planned_s = self._clock.now()
         self._round_full = full
 
-    def writing(self, jobs: Iterable[str]) -> None:
+    def write_started(self, jobs: Iterable[str]) -> None:
         """Records of some jobs are to be written."""
         self._writing.update(jobs)
 
-    def written(self, jobs: Iterable[str]) -> None:
+    def write_finished(self, jobs: Iterable[str]) -> None:
         """Records of some jobs are in the store."""
         for job_id in jobs:
             self._writing[job_id] -= 1
@@ -147,7 +147,7 @@
 
     # Looking
 
-    def look(self, *, round_due: bool = False) -> None:
+    def check(self, *, round_due: bool = False) -> None:
         """Look at all jobs, and tell of those that wait.
 
         :param round_due: whether a round of decisions would begin now.
@@ -163,7 +163,7 @@
 
     def _look(self, round_due: bool) -> None:
         now = self._clock.now()
-        self._late_s = max(0.0, now - self._looked_s - LOOK_S)
+        self._late_s = max(0.0, now - self._looked_s - CHECK_INTERVAL_S)
         self._looked_s = now
         looked = self._diagnosis.look(self._circumstances(round_due))
         self._now = {wait.job_id: wait for wait in looked.waits}
@@ -171,7 +171,7 @@
         self._tell_standstills()
         self._tell_waits()
 
-    def of(self, job_id: str) -> str | None:
+    def explain(self, job_id: str) -> str | None:
         """What a job waits for, or why it failed, in a sentence; ``None`` where it runs."""
         job = self._cluster_state.jobs.get(job_id)
         if job is not None and job.published_state is JobState.FAILED:
@@ -199,10 +199,10 @@
     def _tell_standstills(self) -> None:
         standing = [wait.job_id for wait in self._now.values() if wait.beside_room]
         found = self._watch.look(standing, self._clock.now())
-        for standstill in found[:STANDSTILLS_A_TICK]:
+        for standstill in found[:MAX_STALL_LINES]:
             self._tell_standstill(standstill)
         self._metrics.count("standstills", len(found))
-        self._tell_left_out("stands_still", len(found) - STANDSTILLS_A_TICK)
+        self._tell_left_out("stands_still", len(found) - MAX_STALL_LINES)
 
     def _tell_standstill(self, standstill: Standstill) -> None:
         wait = self._now[standstill.job_id]
@@ -216,15 +216,15 @@
         for job_id in [each for each in self._told if each not in self._now]:
             del self._told[job_id]
         due = [wait for wait in self._now.values() if self._is_to_tell(wait)]
-        for wait in due[:WAITS_A_TICK]:
+        for wait in due[:MAX_WAIT_LINES]:
             self._told[wait.job_id] = wait.reason
             log.info("a job waits", extra={"event": "waits", **self._fields(wait, wait.since_s)})
-        self._tell_left_out("waits", len(due) - WAITS_A_TICK)
+        self._tell_left_out("waits", len(due) - MAX_WAIT_LINES)
 
     def _is_to_tell(self, wait: Wait) -> bool:
         if wait.reason is Reason.LEFT_OUT or self._told.get(wait.job_id) is wait.reason:
             return False
-        return self._clock.now() - wait.since_s >= TOLD_AFTER_S
+        return self._clock.now() - wait.since_s >= REPORT_AFTER_S
 
     def _tell_left_out(self, event: str, lines: int) -> None:
         if lines > 0:
--- a/tests/simulation/troubles.py
+++ b/tests/simulation/troubles.py
@@ -37,7 +37,7 @@
 from saddlestack.control.keys import progress_key
 from saddlestack.control.leadership import LEASE_S, RENEWING_S
 from saddlestack.control.leases import CLOCK_DRIFT, LAPSE_SLACK_S
-from saddlestack.control.session import HOLD_SLACK_S, LOOK_NOW_TIMEOUT_S, WAIT_S
+from saddlestack.control.session import LONG_POLL_S, LONG_POLL_SLACK_S, POLL_TIMEOUT_S
 from saddlestack.platform.kv import CALL_TIMEOUT_S
 from saddlestack.policy.cluster.records import OccurrenceRecord, TaskStatus
 from saddlestack.policy.cluster.workers import LONGEST_QUARANTINE_S
@@ -48,7 +48,7 @@
 
 LONGEST_LEASE_S = HOLD_S * CLOCK_DRIFT + LAPSE_SLACK_S
 """For so long a leader counts a lease that it has granted."""
-DOUBT_S = LONGEST_LEASE_S + WAIT_S + HOLD_SLACK_S
+DOUBT_S = LONGEST_LEASE_S + LONG_POLL_S + LONG_POLL_SLACK_S
 """The last lease may leave for a worker with a look that began just before it fell silent."""
 INHERITED_S = LEASE_S + RENEWING_S + LONGEST_LEASE_S
 """For so long from its beginning a leader counts the leases of leaders before."""
@@ -128,7 +128,7 @@
     def _is_cut_off(self, worker: SimWorker, kinds: tuple[str, ...]) -> bool:
         """Whether the way to a worker has trouble, for all orders or for one of some kinds."""
         name = worker.worker_id
-        return self._has_fault({name, *(name + kind for kind in kinds)}, LOOK_NOW_TIMEOUT_S)
+        return self._has_fault({name, *(name + kind for kind in kinds)}, POLL_TIMEOUT_S)
 
     def _whole_pool(self) -> PoolUse:
         alive = [worker for worker in self.site.workers.lives.values() if worker.up]
--- a/tests/test_commits.py
+++ b/tests/test_commits.py
@@ -10,8 +10,8 @@
 from functools import partial
 from typing import cast
 
-from saddlestack.control.commits import WRITES_AT_ONCE, Commits, JobRecords
-from saddlestack.control.journal import RECORDS_A_WRITE, Displaced, Journal
+from saddlestack.control.commits import MAX_CONCURRENT_WRITES, CommitQueue, JobRecords
+from saddlestack.control.journal import MAX_RECORDS_PER_WRITE, Journal, LeadershipLost
 from saddlestack.standins.loop import VirtualClock, run
 from tests.support import bare_context
 
@@ -36,7 +36,7 @@
                 await self.gates[key].wait()
         await asyncio.sleep(ANSWER_S)
         if self.displaced:
-            raise Displaced
+            raise LeadershipLost
         self.done += records
         for key, value in records.items():
             self.values.setdefault(key, []).append(value)
@@ -45,7 +45,7 @@
 @dataclass
 class Scene:
     journal: SlowJournal
-    commits: Commits
+    commits: CommitQueue
     followed: list[str]
     failures: list[str]
 
@@ -70,7 +70,7 @@
             context = bare_context(clock)
             journal = SlowJournal()
             failures: list[str] = []
-            commits = Commits(context, cast(Journal, journal), failures.append)
+            commits = CommitQueue(context, cast(Journal, journal), failures.append)
             await body(Scene(journal, commits, [], failures))
             await commits.stop()
 
@@ -157,14 +157,14 @@
 
     def test_only_so_many_writes_are_under_way(self) -> None:
         async def body(scene: Scene) -> None:
-            for number in range(WRITES_AT_ONCE + 1):
+            for number in range(MAX_CONCURRENT_WRITES + 1):
                 scene.put(number, **{str(number): f"k{number}"})
             await asyncio.sleep(MOMENT_S)
-            self.assertEqual(len(scene.journal.sizes), WRITES_AT_ONCE)
+            self.assertEqual(len(scene.journal.sizes), MAX_CONCURRENT_WRITES)
             await scene.answer()
-            self.assertEqual(len(scene.followed), WRITES_AT_ONCE)
+            self.assertEqual(len(scene.followed), MAX_CONCURRENT_WRITES)
             await scene.answer()
-            self.assertEqual(len(scene.followed), WRITES_AT_ONCE + 1)
+            self.assertEqual(len(scene.followed), MAX_CONCURRENT_WRITES + 1)
 
         self.play(body)
 
@@ -172,20 +172,20 @@
         """A start waited for the records of all other jobs of its round, one after the other."""
 
         async def body(scene: Scene) -> None:
-            many = 3 * RECORDS_A_WRITE
+            many = 3 * MAX_RECORDS_PER_WRITE
             scene.put(1, **{f"j{number}": f"k{number}" for number in range(many)})
             await scene.answer()
             self.assertEqual(len(scene.followed), many)
-            self.assertEqual(scene.journal.sizes, [RECORDS_A_WRITE] * 3)
+            self.assertEqual(scene.journal.sizes, [MAX_RECORDS_PER_WRITE] * 3)
 
         self.play(body)
 
     def test_a_job_of_many_records_is_followed_once_all_are_written(self) -> None:
         async def body(scene: Scene) -> None:
-            keys = " ".join(f"a{number}" for number in range(RECORDS_A_WRITE + 1))
+            keys = " ".join(f"a{number}" for number in range(MAX_RECORDS_PER_WRITE + 1))
             scene.put(1, b="b1", a=keys, c="c1")
             await scene.answer()
-            self.assertEqual(scene.journal.sizes, [1, RECORDS_A_WRITE + 1, 1])
+            self.assertEqual(scene.journal.sizes, [1, MAX_RECORDS_PER_WRITE + 1, 1])
             self.assertEqual(len(scene.followed), 3)
 
         self.play(body)
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from saddlestack.codec import from_msgpack, to_msgpack
-from saddlestack.control.stored import check_progress
+from saddlestack.control.jobcodec import check_progress
 from saddlestack.errors import SaddlestackError
 from saddlestack.interfaces.workers import EndedTask, EndKind
 from saddlestack.policy.cluster.changes import StopReason
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -16,7 +16,7 @@
 
 from saddlestack.control.context import EntryContext
 from saddlestack.control.feed import Feed
-from saddlestack.control.scheduler import WORKERS_GAP_S, WORKERS_WAIT_S
+from saddlestack.control.scheduler import WORKER_FEED_GAP_S, WORKER_WATCH_WAIT_S
 from saddlestack.interfaces.store import Item, Listing
 from saddlestack.standins.loop import VirtualClock, run
 
@@ -75,8 +75,8 @@
                 "servers/",
                 lambda items: None,
                 changed,
-                wait_s=WORKERS_WAIT_S,
-                gap_s=WORKERS_GAP_S,
+                wait_s=WORKER_WATCH_WAIT_S,
+                gap_s=WORKER_FEED_GAP_S,
             )
             task = asyncio.get_running_loop().create_task(feed.run())
             await asyncio.sleep(seconds)
@@ -93,7 +93,7 @@
     def test_few_changes_cost_few_calls(self) -> None:
         behind_s, calls = self.followed(16, 30.0)
         self.assertLess(behind_s, SOON_S)
-        self.assertLess(calls, 1 / WORKERS_GAP_S)
+        self.assertLess(calls, 1 / WORKER_FEED_GAP_S)
 
 
 if __name__ == "__main__":
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -11,8 +11,8 @@
 import msgspec
 
 from saddlestack.client import AsyncClient
-from saddlestack.control.callers import job_id_of
-from saddlestack.control.journal import Displaced, Journal
+from saddlestack.control.jobapi import job_id_of
+from saddlestack.control.journal import Journal, LeadershipLost
 from saddlestack.control.keys import REQUESTS
 from saddlestack.errors import ErrorKind, SaddlestackError
 from saddlestack.interfaces.store import Listing, StoreUnavailable
@@ -851,7 +851,7 @@
             leader = cluster.leader
             assert leader is not None and leader.leadership.term is not None
             journal = Journal(leader.context, leader.leadership.term.fence - 1)
-            with self.assertRaises(Displaced):
+            with self.assertRaises(LeadershipLost):
                 await journal.commit({"saddlestack/progress/x.0": b"older"})
             self.assertEqual(cluster.store.item("saddlestack/progress/x.0").revision, 0)
 
--- a/tests/test_renewals.py
+++ b/tests/test_renewals.py
@@ -11,7 +11,7 @@
 from saddlestack.control.membership import GONE_S, KEEP_S, RETRY_S
 from saddlestack.control.membership import LEASE_S as MEMBER_LEASE_S
 from saddlestack.control.renewals import ASKED_AT_ONCE, RenewingAnswer, RenewingQuestion
-from saddlestack.control.scheduler import RENEWALS_ASKED, RENEWALS_GAP_S
+from saddlestack.control.scheduler import MAX_RENEWAL_CHECKS, RENEWAL_CHECK_INTERVAL_S
 from saddlestack.standins.pool.cluster import PoolCluster, job
 from saddlestack.standins.pool.store import CALL_TIMEOUT_S
 from saddlestack.work import JobState
@@ -73,7 +73,7 @@
             leader = cluster.leader
             assert leader is not None
             leader.renewals.asked = 0
-            await asyncio.sleep(RENEWALS_ASKED * RENEWALS_GAP_S + 1.0)
+            await asyncio.sleep(MAX_RENEWAL_CHECKS * RENEWAL_CHECK_INTERVAL_S + 1.0)
             self.assertEqual(leader.renewals.asked, 0)
 
         self.play(body)
--- a/tests/test_reset_starts.py
+++ b/tests/test_reset_starts.py
@@ -8,7 +8,7 @@
 
 import unittest
 
-from saddlestack.control.session import START_TRIES
+from saddlestack.control.session import MAX_START_TRIES
 from saddlestack.policy.cluster.workers import BUSY_QUARANTINE_S
 from tests.simulation.scene import JOB, SceneTest, job, tasks
 from tests.simulation.ways import ANY, Fault
@@ -26,7 +26,7 @@
         self.after(LASTS_S)
         sent = len(self.site.workers.orders[JOB])
         pauses = LASTS_S / BUSY_QUARANTINE_S
-        self.assertLessEqual(sent, START_TRIES * len(workers) * pauses)
+        self.assertLessEqual(sent, MAX_START_TRIES * len(workers) * pauses)
 
     def test_the_work_starts_once_starts_are_answered(self) -> None:
         workers = list(self.site.workers.lives.values())
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -9,11 +9,11 @@
 
 from saddlestack.control.leases import CLOCK_DRIFT, LAPSE_SLACK_S, Leases
 from saddlestack.control.session import (
-    HOLD_SLACK_S,
+    LONG_POLL_S,
+    LONG_POLL_SLACK_S,
+    MAX_CONCURRENT_ORDERS,
+    MAX_START_TRIES,
     ORDER_TIMEOUT_S,
-    ORDERS_AT_ONCE,
-    START_TRIES,
-    WAIT_S,
     WorkerSession,
 )
 from saddlestack.interfaces.workers import (
@@ -244,7 +244,7 @@
             await asyncio.sleep(1.0)
             scene.orders.hold_faults = [WorkerUnreachable]
             looks = len(scene.orders.seen)
-            self.assertFalse(await scene.ever_silent(2 * WAIT_S + HOLD_SLACK_S + 0.5))
+            self.assertFalse(await scene.ever_silent(2 * LONG_POLL_S + LONG_POLL_SLACK_S + 0.5))
             self.assertEqual(scene.orders.hold_faults, [])
             self.assertGreaterEqual(len(scene.orders.seen), looks + 2)
 
@@ -301,8 +301,8 @@
     def test_a_start_whose_run_is_over_while_it_waits_for_others_never_leaves(self) -> None:
         async def body(scene: Scene) -> None:
             start = scene.plan().starts[0]
-            scene.orders.stop_faults = [WorkerUnreachable] * ORDERS_AT_ONCE
-            for number in range(ORDERS_AT_ONCE):
+            scene.orders.stop_faults = [WorkerUnreachable] * MAX_CONCURRENT_ORDERS
+            for number in range(MAX_CONCURRENT_ORDERS):
                 scene.session.stop(TaskName.parse(f"{JOB}.0.0.7"), number)
             await asyncio.sleep(0.1)
             scene.session.start(start)
@@ -335,11 +335,11 @@
         async def body(scene: Scene) -> None:
             scene.assign()
             scene.is_there()
-            await asyncio.sleep(2 * WAIT_S + 0.1)
+            await asyncio.sleep(2 * LONG_POLL_S + 0.1)
             run = next(iter(scene.session.worker.runs.values()))
             scene.cluster_state.stop_run(run, StopReason.PREEMPTED)
             scene.session.stop(run.task.name, run.number)
-            await asyncio.sleep(WAIT_S)
+            await asyncio.sleep(LONG_POLL_S)
             scene.orders.hold_faults = [WorkerUnreachable]
             await asyncio.sleep(0.4)
             scene.orders.running = ()
@@ -369,7 +369,7 @@
             scene.is_there()
             await asyncio.sleep(1.0)
             scene.orders.dark = True
-            await asyncio.sleep(1.5 + WAIT_S + HOLD_SLACK_S)
+            await asyncio.sleep(1.5 + LONG_POLL_S + LONG_POLL_SLACK_S)
             self.assertFalse(scene.session.worker.reachable)
 
         self.play(body)
@@ -416,9 +416,9 @@
         """Found on the days of a cut hall: a look that waited held work up for 4 s more."""
 
         async def body(scene: Scene) -> None:
-            scene.orders.start_faults = [WorkerUnreachable] * START_TRIES
+            scene.orders.start_faults = [WorkerUnreachable] * MAX_START_TRIES
             scene.assign()
-            await asyncio.sleep(START_TRIES * ORDER_TIMEOUT_S + 0.1)
+            await asyncio.sleep(MAX_START_TRIES * ORDER_TIMEOUT_S + 0.1)
             self.assertEqual(scene.orders.stops, [TASK])
             self.assertIs(scene.status, TaskStatus.WAITING)
 
@@ -474,7 +474,7 @@
             scene.cluster_state.unlist_worker("w11")
             scene.orders.ended = (EndedTask(1, TASK, 1, EndKind.DONE, ""),)
             scene.orders.running = ()
-            await asyncio.sleep(WAIT_S)
+            await asyncio.sleep(LONG_POLL_S)
             self.assertIs(scene.status, TaskStatus.DONE)
             scene.orders.dark = True
             await asyncio.sleep(2 * HOLD_S * CLOCK_DRIFT + LAPSE_SLACK_S)
@@ -537,7 +537,7 @@
             scene.cluster_state.unlist_worker(scene.session.worker.worker_id)
             scene.cluster_state.worker_ended(scene.session.worker.worker_id)
             with self.assertNoLogs("saddlestack.session", "ERROR"):
-                await asyncio.sleep(2 * WAIT_S)
+                await asyncio.sleep(2 * LONG_POLL_S)
             self.assertIs(scene.status, TaskStatus.WAITING)
 
         self.play(body)
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -17,7 +17,7 @@
 
 from saddlestack.control.context import EntryContext
 from saddlestack.control.leases import Leases
-from saddlestack.control.sessions import OPENED_AT_ONCE, OPENING_PAUSE_S, Sessions
+from saddlestack.control.sessions import OPEN_BATCH_PAUSE_S, OPEN_BATCH_SIZE, Sessions
 from saddlestack.interfaces.workers import WorkerOrders, WorkerRecord
 from saddlestack.kernel.clock import Clock
 from saddlestack.policy.cluster.changes import Start
@@ -80,15 +80,15 @@
             )
             for _ in range(10):
                 sessions.open()
-                await asyncio.sleep(OPENING_PAUSE_S / 2)
-            await asyncio.sleep(busy / OPENED_AT_ONCE * OPENING_PAUSE_S)
+                await asyncio.sleep(OPEN_BATCH_PAUSE_S / 2)
+            await asyncio.sleep(busy / OPEN_BATCH_SIZE * OPEN_BATCH_PAUSE_S)
             await sessions.stop()
 
         run(main())
         self.assertEqual(len(opened), busy)
-        self.assertGreater(busy, 3 * OPENED_AT_ONCE)
+        self.assertGreater(busy, 3 * OPEN_BATCH_SIZE)
         at_once = max(opened.count(moment) for moment in opened)
-        self.assertLessEqual(at_once, OPENED_AT_ONCE)
+        self.assertLessEqual(at_once, OPEN_BATCH_SIZE)
 
 
 if __name__ == "__main__":
--- a/tests/test_told_crashes.py
+++ b/tests/test_told_crashes.py
@@ -122,7 +122,7 @@
         verdicts += [Verdict(VerdictKind.GIVEN_UP, TaskName(CULPRIT, 0, 0, 0))]
         metrics = Metrics("vm", VirtualClock())
         with self.assertLogs("saddlestack.crashes", "INFO") as logged:
-            CrashLog(metrics).tell(verdicts)
+            CrashLog(metrics).log_verdicts(verdicts)
         events = [getattr(each, "event", "") for each in logged.records]
         self.assertEqual(events.count("crash_suspect"), SUSPECTS_AT_ONCE)
         self.assertEqual(events.count("crash_given_up"), 1)
@@ -155,7 +155,7 @@
             leader = cluster.leader
             assert leader is not None
             assert leader.scheduler is not None
-            told = leader.scheduler.waits.of(CULPRIT) or ""
+            told = leader.scheduler.waits.explain(CULPRIT) or ""
             self.assertIn(FailureCause.CRASHES.sentence, told)
             name = cluster.leader_name
             await cluster.kill(name)
@@ -163,7 +163,7 @@
             leader = cluster.leader
             assert leader is not None
             assert leader.scheduler is not None
-            self.assertEqual(leader.scheduler.waits.of(CULPRIT), told)
+            self.assertEqual(leader.scheduler.waits.explain(CULPRIT), told)
 
         self.play(body, racks=2, workers=4)
 
--- a/tests/test_told_waits.py
+++ b/tests/test_told_waits.py
@@ -9,8 +9,8 @@
 
 from saddlestack.control import waits as waits_module
 from saddlestack.control.journal import Journal
-from saddlestack.control.requests import Requests
-from saddlestack.control.waits import LOOK_S, TOLD_AFTER_S, Waits, show_none
+from saddlestack.control.storedjobs import StoredJobs
+from saddlestack.control.waits import CHECK_INTERVAL_S, REPORT_AFTER_S, WaitMonitor, reset_gauges
 from saddlestack.kernel.clock import Clock
 from saddlestack.policy.cluster.diagnosis import Diagnosis
 from saddlestack.policy.cluster.reasons import Reason
@@ -44,8 +44,10 @@
         super().setUp()
         self.clock = SteppedClock()
         self.metrics = Metrics("vm", self.clock)
-        self.waits = Waits(self.cluster_state, self.clock, self.metrics, lambda worker_id: 0.0)
-        self.waits.show()
+        self.waits = WaitMonitor(
+            self.cluster_state, self.clock, self.metrics, lambda worker_id: 0.0
+        )
+        self.waits.register_gauges()
         self.lines: list[logging.LogRecord] = []
         handler = logging.Handler()
         handler.emit = self.lines.append  # type: ignore[method-assign]
@@ -60,9 +62,9 @@
         """Rounds and looks until some moment."""
         while self.clock.now_s < until_s:
             self.plan(self.clock.now_s)
-            self.waits.planned(False)
-            self.waits.look()
-            self.clock.now_s += LOOK_S
+            self.waits.round_finished(False)
+            self.waits.check()
+            self.clock.now_s += CHECK_INTERVAL_S
 
     def told(self, event: str) -> list[logging.LogRecord]:
         return [line for line in self.lines if line.event == event]  # type: ignore[attr-defined]
@@ -95,9 +97,9 @@
         self.workers(each=4)
         self.quarantine()
         self.add(step(1, 1), priority=BULK, attempts=1)
-        self.play(LOOK_S)
+        self.play(CHECK_INTERVAL_S)
         self.clock.now_s += 6.0
-        self.play(self.clock.now_s + LOOK_S)
+        self.play(self.clock.now_s + CHECK_INTERVAL_S)
         [line] = self.told("stands_still")
         self.assertEqual((line.stood_s, line.late_s), (6.5, 6.0))
 
@@ -122,14 +124,14 @@
         self.workers(each=2)
         self.quarantine()
         self.add(step(1, 1), priority=BULK, attempts=1)
-        self.play(TOLD_AFTER_S)
+        self.play(REPORT_AFTER_S)
         self.assertEqual(self.told("waits"), [])
-        self.play(3 * TOLD_AFTER_S)
+        self.play(3 * REPORT_AFTER_S)
         self.assertEqual(len(self.told("waits")), 1)
         for worker in self.cluster_state.workers.values():
             worker.quarantine_s = 0.0
             worker.reachable = False
-        self.play(5 * TOLD_AFTER_S)
+        self.play(5 * REPORT_AFTER_S)
         reasons = [line.reason for line in self.told("waits")]
         self.assertEqual(reasons, [Reason.QUARANTINE.value, Reason.SILENT.value])
 
@@ -155,10 +157,10 @@
         for _ in range(5):
             self.add(step(1, 1), priority=BULK, attempts=1)
         with (
-            mock.patch.object(waits_module, "WAITS_A_TICK", 2),
-            mock.patch.object(waits_module, "STANDSTILLS_A_TICK", 2),
+            mock.patch.object(waits_module, "MAX_WAIT_LINES", 2),
+            mock.patch.object(waits_module, "MAX_STALL_LINES", 2),
         ):
-            self.play(STILL_S + LOOK_S)
+            self.play(STILL_S + CHECK_INTERVAL_S)
         self.assertEqual(len(self.told("stands_still")), 2)
         self.assertEqual(len(self.told("waits")), 5)
         left_out = [(line.of, line.lines) for line in self.told("waits_left_out")]
@@ -167,7 +169,7 @@
 
     def test_a_defect_of_the_diagnosis_is_told_and_stops_nothing(self) -> None:
         with mock.patch.object(Diagnosis, "look", side_effect=KeyError("planted")):
-            self.waits.look()
+            self.waits.check()
         self.assertEqual(len(self.told("waits_failed")), 1)
         self.assertEqual(self.figure("waits_failures"), 1)
 
@@ -176,12 +178,12 @@
         job_id = self.add(step(1))
         self.cluster_state.plan(0.0, 0.0)
         changes = self.cluster_state.take_changes()
-        self.waits.writing(each.job_id for each in changes.by_job())
-        self.waits.look()
-        self.assertIn(f"({Reason.WRITE})", self.waits.of(job_id) or "")
-        self.waits.written(each.job_id for each in changes.by_job())
-        self.waits.look()
-        self.assertIn(f"({Reason.STARTING})", self.waits.of(job_id) or "")
+        self.waits.write_started(each.job_id for each in changes.by_job())
+        self.waits.check()
+        self.assertIn(f"({Reason.WRITE})", self.waits.explain(job_id) or "")
+        self.waits.write_finished(each.job_id for each in changes.by_job())
+        self.waits.check()
+        self.assertIn(f"({Reason.STARTING})", self.waits.explain(job_id) or "")
 
 
 class FiguresTest(WaitsCase):
@@ -191,7 +193,7 @@
         self.add(step(2, 1), step(3, after=(0,)), priority=BULK)
         self.add(step(4, 1), priority=BULK)
         self.add(step(1, 9), priority=BULK)
-        self.play(LOOK_S)
+        self.play(CHECK_INTERVAL_S)
         self.assertEqual(self.figure("waiting_jobs_quarantine"), 2)
         self.assertEqual(self.figure("waiting_tasks_quarantine"), 6)
         self.assertEqual(self.figure("waiting_tasks_earlier_step"), 3)
@@ -211,13 +213,13 @@
         self.workers(each=4)
         self.quarantine()
         self.add(step(2, 1), priority=BULK)
-        self.play(LOOK_S)
+        self.play(CHECK_INTERVAL_S)
         self.waits.close()
         self.assertEqual(self.kept_figures(), {0})
 
     def test_all_read_0_on_a_vm_that_never_led(self) -> None:
         self.metrics = Metrics("other", self.clock)
-        show_none(self.metrics)
+        reset_gauges(self.metrics)
         self.assertEqual(self.kept_figures(), {0})
 
     def kept_figures(self) -> set[int]:
@@ -229,7 +231,7 @@
     def test_the_leader_shows_what_waits_and_the_others_nothing(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(5, accelerators=8, gang=True))
-            await asyncio.sleep(2 * TOLD_AFTER_S)
+            await asyncio.sleep(2 * REPORT_AFTER_S)
             counts = [
                 member.vm.metrics.view().counters["waiting_jobs_too_wide"]
                 for member in cluster.members.values()
@@ -243,16 +245,16 @@
     def test_a_tick_that_waits_for_the_store_holds_up_no_look(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(5, accelerators=8, gang=True))
-            await asyncio.sleep(2 * TOLD_AFTER_S)
+            await asyncio.sleep(2 * REPORT_AFTER_S)
             self.assertIn("(too_wide)", self.wait_of(cluster) or "")
 
-        with mock.patch.object(Requests, "forget_expired", _held):
+        with mock.patch.object(StoredJobs, "remove_expired", _held):
             self.play(body)
 
     def test_a_start_that_waits_for_a_slow_store(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(1), queue="urgent")
-            await asyncio.sleep(2 * TOLD_AFTER_S)
+            await asyncio.sleep(2 * REPORT_AFTER_S)
             self.assertIn("(write)", self.wait_of(cluster) or "")
             await cluster.until_state(A, JobState.COMPLETED)
 
@@ -268,8 +270,8 @@
     def wait_of(self, cluster: PoolCluster) -> str | None:
         leader = cluster.leader
         assert leader is not None and leader.scheduler is not None
-        return leader.scheduler.waits.of(A)
+        return leader.scheduler.waits.explain(A)
 
 
-async def _held(requests: Requests) -> None:
+async def _held(requests: StoredJobs) -> None:
     await asyncio.sleep(QUARANTINED_S)
--- a/tests/test_waits_control.py
+++ b/tests/test_waits_control.py
@@ -17,10 +17,10 @@
 import msgspec
 from msgspec.structs import replace
 
-from saddlestack.control.desk import Desk
 from saddlestack.control.health import SHORTEST_PATIENCE_S, StoreHealth
 from saddlestack.control.journal import Journal
 from saddlestack.control.keys import LEADER, PROGRESS, REQUESTS
+from saddlestack.control.leaderrpc import LeaderRpc
 from saddlestack.control.scheduler import TICK_S
 from saddlestack.interfaces.machines import Leave, UpkeepOutcome
 from saddlestack.interfaces.store import (
@@ -275,7 +275,7 @@
 
             with (
                 unittest.mock.patch.object(StoreView, "watch", deaf),
-                unittest.mock.patch.object(Desk, "tell"),
+                unittest.mock.patch.object(LeaderRpc, "notify"),
             ):
                 await asyncio.sleep(WATCH_SLACK_S)
                 begun.clear()
--- a/tests/test_waits_orders.py
+++ b/tests/test_waits_orders.py
@@ -12,15 +12,15 @@
 import unittest.mock
 from typing import Any
 
-from saddlestack.control.doubts import LATEST_S
 from saddlestack.control.leases import Leases
 from saddlestack.control.session import (
+    LONG_POLL_S,
+    MAX_CONCURRENT_ORDERS,
+    MAX_START_TRIES,
     ORDER_TIMEOUT_S,
-    ORDERS_AT_ONCE,
     RETRY_S,
-    START_TRIES,
-    WAIT_S,
 )
+from saddlestack.control.unanswered import MAX_ORDER_DELAY_S
 from saddlestack.interfaces.workers import (
     StartReply,
     WorkerBusy,
@@ -69,9 +69,11 @@
             for start in starts:
                 scene.session.start(start)
             await asyncio.sleep(ORDER_TIMEOUT_S + ANSWER_S)
-            self.assertEqual(scene.orders.starts, ORDERS_AT_ONCE)
+            self.assertEqual(scene.orders.starts, MAX_CONCURRENT_ORDERS)
             statuses = [start.run.task.status for start in starts]
-            self.assertEqual(statuses.count(TaskStatus.WAITING), len(starts) - ORDERS_AT_ONCE)
+            self.assertEqual(
+                statuses.count(TaskStatus.WAITING), len(starts) - MAX_CONCURRENT_ORDERS
+            )
 
         self.play(body)
 
@@ -84,10 +86,10 @@
 
     def test_its_task_is_free_once_it_was_tried(self) -> None:
         async def body(scene: Scene) -> None:
-            scene.orders.start_faults = [WorkerNotReached] * START_TRIES
+            scene.orders.start_faults = [WorkerNotReached] * MAX_START_TRIES
             scene.orders.stop_faults = [WorkerNotReached] * FOREVER
             scene.assign()
-            await asyncio.sleep(START_TRIES * ORDER_TIMEOUT_S + ANSWER_S)
+            await asyncio.sleep(MAX_START_TRIES * ORDER_TIMEOUT_S + ANSWER_S)
             self.assertIs(scene.status, TaskStatus.WAITING)
             self.assertEqual(scene.orders.stops, [])
 
@@ -98,7 +100,7 @@
             scene.orders.start_faults = [WorkerUnreachable, WorkerNotReached, WorkerNotReached]
             scene.orders.stop_faults = [WorkerNotReached] * FOREVER
             scene.assign()
-            await asyncio.sleep(START_TRIES * ORDER_TIMEOUT_S + ANSWER_S)
+            await asyncio.sleep(MAX_START_TRIES * ORDER_TIMEOUT_S + ANSWER_S)
             self.assertIs(scene.status, TaskStatus.ASSIGNED)
             self.assertTrue(scene.orders.stops)
 
@@ -170,18 +172,18 @@
 
     def longest_s(self) -> float:
         """Until nothing can come of the last start any more, and a look has told so."""
-        tries_s = START_TRIES * ORDER_TIMEOUT_S
-        late_s = max(Leases(HOLD_S, 0.0).longest_s, LATEST_S)
-        return tries_s + late_s + ORDER_TIMEOUT_S + RETRY_S + WAIT_S + 1.0
+        tries_s = MAX_START_TRIES * ORDER_TIMEOUT_S
+        late_s = max(Leases(HOLD_S, 0.0).longest_s, MAX_ORDER_DELAY_S)
+        return tries_s + late_s + ORDER_TIMEOUT_S + RETRY_S + LONG_POLL_S + 1.0
 
     def play_fault(self, fault: Fault) -> None:
         async def body(scene: Scene) -> None:
-            scene.orders.start_faults = [WorkerUnreachable] * START_TRIES
+            scene.orders.start_faults = [WorkerUnreachable] * MAX_START_TRIES
             scene.orders.stop_faults = [fault] * FOREVER
             scene.assign()
-            await asyncio.sleep(LATEST_S)
+            await asyncio.sleep(MAX_ORDER_DELAY_S)
             self.assertIs(scene.status, TaskStatus.ASSIGNED)
-            await asyncio.sleep(self.longest_s() - LATEST_S)
+            await asyncio.sleep(self.longest_s() - MAX_ORDER_DELAY_S)
             self.assertIs(scene.status, TaskStatus.WAITING)
             stops = len(scene.orders.stops)
             await asyncio.sleep(5.0)
@@ -197,7 +199,7 @@
 
     def test_a_run_that_is_there_after_all_goes_on(self) -> None:
         async def body(scene: Scene) -> None:
-            scene.orders.start_faults = [WorkerUnreachable] * START_TRIES
+            scene.orders.start_faults = [WorkerUnreachable] * MAX_START_TRIES
             scene.orders.stop_faults = [WorkerUnreachable] * FOREVER
             scene.assign()
             scene.is_there()
@@ -226,10 +228,10 @@
 
     def test_a_stop_is_given_again(self) -> None:
         async def body(scene: Scene) -> None:
-            scene.orders.start_faults = [WorkerUnreachable] * START_TRIES
+            scene.orders.start_faults = [WorkerUnreachable] * MAX_START_TRIES
             scene.orders.stop_faults = [KeyError, KeyError]
             scene.assign()
-            await asyncio.sleep(START_TRIES * ORDER_TIMEOUT_S + 3 * RETRY_S)
+            await asyncio.sleep(MAX_START_TRIES * ORDER_TIMEOUT_S + 3 * RETRY_S)
             self.assertEqual(len(scene.orders.stops), 3)
             self.assertIs(scene.status, TaskStatus.WAITING)
 
--- a/tests/test_waits_reviewed.py
+++ b/tests/test_waits_reviewed.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from saddlestack.control.commits import Commits, JobRecords
+from saddlestack.control.commits import CommitQueue, JobRecords
 from saddlestack.control.health import StoreHealth
 from saddlestack.control.journal import Journal
 from saddlestack.interfaces.machines import Leave
@@ -328,7 +328,7 @@
             clock = VirtualClock()
             store = cast(MetadataStore, LosingStore())
             context = bare_context(clock, store=store, health=StoreHealth(store, clock))
-            commits = Commits(context, Journal(context, 1), lambda reason: None)
+            commits = CommitQueue(context, Journal(context, 1), lambda reason: None)
             commits.put(
                 1,
                 [
@@ -353,7 +353,7 @@
             clock = VirtualClock()
             store = cast(MetadataStore, NarrowStore())
             context = bare_context(clock, store=store, health=StoreHealth(store, clock))
-            commits = Commits(context, Journal(context, 1), lambda reason: None)
+            commits = CommitQueue(context, Journal(context, 1), lambda reason: None)
             records = {f"j{number}": {f"k{number}": bytes(400_000)} for number in range(jobs)}
             commits.put(
                 1,
