--- a/benchmarks/variants.py
+++ b/benchmarks/variants.py
@@ -185,8 +185,8 @@
         (
             Edit(
                 "control/relays.py",
-                "                    return Found(asked[call].vm, cut_off=False)",
-                "                    return Found(None, cut_off=False)",
+                "                    return RelayResult(asked[call].vm, cut_off=False)",
+                "                    return RelayResult(None, cut_off=False)",
             ),
         ),
     ),
--- a/src/saddlestack/control/access.py
+++ b/src/saddlestack/control/access.py
@@ -137,7 +137,7 @@
                     answer = await self._try(direct, relayed, attempt)
                     if answer is not None:
                         return answer
-                    await self._health.pause(RETRY_S)
+                    await self._health.wait_for_recovery(RETRY_S)
         except TimeoutError:
             raise OutOfReach(attempt.reason, attempt.doubt) from None
 
@@ -146,7 +146,7 @@
 
         :raises OutOfReach: this VM is cut off; the caller does better to go to another one.
         """
-        own = asyncio.ensure_future(direct()) if self._health.answers else None
+        own = asyncio.ensure_future(direct()) if self._health.is_available else None
         try:
             attempt.sent = own is not None
             if own is None or not await self._succeeds(own):
@@ -168,7 +168,7 @@
         """Whether a call is answered well before another way has to be tried."""
         await asyncio.wait({own}, timeout=HEDGE_S)
         if not own.done():
-            self._health.suspect()
+            self._health.probe_now()
             return False
         return own.exception() is None
 
@@ -184,7 +184,7 @@
                 raise OutOfReach(
                     "cut off from the store and the other halls",
                     attempt.doubt,
-                    elsewhere=self._health.lost_for_s > BALANCED_S,
+                    elsewhere=self._health.outage_s > BALANCED_S,
                 )
             return None
         sent, attempt.sent = attempt.sent, True
@@ -222,7 +222,7 @@
         return await self._for_peer(lambda: self._create(question.key, question.value))
 
     async def _for_peer(self, call: Callable[[], Awaitable[KeyAnswer]]) -> KeyAnswer:
-        if not self._health.answers:
+        if not self._health.is_available:
             raise SaddlestackError(ErrorKind.STORE_UNAVAILABLE, "the store does not answer here")
         own = asyncio.ensure_future(call())
         try:
--- a/src/saddlestack/control/configuration.py
+++ b/src/saddlestack/control/configuration.py
@@ -26,21 +26,21 @@
     def __init__(self, context: EntryContext) -> None:
         super().__init__(NAME, context.clock)
         self._context = context
-        self._key = context.documents.places.configuration_key
+        self._key = context.documents.locations.configuration_key
         self._refusals = Refusals(context.metrics, "configuration")
         self.current: PoolConfiguration | None = None
         self._listeners: list[Listener] = []
         self._feed = Feed(
-            context, context.documents.places.configuration_prefix, self._take, self._take
+            context, context.documents.locations.configuration_prefix, self._take, self._take
         )
 
-    def listen(self, listener: Listener) -> None:
+    def add_listener(self, listener: Listener) -> None:
         """Tell of each new configuration, beginning with the present one."""
         self._listeners.append(listener)
         if self.current is not None:
             listener(self.current)
 
-    def unlisten(self, listener: Listener) -> None:
+    def remove_listener(self, listener: Listener) -> None:
         """Tell no more."""
         self._listeners.remove(listener)
 
--- a/src/saddlestack/control/contact.py
+++ b/src/saddlestack/control/contact.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from saddlestack.control.leases import CLOCK_DRIFT, Leases
-from saddlestack.control.owner import Owner
+from saddlestack.control.owner import SessionOwner
 from saddlestack.kernel.clock import Clock
 from saddlestack.policy.cluster.lifeend import LifeEnd
 from saddlestack.policy.cluster.workers import Worker
@@ -32,68 +32,68 @@
     What its record says of it may be another writer's, and counts for nothing.
 
     :param clock_ms: what it said last...
-    :param heard_s: ...and when that was heard, on our clock.
+    :param updated_s: ...and when that was heard, on our clock.
     """
 
     clock_ms: int = 0
-    heard_s: float = -math.inf
+    updated_s: float = -math.inf
 
     @property
-    def is_told(self) -> bool:
+    def is_known(self) -> bool:
         """Whether the worker has told it."""
-        return self.heard_s > -math.inf
+        return self.updated_s > -math.inf
 
-    def hear(self, clock_ms: int, now: float) -> None:
+    def update(self, clock_ms: int, now: float) -> None:
         """Note what it said at some moment before now.
 
         Answers on different connections pass each other.
         """
         if clock_ms >= self.clock_ms:
             self.clock_ms = clock_ms
-            self.heard_s = now
+            self.updated_s = now
 
     def earliest(self, now: float) -> int:
         """The least that it may say now, once it is told."""
-        return self.clock_ms + round((now - self.heard_s) * 1000 / CLOCK_DRIFT)
+        return self.clock_ms + round((now - self.updated_s) * 1000 / CLOCK_DRIFT)
 
 
 class Contact:
     """The contact with one life of a worker.
 
     :param leases: what was granted to workers in this term and before.
-    :ivar turned_away: whether the worker answered the latest look that it does nothing now. It is
+    :ivar is_busy: whether the worker answered the latest look that it does nothing now. It is
         granted no lease then: what runs there would count as running for as long as it says so.
     """
 
-    def __init__(self, worker: Worker, owner: Owner, clock: Clock, leases: Leases) -> None:
+    def __init__(self, worker: Worker, owner: SessionOwner, clock: Clock, leases: Leases) -> None:
         self._worker = worker
         self._owner = owner
         self._clock = clock
         self._times = WorkerClock()
         self._leases = leases
-        self._heard_s = -math.inf
+        self._last_answer_s = -math.inf
         self.misses = 0
-        self.turned_away = False
+        self.is_busy = False
 
     @property
-    def heard_s(self) -> float:
+    def last_answer_s(self) -> float:
         """When the worker last answered."""
-        return self._heard_s
+        return self._last_answer_s
 
     @property
-    def clock_is_old(self) -> bool:
+    def is_clock_stale(self) -> bool:
         """Whether the worker's clock was not heard, or so long ago that leases by it are short."""
-        return self._clock.now() - self._times.heard_s > CLOCK_FRESH_S
+        return self._clock.now() - self._times.updated_s > CLOCK_FRESH_S
 
     @property
     def is_stale(self) -> bool:
         """Whether the worker, or its clock, was not heard lately enough for a start."""
-        return self.clock_is_old or self._clock.now() - self._heard_s > HEARD_LATELY_S
+        return self.is_clock_stale or self._clock.now() - self._last_answer_s > HEARD_LATELY_S
 
     @property
-    def lapsed(self) -> bool:
+    def has_lapsed(self) -> bool:
         """Whether every lease that was ever granted there is over."""
-        return self._clock.now() >= self._leases.lasts_until(self._worker.worker_id)
+        return self._clock.now() >= self._leases.expires_at(self._worker.worker_id)
 
     def end(self, *, unheard: bool) -> LifeEnd:
         """What is known of when the worker's life has ended.
@@ -102,7 +102,7 @@
         """
         silent_s = self._worker.silent_s
         gone_s = self._clock.now() if silent_s is None else silent_s
-        return LifeEnd(self._heard_s, gone_s, unheard)
+        return LifeEnd(self._last_answer_s, gone_s, unheard)
 
     def deadline(self, now: float) -> int:
         """Until when all that runs there may run from now on, on the worker's clock.
@@ -112,40 +112,40 @@
         rest of 300 s. By a clock too far ahead it would last by all of its delay, 2 to 12 s: the
         worker cuts such a lease when it arrives. Before the clock is told this extends nothing.
         """
-        self._leases.granted(self._worker.worker_id, now)
-        if not self._times.is_told:
+        self._leases.record_grant(self._worker.worker_id, now)
+        if not self._times.is_known:
             return 0
-        return self._times.earliest(now) + round(self._owner.hold_s * 1000)
+        return self._times.earliest(now) + round(self._owner.max_lease_s * 1000)
 
-    def told(self, clock_ms: int) -> None:
+    def record_clock(self, clock_ms: int) -> None:
         """A call was answered, and the answer tells the worker's clock."""
-        self._times.hear(clock_ms, self._clock.now())
-        self.turned_away = False
-        self.heard()
+        self._times.update(clock_ms, self._clock.now())
+        self.is_busy = False
+        self.record_answer()
 
-    def heard(self) -> None:
+    def record_answer(self) -> None:
         """A call was answered."""
         now = self._clock.now()
-        self._heard_s = now
+        self._last_answer_s = now
         self._owner.board.heard(self._worker, now)
         self.misses = 0
         if not self._worker.reachable or self._worker.suspected:
             self._worker.reachable = True
             self._worker.suspected = False
-            self._owner.changed()
+            self._owner.reschedule()
 
-    def missed(self, sent: float) -> bool:
+    def record_miss(self, sent: float) -> bool:
         """A call was not answered; one lost answer says nothing about a worker.
 
         :param sent: when it was sent.
         :return: whether the worker has just fallen silent.
         """
-        if self._heard_s > sent:
+        if self._last_answer_s > sent:
             return False
         self.misses += 1
         if self._worker.silent_s is None:
             self._worker.silent_s = self._clock.now()
-        self._owner.missed(self._worker)
+        self._owner.call_missed(self._worker)
         if self.misses < SILENT_AFTER or not self._worker.reachable:
             return False
         self._worker.reachable = False
--- a/src/saddlestack/control/desk.py
+++ b/src/saddlestack/control/desk.py
@@ -154,7 +154,7 @@
 
     def _leading(self) -> Scheduler:
         scheduler = self._scheduler()
-        if scheduler is None or not scheduler.is_sure or not scheduler.loaded.is_set():
+        if scheduler is None or not scheduler.is_confirmed or not scheduler.loaded.is_set():
             raise SaddlestackError(ErrorKind.CELL_UNAVAILABLE, "not the leader")
         return scheduler
 
--- a/src/saddlestack/control/doubts.py
+++ b/src/saddlestack/control/doubts.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from saddlestack.interfaces.lives import id_of
+from saddlestack.interfaces.incarnations import worker_id_of
 from saddlestack.policy.cluster.workers import RunKey
 
 LATEST_S = 15.0
@@ -22,19 +22,19 @@
 
     def sent(self, life: str, key: RunKey, now: float) -> None:
         """A start of a run leaves for a life."""
-        starts = self._sent.setdefault(id_of(life), {})
+        starts = self._sent.setdefault(worker_id_of(life), {})
         for old in [each for each, sent_s in starts.items() if now - sent_s > LATEST_S]:
             del starts[old]
         starts[key] = now
 
     def answered(self, life: str, key: RunKey) -> None:
         """Each start of a run that was sent to a life was answered."""
-        starts = self._sent.get(id_of(life), {})
+        starts = self._sent.get(worker_id_of(life), {})
         starts.pop(key, None)
         if not starts:
-            self._sent.pop(id_of(life), None)
+            self._sent.pop(worker_id_of(life), None)
 
     def of(self, life: str, now: float) -> list[RunKey]:
         """Runs that may still begin on any life of a worker though nobody waits for them."""
-        starts = self._sent.get(id_of(life), {})
+        starts = self._sent.get(worker_id_of(life), {})
         return [key for key, sent_s in starts.items() if now - sent_s <= LATEST_S]
--- a/src/saddlestack/control/entry.py
+++ b/src/saddlestack/control/entry.py
@@ -94,7 +94,7 @@
         self.peers = Peers(self.context, self.membership)
         self.peers.serve(PingQuestion, answer_ping)
         self.renewals = Renewals(self.peers, self.membership, self._renews)
-        self.leadership = Leadership(self.context, self, lambda: self.membership.is_told)
+        self.leadership = Leadership(self.context, self, lambda: self.membership.is_listed)
         desk = Desk(self.peers, self.leadership, lambda: self.scheduler)
         relays = Relays(self.peers, self.membership, self.health)
         access = StoreAccess(self.context, self.peers, relays)
@@ -102,12 +102,12 @@
         gateway = Gateway(self.jobs, lambda: self.configuration.current, self._ready)
         self.clients = HttpServer(gateway.handle, max_connections=MAX_CONNECTIONS)
         self.readiness = HttpServer(gateway.readiness)
-        self.figures = HttpServer(self._figures)
+        self.metrics_server = HttpServer(self._serve_metrics)
         callers = Callers(self.jobs, lambda: self.configuration.current)
         self.callers = HttpServer(callers.handle, max_connections=MAX_CONNECTIONS)
         self.scheduler: Scheduler | None = None
-        self._ending = 0
-        self.asked_to_leave = asyncio.Event()
+        self._stopping = 0
+        self.stop_requested = asyncio.Event()
         self._tasks = TaskGroup("entry")
 
     async def start(self) -> None:
@@ -120,7 +120,7 @@
             address = parse_address(text)
             await server.start(address.address, address.port)
         figures = self.settings.metrics_address
-        await self.figures.start(figures.address, figures.port)
+        await self.metrics_server.start(figures.address, figures.port)
         if self.settings.callers is not None:
             address = parse_address(self.settings.callers)
             await self.callers.start(address.address, address.port)
@@ -133,7 +133,7 @@
     async def drain(self) -> None:
         """A planned stop: hand the leadership over, answer what was read, leave."""
         log.info("stopping", extra={"event": "stopping"})
-        self.asked_to_leave.set()
+        self.stop_requested.set()
         await self.leadership.resign()
         await asyncio.sleep(NOTICE_S)
         grace_s = self.settings.timings.grace_s - NOTICE_S - LAST_CLOSE_S
@@ -151,7 +151,7 @@
         await self.health.stop()
         await self.clients.stop()
         await self.readiness.stop()
-        await self.figures.stop()
+        await self.metrics_server.stop()
         await self.callers.stop()
         await self.peers.stop()
         await self._tasks.cancel()
@@ -161,7 +161,7 @@
         """Close all sockets at once, as when the process dies."""
         self.clients.abort()
         self.readiness.abort()
-        self.figures.abort()
+        self.metrics_server.abort()
         self.callers.abort()
 
     # What leadership tells
@@ -177,7 +177,7 @@
             self.membership,
             self.renewals,
             lambda: self.leadership.grants_until(term),
-            lambda: self.leadership.is_sure(term),
+            lambda: self.leadership.is_confirmed(term),
             lambda: self._give_up(term),
         )
         await self.scheduler.run()
@@ -187,21 +187,21 @@
         scheduler, self.scheduler = self.scheduler, None
         if scheduler is None:
             return
-        self._ending += 1
+        self._stopping += 1
         try:
             await scheduler.stop()
         finally:
-            self._ending -= 1
+            self._stopping -= 1
 
     def _renews(self) -> bool:
         """Whether this VM renews workers' leases, or may have done so this moment."""
-        return self.scheduler is not None or self._ending > 0
+        return self.scheduler is not None or self._stopping > 0
 
     def _give_up(self, term: Term) -> None:
         """The scheduler found that another leader has taken over."""
-        self._tasks.spawn(self.leadership.give_up(term))
+        self._tasks.spawn(self.leadership.end_term(term))
 
-    async def _figures(self, request: Request) -> Response:
+    async def _serve_metrics(self, request: Request) -> Response:
         """Answer with counters and latencies as text."""
         if request.path != METRICS_PATH:
             return Response(404)
@@ -210,7 +210,7 @@
 
     def _ready(self) -> bool:
         configured = self.configuration.current is not None
-        return configured and self.health.answers and not self.asked_to_leave.is_set()
+        return configured and self.health.is_available and not self.stop_requested.is_set()
 
 
 def _store_at(text: str, dialer: Dialer) -> MetadataStore:
@@ -245,10 +245,10 @@
     entry = EntryVm(settings)
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, entry.asked_to_leave.set)
+        loop.add_signal_handler(number, entry.stop_requested.set)
     loop.add_signal_handler(signal.SIGHUP, _reload, path)
     await entry.start()
-    await entry.asked_to_leave.wait()
+    await entry.stop_requested.wait()
     await entry.drain()
 
 
--- a/src/saddlestack/control/evacuations.py
+++ b/src/saddlestack/control/evacuations.py
@@ -27,7 +27,7 @@
 
     def __init__(self, context: EntryContext, on_change: Changed) -> None:
         self._context = context
-        self._prefix = context.documents.places.evacuations_prefix
+        self._prefix = context.documents.locations.evacuations_prefix
         self._on_change = on_change
         self._halls: frozenset[str] = frozenset()
         self._feed = Feed(context, self._prefix, self._listed, self._changed)
--- a/src/saddlestack/control/feed.py
+++ b/src/saddlestack/control/feed.py
@@ -111,6 +111,6 @@
                 extra={"event": "feed_behind", "prefix": self._prefix, "reason": str(error)},
             )
         self._failures += 1
-        await self._context.health.pause(
+        await self._context.health.wait_for_recovery(
             pause(self._failures, FIRST_RETRY_S, LONGEST_RETRY_S, self._context.rng)
         )
--- a/src/saddlestack/control/guarded.py
+++ b/src/saddlestack/control/guarded.py
@@ -67,9 +67,9 @@
         except _GivenUp as error:
             raise StoreUnavailable("sent while the store was lost") from error
 
-    async def keep_lease(self, lease: int) -> None:
+    async def renew_lease(self, lease: int) -> None:
         """Renew a lease."""
-        await self._repeated(lambda: self._store.keep_lease(lease))
+        await self._repeated(lambda: self._store.renew_lease(lease))
 
     async def end_lease(self, lease: int) -> None:
         """End a lease and its keys."""
@@ -100,7 +100,7 @@
                 if recovery.result() > sent:
                     raise _GivenUp
         except (StoreUnavailable, WriteInDoubt):
-            self._health.suspect()
+            self._health.probe_now()
             raise
         finally:
             task.cancel()
--- a/src/saddlestack/control/halls.py
+++ b/src/saddlestack/control/halls.py
@@ -22,10 +22,10 @@
 
 PING_S = 0.25
 """Between pings of a hall: 0.1 KB each, so 2 KB a second for two VMs in each of four halls."""
-PATIENCE_S = 0.25
+ANSWER_TIMEOUT_S = 0.25
 """A VM is silent after this; answers take 1 to 3 ms, 0.1 s where a VM runs slow. No longer than
 the time between pings, so that they do not overtake each other."""
-VMS_A_HALL = 2
+VMS_PER_HALL = 2
 """VMs of a hall that are asked at once; all of them have to be silent."""
 
 Silent = Callable[[str], None]
@@ -45,7 +45,7 @@
     return PingAnswer()
 
 
-class HallWatch:
+class HallMonitor:
     """Pings the VMs of the other halls, and tells when a hall falls silent."""
 
     def __init__(
@@ -69,8 +69,8 @@
 
     def _halls(self) -> dict[str, list[Member]]:
         """Some VMs of each other hall, chosen by chance each time."""
-        halls = self._membership.some_of_each_hall(VMS_A_HALL)
-        halls.pop(self._membership.me.data_hall, None)
+        halls = self._membership.sample_by_hall(VMS_PER_HALL)
+        halls.pop(self._membership.local.data_hall, None)
         return halls
 
     async def _ask(self, hall: str, vms: list[Member]) -> None:
@@ -87,7 +87,7 @@
 
     async def _answers(self, member: Member) -> bool:
         try:
-            async with asyncio.timeout(PATIENCE_S):
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 await self._peers.ask(member.vm, PingQuestion(), PingAnswer)
         except (PeerUnavailable, SaddlestackError, TimeoutError):
             return False
--- a/src/saddlestack/control/health.py
+++ b/src/saddlestack/control/health.py
@@ -17,7 +17,7 @@
 import logging
 import math
 
-from saddlestack.interfaces.store import LeaseOver, MetadataStore, StoreUnavailable
+from saddlestack.interfaces.store import LeaseExpired, MetadataStore, StoreUnavailable
 from saddlestack.kernel.clock import Clock
 from saddlestack.kernel.service import Service
 
@@ -30,11 +30,11 @@
 """All VMs together ask no more often: a tenth of the reading calls of the smallest store."""
 SUSPICION_GAP_S = 0.05
 """Failed calls bring a heartbeat forward, but no more often than this."""
-SHORTEST_PATIENCE_S = 0.25
+MIN_OVERDUE_S = 0.25
 """A heartbeat is overdue after this; the store answers in 4 ms, and in 0.2 s where it is slow."""
-LONGEST_PATIENCE_S = 0.8
+HEARTBEAT_TIMEOUT_S = 0.8
 """A heartbeat without answer is given up after this, less than a call's time-out of 1 s."""
-PATIENCE_FACTOR = 3.0
+OVERDUE_FACTOR = 3.0
 """A heartbeat may take this many times as long as the one answered last."""
 LEASE_S = 10.0
 """The heartbeat's own lease; longer than most outages, so that it is seldom granted anew."""
@@ -43,7 +43,7 @@
 class StoreHealth(Service):
     """Judges the store by heartbeats: renewals of a lease that no key hangs on.
 
-    :ivar patience_s: how long an answer may take before it counts as overdue; follows how long
+    :ivar overdue_after_s: how long an answer may take before it counts as overdue; follows how long
         the latest one took.
     """
 
@@ -51,7 +51,7 @@
         super().__init__(NAME, clock)
         self._store = store
         self._lease: int | None = None
-        self.patience_s = SHORTEST_PATIENCE_S
+        self.overdue_after_s = MIN_OVERDUE_S
         self._suspected = asyncio.Event()
         self._recovery: asyncio.Future[float] | None = None
         self._latest_s = -math.inf
@@ -59,17 +59,17 @@
         self._lost_s: float | None = None
         self._interval_s = HEARTBEAT_S
 
-    def share_among(self, vms: int) -> None:
+    def set_vm_count(self, vms: int) -> None:
         """Ask less often where many VMs do."""
         self._interval_s = max(HEARTBEAT_S, vms / HEARTBEATS_PER_S)
 
     @property
-    def answers(self) -> bool:
+    def is_available(self) -> bool:
         """Whether the store answers."""
         return self._lost_s is None
 
     @property
-    def lost_for_s(self) -> float:
+    def outage_s(self) -> float:
         """For how long the store has not answered; 0 while it does."""
         return 0.0 if self._lost_s is None else self.clock.now() - self._lost_s
 
@@ -84,11 +84,11 @@
             self._recovery = asyncio.get_running_loop().create_future()
         return self._recovery
 
-    def suspect(self) -> None:
+    def probe_now(self) -> None:
         """A call was not answered in time, or refused: ask now."""
         self._suspected.set()
 
-    async def pause(self, seconds: float) -> None:
+    async def wait_for_recovery(self, seconds: float) -> None:
         """Wait, but no longer than until the store answers again."""
         await asyncio.wait({self.recovery}, timeout=seconds)
 
@@ -104,9 +104,9 @@
     async def _beat(self) -> None:
         sent = self.clock.now()
         loop = asyncio.get_running_loop()
-        overdue = loop.call_later(self.patience_s, self._lost, sent, "heartbeat is overdue")
+        overdue = loop.call_later(self.overdue_after_s, self._lost, sent, "heartbeat is overdue")
         try:
-            async with asyncio.timeout(LONGEST_PATIENCE_S):
+            async with asyncio.timeout(HEARTBEAT_TIMEOUT_S):
                 await self._ask()
         except (StoreUnavailable, TimeoutError) as error:
             self._lost(sent, str(error) or "no answer to a heartbeat")
@@ -120,15 +120,15 @@
             self._lease, _ = await self._store.grant_lease(LEASE_S)
             return
         try:
-            await self._store.keep_lease(self._lease)
-        except LeaseOver:
+            await self._store.renew_lease(self._lease)
+        except LeaseExpired:
             self._lease = None
 
     def _lost(self, sent: float, reason: str) -> None:
         """A heartbeat is overdue or refused."""
         if sent <= self._latest_s:
             self._overtaken(sent)
-        elif self.answers:
+        elif self.is_available:
             self._lost_s = self.clock.now()
             self._store.reconnect()
             log.warning("store is lost", extra={"event": "store_lost", "reason": reason})
@@ -141,9 +141,9 @@
     def _answered(self, sent: float) -> None:
         self._latest_s = max(self._latest_s, sent)
         took = self.clock.now() - sent
-        wanted = max(SHORTEST_PATIENCE_S, PATIENCE_FACTOR * took)
-        self.patience_s = min(LONGEST_PATIENCE_S, wanted)
-        if not self.answers:
+        wanted = max(MIN_OVERDUE_S, OVERDUE_FACTOR * took)
+        self.overdue_after_s = min(HEARTBEAT_TIMEOUT_S, wanted)
+        if not self.is_available:
             self._lost_s = None
             log.info("store answers again", extra={"event": "store_back"})
             self._wake_all()
--- a/src/saddlestack/control/journal.py
+++ b/src/saddlestack/control/journal.py
@@ -14,7 +14,7 @@
     Committed,
     Conflict,
     Item,
-    LeaseOver,
+    LeaseExpired,
     Put,
     StoreUnavailable,
     Transaction,
@@ -88,7 +88,7 @@
             part = tuple(names[start : start + KEYS_A_REMOVAL])
             try:
                 outcome = await self._context.store.transact(Transaction(guard, deletes=part))
-            except (StoreUnavailable, WriteInDoubt, LeaseOver):
+            except (StoreUnavailable, WriteInDoubt, LeaseExpired):
                 return False
             if isinstance(outcome, Conflict):
                 return False
@@ -104,7 +104,7 @@
             try:
                 async with asyncio.timeout(self._patience_s(failures) + sending_s):
                     outcome = await self._context.store.transact(transaction)
-            except LeaseOver as error:
+            except LeaseExpired as error:
                 raise Displaced from error
             except (StoreUnavailable, WriteInDoubt, TimeoutError) as error:
                 failures += 1
@@ -115,7 +115,7 @@
                     )
                 if failures >= tries:
                     raise Unanswered from error
-                await self._context.health.pause(
+                await self._context.health.wait_for_recovery(
                     pause(failures, FIRST_RETRY_S, LONGEST_RETRY_S, self._context.rng)
                 )
                 continue
@@ -129,7 +129,7 @@
 
     def _patience_s(self, failures: int) -> float:
         """How long a try waits for its answer after so many without one."""
-        doubled = self._context.health.patience_s * float(2 ** min(failures, MOST_DOUBLINGS))
+        doubled = self._context.health.overdue_after_s * float(2 ** min(failures, MOST_DOUBLINGS))
         return min(LONGEST_TRY_S, doubled)
 
     def _transaction(self, records: Mapping[str, bytes]) -> Transaction:
--- a/src/saddlestack/control/leadership.py
+++ b/src/saddlestack/control/leadership.py
@@ -18,7 +18,7 @@
     Committed,
     HistoryGone,
     Item,
-    LeaseOver,
+    LeaseExpired,
     Put,
     StoreUnavailable,
     Transaction,
@@ -32,15 +32,15 @@
 NAME = "leadership"
 LEASE_S = 1.0
 """The shortest lease that the platforms grant; nobody leads for so long after a leader is lost."""
-KEEP_S = 0.25
+RENEW_INTERVAL_S = 0.25
 """Between renewals; three may be lost."""
-KEEP_RETRY_S = 0.15
+RENEW_RETRY_S = 0.15
 WATCH_S = 3.0
 CAMPAIGN_S = 0.15
 HANDICAP_S = 0.5
 """So much longer waits a VM that can hardly lead before it takes a free leader key."""
 RETRY_S = 0.4
-RENEWING_S = 4.5
+RENEWAL_GRACE_S = 4.5
 """For so long after its lease a leader without the store still renews what runs: with leases of
 10 s, work outlasts an outage of 15 s. A successor that does not reach a worker counts this time."""
 
@@ -70,7 +70,7 @@
     record: LeaderRecord
 
 
-class Candidate(Protocol):
+class LeadershipListener(Protocol):
     """What is told of leaderships."""
 
     async def elected(self, term: Term) -> None:
@@ -89,11 +89,11 @@
     """
 
     def __init__(
-        self, context: EntryContext, candidate: Candidate, may_lead: Callable[[], bool]
+        self, context: EntryContext, listener: LeadershipListener, may_lead: Callable[[], bool]
     ) -> None:
         super().__init__(NAME, context.clock)
         self._context = context
-        self._candidate = candidate
+        self._listener = listener
         self._may_lead = may_lead
         self._held: LeaderRecord | None = None
         self._leaving = False
@@ -115,9 +115,9 @@
 
         :return: a time on this VM's clock.
         """
-        return self._valid_s + RENEWING_S if self.term is term else -math.inf
+        return self._valid_s + RENEWAL_GRACE_S if self.term is term else -math.inf
 
-    def is_sure(self, term: Term) -> bool:
+    def is_confirmed(self, term: Term) -> bool:
         """Whether a term may answer for what has happened.
 
         A VM that was suspended goes on as if nothing had been, with its timers late by that time:
@@ -139,13 +139,13 @@
         await self._depose("resigned")
         try:
             await self._context.store.end_lease(term.record.lease)
-        except (StoreUnavailable, LeaseOver) as error:
+        except (StoreUnavailable, LeaseExpired) as error:
             log.warning(
                 "lease could not be ended",
                 extra={"event": "resign_failed", "reason": type(error).__name__},
             )
 
-    async def give_up(self, term: Term) -> None:
+    async def end_term(self, term: Term) -> None:
         """End a term that was found to be over."""
         if self.term is term:
             await self._depose("found displaced")
@@ -158,7 +158,9 @@
                 await self._observe(present[0] if present else Item(LEADER, b"", 0))
                 await self._follow(listing.revision)
             except (HistoryGone, StoreUnavailable):
-                await self._context.health.pause(self._context.rng.uniform(RETRY_S / 4, RETRY_S))
+                await self._context.health.wait_for_recovery(
+                    self._context.rng.uniform(RETRY_S / 4, RETRY_S)
+                )
 
     async def _follow(self, revision: int) -> None:
         store = self._context.store
@@ -255,7 +257,7 @@
             item = await store.get(LEADER)
             await self._observe(item)
             return
-        except LeaseOver:
+        except LeaseExpired:
             return
         if isinstance(outcome, Committed):
             await self._observe(Item(LEADER, to_json(record), outcome.revision))
@@ -266,7 +268,7 @@
         self.term = term
         log.info("elected", extra={"event": "elected", "fence": term.fence})
         self.tasks.spawn(self._keep(term))
-        await self._candidate.elected(term)
+        await self._listener.elected(term)
 
     async def _keep(self, term: Term) -> None:
         """Renew the lease until the term is over."""
@@ -274,19 +276,19 @@
             sent = self.clock.now()
             suspended_s = self.clock.suspended_s()
             try:
-                await self._context.store.keep_lease(term.record.lease)
-            except LeaseOver:
+                await self._context.store.renew_lease(term.record.lease)
+            except LeaseExpired:
                 await self._depose("lease over")
                 return
             except StoreUnavailable:
                 if self.clock.now() > self.grants_until(term):
                     await self._depose("store lost")
                     return
-                await self._context.health.pause(KEEP_RETRY_S)
+                await self._context.health.wait_for_recovery(RENEW_RETRY_S)
                 continue
             self._valid_s = sent + self._lasts_s
             self._suspended_s = suspended_s
-            await asyncio.sleep(KEEP_S)
+            await asyncio.sleep(RENEW_INTERVAL_S)
 
     async def _depose(self, reason: str) -> None:
         if self.term is None:
@@ -299,7 +301,7 @@
         self._held = None
         if self.leader is not None and self.leader.vm == self._context.settings.vm:
             self.leader = None
-        await self._candidate.deposed()
+        await self._listener.deposed()
 
 
 def _read(item: Item) -> LeaderRecord | None:
--- a/src/saddlestack/control/listing.py
+++ b/src/saddlestack/control/listing.py
@@ -18,7 +18,7 @@
 from saddlestack.control.refusals import Refusals
 from saddlestack.control.sessions import Sessions
 from saddlestack.errors import SaddlestackError
-from saddlestack.interfaces.lives import born_of, id_of
+from saddlestack.interfaces.incarnations import started_ms_of, worker_id_of
 from saddlestack.interfaces.store import Item
 from saddlestack.interfaces.workers import WorkerRecord
 from saddlestack.policy.cluster.state import ClusterState
@@ -37,7 +37,7 @@
         self._no_service: dict[str, Item] = {}
         self._lives: dict[str, str] = {}
 
-    def know_services(self, services: Iterable[str]) -> None:
+    def add_services(self, services: Iterable[str]) -> None:
         """Workers of these services may be used from now on, also those whose records are known.
 
         A service stays known for as long as the term: work may be left that asks for its workers.
@@ -47,18 +47,18 @@
             return
         self._services |= new
         waiting, self._no_service = self._no_service, {}
-        self.changed(waiting.values())
+        self.apply(waiting.values())
 
-    def listed(self, items: Iterable[Item]) -> None:
+    def replace(self, items: Iterable[Item]) -> None:
         """All records that there are."""
         items = tuple(items)
-        self.changed(items)
+        self.apply(items)
         listed = {self._id(item) for item in items}
-        known = {id_of(life) for life in self._board.workers} | set(self._no_service)
+        known = {worker_id_of(life) for life in self._board.workers} | set(self._no_service)
         for worker_id in sorted(known - listed):
             self._removed(worker_id)
 
-    def changed(self, items: Iterable[Item]) -> None:
+    def apply(self, items: Iterable[Item]) -> None:
         """Some records were written or removed."""
         for item in items:
             if not item.revision:
@@ -74,12 +74,12 @@
             else:
                 self._refuse_service(item)
 
-    def life_after(self, life: str) -> str | None:
+    def next_incarnation(self, life: str) -> str | None:
         """The life that is listed under the id of one that is over; ``None`` while there is none.
 
         The next record under the id counts as that of another life then.
         """
-        listed = self._lives.setdefault(id_of(life), life)
+        listed = self._lives.setdefault(worker_id_of(life), life)
         return None if listed == life else listed
 
     def _take(self, item: Item, record: WorkerRecord) -> None:
@@ -122,7 +122,7 @@
         """A record is gone; what runs there may go on, whatever its worker had announced."""
         self._no_service.pop(worker_id, None)
         life = self._lives.get(worker_id, worker_id)
-        if not born_of(life):
+        if not started_ms_of(life):
             # Another life has another id; otherwise the next record may be the next life's.
             self._lives.pop(worker_id, None)
         self._unlist(life)
@@ -134,4 +134,4 @@
             self._sessions.close(life)
 
     def _id(self, item: Item) -> str:
-        return item.key.removeprefix(self._documents.places.workers_prefix)
+        return item.key.removeprefix(self._documents.locations.workers_prefix)
--- a/src/saddlestack/control/membership.py
+++ b/src/saddlestack/control/membership.py
@@ -17,7 +17,7 @@
 from saddlestack.errors import SaddlestackError, invalid
 from saddlestack.interfaces.store import (
     Item,
-    LeaseOver,
+    LeaseExpired,
     Put,
     StoreUnavailable,
     Transaction,
@@ -30,18 +30,22 @@
 
 NAME = "membership"
 LEASE_S = 10.0
-"""A VM that is cut off stays known for at least this less :data:`KEEP_S`: for longer than a leader
-goes on renewing without the store, so that one that renews is always known."""
-KEEP_S = 2.0
+"""A VM that is cut off stays listed for at least this less :data:`RENEW_INTERVAL_S`. A leader
+renews workers' leases without the store for less time than that, so a VM that renews is always
+listed."""
+RENEW_INTERVAL_S = 2.0
 RETRY_S = 0.5
-KEEP_RETRY_S = 1.0
+RENEW_RETRY_S = 1.0
 """A refused renewal is repeated within this, sooner once the store answers again; not more often,
 since every VM does so at once where the store refuses all of them."""
-GONE_S = 12.0
-"""For so long after its record has gone a VM counts as one that may still renew workers' leases.
-One that reaches the store has written it again after 3.5 s (:data:`KEEP_S`, a call of 1 s,
-:data:`RETRY_S`); one that does not has stopped leading 1 s after that and renewing after 5.5 s."""
-TOLD_S = KEEP_S + 2.0
+GONE_RETENTION_S = 12.0
+"""How long a VM whose record is gone counts as one that may still renew workers' leases.
+
+A VM that reaches the store has written its record again after 3.5 s (:data:`RENEW_INTERVAL_S`, a
+call of 1 s, :data:`RETRY_S`). One that doesn't stops leading 1 s after that, and renewing after
+5.5 s.
+"""
+MAX_RENEWAL_AGE_S = RENEW_INTERVAL_S + 2.0
 """So old may the last renewal of a VM's record be where it takes the leadership: two that fail may
 lie between. The record then lasts for 6 s more, and a leader without the store renews workers'
 leases for 5.5 s: also a VM that has just started finds it listed, and asks it."""
@@ -72,7 +76,7 @@
         super().__init__(NAME, context.clock)
         self._context = context
         address = context.settings.peer_address
-        self.me = Member(
+        self.local = Member(
             vm=context.settings.vm,
             data_hall=context.settings.data_hall,
             incarnation=context.incarnation,
@@ -95,18 +99,18 @@
         return self._feed.loaded
 
     @property
-    def is_told(self) -> bool:
+    def is_listed(self) -> bool:
         """Whether the others find this VM listed for as long as it may renew workers' leases."""
-        return self.clock.now() - self._kept_s <= TOLD_S
+        return self.clock.now() - self._kept_s <= MAX_RENEWAL_AGE_S
 
     @property
-    def knows_all(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether every VM is known that may renew workers' leases.
 
         A record that cannot be read is that of a VM which nobody can ask, also for a while after
         the record has gone.
         """
-        lately = self._unreadable_gone_s >= self.clock.now() - GONE_S
+        lately = self._unreadable_gone_s >= self.clock.now() - GONE_RETENTION_S
         return not self._unreadable and not lately
 
     async def start(self) -> None:
@@ -116,27 +120,27 @@
 
     def member(self, vm: str) -> Member | None:
         """The latest life of a VM, if it is known; its record may have gone lately."""
-        if vm == self.me.vm:
-            return self.me
+        if vm == self.local.vm:
+            return self.local
         return self._members.get(vm) or self._lately_gone().get(vm)
 
     def others(self) -> list[Member]:
         """All other VMs, in an order of chance."""
-        others = [member for member in self._members.values() if member.vm != self.me.vm]
+        others = [member for member in self._members.values() if member.vm != self.local.vm]
         self._context.rng.shuffle(others)
         return others
 
-    def may_renew(self) -> list[Member]:
+    def possible_renewers(self) -> list[Member]:
         """All other VMs that may renew workers' leases: also some whose record has gone."""
-        gone = [member for vm, member in self._lately_gone().items() if vm != self.me.vm]
+        gone = [member for vm, member in self._lately_gone().items() if vm != self.local.vm]
         return self.others() + gone
 
     def _lately_gone(self) -> dict[str, Member]:
-        """VMs whose record went within :data:`GONE_S` and is not back."""
-        since = self.clock.now() - GONE_S
+        """VMs whose record went within :data:`GONE_RETENTION_S` and is not back."""
+        since = self.clock.now() - GONE_RETENTION_S
         return {vm: member for vm, (member, gone_s) in self._gone.items() if gone_s >= since}
 
-    def some_of_each_hall(self, most: int) -> dict[str, list[Member]]:
+    def sample_by_hall(self, most: int) -> dict[str, list[Member]]:
         """Some other VMs of each data hall, chosen by chance.
 
         :param most: VMs of a hall.
@@ -151,18 +155,20 @@
             try:
                 sent = self.clock.now()
                 lease, _ = await self._context.store.grant_lease(LEASE_S)
-                put = Put(member_key(self.me.vm), to_json(self.me), lease)
+                put = Put(member_key(self.local.vm), to_json(self.local), lease)
                 await self._context.store.transact(Transaction(puts=(put,)))
                 self._overwritten = False
                 self._kept_s = sent
                 await self._keep(lease)
-            except (StoreUnavailable, WriteInDoubt, LeaseOver):
-                await self._context.health.pause(self._context.rng.uniform(RETRY_S / 2, RETRY_S))
+            except (StoreUnavailable, WriteInDoubt, LeaseExpired):
+                await self._context.health.wait_for_recovery(
+                    self._context.rng.uniform(RETRY_S / 2, RETRY_S)
+                )
 
     async def _keep(self, lease: int) -> None:
         while True:
             # Sooner where the store is back: its leases may have run out meanwhile.
-            await self._context.health.pause(KEEP_S)
+            await self._context.health.wait_for_recovery(RENEW_INTERVAL_S)
             if self._overwritten:
                 return
             await self._renew(lease)
@@ -175,12 +181,12 @@
         while True:
             sent = self.clock.now()
             try:
-                await self._context.store.keep_lease(lease)
+                await self._context.store.renew_lease(lease)
                 self._kept_s = sent
                 return
             except StoreUnavailable:
-                wait_s = self._context.rng.uniform(KEEP_RETRY_S / 2, KEEP_RETRY_S)
-                await self._context.health.pause(wait_s)
+                wait_s = self._context.rng.uniform(RENEW_RETRY_S / 2, RENEW_RETRY_S)
+                await self._context.health.wait_for_recovery(wait_s)
 
     def _replace(self, items: tuple[Item, ...]) -> None:
         listed = {item.key.removeprefix(MEMBERS) for item in items if item.revision}
@@ -189,7 +195,7 @@
         self._change(items)
 
     def _lose(self, vm: str) -> None:
-        if vm == self.me.vm:
+        if vm == self.local.vm:
             self._overwritten = True
         if vm in self._unreadable:
             self._unreadable.discard(vm)
@@ -200,7 +206,7 @@
 
     def _change(self, items: tuple[Item, ...]) -> None:
         self._note(items)
-        self._context.health.share_among(len(self._members))
+        self._context.health.set_vm_count(len(self._members))
 
     def _note(self, items: tuple[Item, ...]) -> None:
         for item in items:
@@ -219,7 +225,7 @@
     def _refuse(self, vm: str, item: Item, error: SaddlestackError) -> None:
         """Go on with what a VM told before, if it did."""
         self._refusals.refuse(item.key, str(error))
-        if vm == self.me.vm:
+        if vm == self.local.vm:
             self._overwritten = True
         elif vm not in self._members:
             self._unreadable.add(vm)
--- a/src/saddlestack/control/owner.py
+++ b/src/saddlestack/control/owner.py
@@ -9,7 +9,7 @@
 from saddlestack.policy.cluster.workers import Worker
 
 
-class Owner(Protocol):
+class SessionOwner(Protocol):
     """What a session needs of its scheduler."""
 
     @property
@@ -23,7 +23,7 @@
         ...
 
     @property
-    def hold_s(self) -> float:
+    def max_lease_s(self) -> float:
         """How long workers lease at most."""
         ...
 
@@ -32,22 +32,22 @@
         """Whether the term may still grant leases: a successor counts those that it granted."""
         ...
 
-    def changed(self) -> None:
+    def reschedule(self) -> None:
         """Decide anew."""
         ...
 
-    async def written(self, jobs: Iterable[str]) -> None:
+    async def wait_written(self, jobs: Iterable[str]) -> None:
         """Wait until the store has all that is known of some jobs by now."""
         ...
 
-    def missed(self, worker: Worker) -> None:
+    def call_missed(self, worker: Worker) -> None:
         """A call to a worker was not answered; its neighbours may be out of reach as well."""
         ...
 
-    def replaced(self, worker: Worker) -> None:
+    def worker_replaced(self, worker: Worker) -> None:
         """Another life answered where a worker's was: this one is over."""
         ...
 
-    def fenced(self) -> None:
+    def worker_fenced(self) -> None:
         """A worker obeys a later term."""
         ...
--- a/src/saddlestack/control/peers.py
+++ b/src/saddlestack/control/peers.py
@@ -82,7 +82,7 @@
         :raises PeerUnavailable: it was not reached, or did not answer.
         """
         method = type(question).__name__
-        if vm == self._membership.me.vm:
+        if vm == self._membership.local.vm:
             answer: Any = await self._methods[method][1](question)
             return answer  # type: ignore[no-any-return]
         member = self._membership.member(vm)
@@ -128,7 +128,7 @@
 
     async def _welcome(self, stream: FrameStream) -> None:
         try:
-            peer = await Handshake(self._me(), self._membership.me.secret).accept(stream)
+            peer = await Handshake(self._me(), self._membership.local.secret).accept(stream)
         except (OSError, EOFError, TimeoutError, SaddlestackError):
             stream.close()
             return
@@ -147,7 +147,7 @@
         return await answer(from_msgpack(bytes(body), kind))
 
     def _me(self) -> PeerName:
-        me = self._membership.me
+        me = self._membership.local
         return PeerName(me.vm, me.data_hall, me.incarnation)
 
 
--- a/src/saddlestack/control/relays.py
+++ b/src/saddlestack/control/relays.py
@@ -19,9 +19,9 @@
 from saddlestack.control.peers import Peers, PeerUnavailable
 from saddlestack.errors import SaddlestackError
 
-PATIENCE_S = 0.25
+ANSWER_TIMEOUT_S = 0.25
 """VMs answer in 1 to 3 ms, in 0.1 s where they run slow."""
-VMS_A_HALL = 2
+VMS_PER_HALL = 2
 """VMs of each hall that are asked at once."""
 
 
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
+class RelayResult:
     """What the other VMs say.
 
     :param vm: one that the store answers, or ``None``.
@@ -58,15 +58,15 @@
         self._refused_s = -math.inf
         peers.serve(StoreQuestion, self._answer)
 
-    async def find(self) -> Found:
+    async def find(self) -> RelayResult:
         """Ask some VMs of each hall at once; the first that says yes is taken."""
-        halls = self._membership.some_of_each_hall(VMS_A_HALL)
+        halls = self._membership.sample_by_hall(VMS_PER_HALL)
         members = [member for vms in halls.values() for member in vms]
         asked = {asyncio.create_task(self._ask(member)): member for member in members}
         heard: set[str] = set()
         try:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(PATIENCE_S):
+                async with asyncio.timeout(ANSWER_TIMEOUT_S):
                     return await self._first(asked, heard)
         finally:
             for call in asked:
@@ -74,15 +74,19 @@
             await asyncio.gather(*asked, return_exceptions=True)
         return self._none(asked.values(), heard)
 
-    def _none(self, asked: Iterable[Member], heard: set[str]) -> Found:
-        others = {member.data_hall for member in asked} - {self._membership.me.data_hall}
+    def _none(self, asked: Iterable[Member], heard: set[str]) -> RelayResult:
+        others = {member.data_hall for member in asked} - {self._membership.local.data_hall}
         now = self._health.clock.now()
         if heard & others:
             self._refused_s = now
-        lost_everywhere = self._refused_s >= now - self._health.lost_for_s
-        return Found(None, cut_off=bool(others) and not heard & others and not lost_everywhere)
-
-    async def _first(self, asked: Mapping[asyncio.Task[bool], Member], heard: set[str]) -> Found:
+        lost_everywhere = self._refused_s >= now - self._health.outage_s
+        return RelayResult(
+            None, cut_off=bool(others) and not heard & others and not lost_everywhere
+        )
+
+    async def _first(
+        self, asked: Mapping[asyncio.Task[bool], Member], heard: set[str]
+    ) -> RelayResult:
         """Wait for a VM that the store answers; notes the halls that are heard meanwhile."""
         waiting = set(asked)
         while waiting:
@@ -92,7 +96,7 @@
                 if answers is not None:
                     heard.add(asked[call].data_hall)
                 if answers:
-                    return Found(asked[call].vm, cut_off=False)
+                    return RelayResult(asked[call].vm, cut_off=False)
         return self._none(asked.values(), heard)
 
     async def _ask(self, member: Member) -> bool:
@@ -100,7 +104,7 @@
         return answer.answers
 
     async def _answer(self, question: StoreQuestion) -> StoreAnswer:
-        return StoreAnswer(self._health.answers)
+        return StoreAnswer(self._health.is_available)
 
 
 def _result(call: asyncio.Task[bool]) -> bool | None:
--- a/src/saddlestack/control/renewals.py
+++ b/src/saddlestack/control/renewals.py
@@ -49,9 +49,9 @@
 
     async def are_over(self) -> bool:
         """Whether all other VMs say that they renew nothing; asks until one does not say so."""
-        if not self._membership.loaded.is_set() or not self._membership.knows_all:
+        if not self._membership.loaded.is_set() or not self._membership.is_complete:
             return False
-        others = self._membership.may_renew()
+        others = self._membership.possible_renewers()
         for first in range(0, len(others), ASKED_AT_ONCE):
             some = others[first : first + ASKED_AT_ONCE]
             if not all(await asyncio.gather(*(self._says_no(member) for member in some))):
--- a/src/saddlestack/control/reports.py
+++ b/src/saddlestack/control/reports.py
@@ -11,7 +11,7 @@
 from collections.abc import Sequence
 
 from saddlestack.control.endings import Proof, log_over
-from saddlestack.control.owner import Owner
+from saddlestack.control.owner import SessionOwner
 from saddlestack.interfaces.workers import EndedTask, RunningTask, WorkerReport
 from saddlestack.kernel.clock import Clock
 from saddlestack.policy.cluster.jobs import Run
@@ -32,7 +32,7 @@
     :ivar seen: ends up to this number the worker may forget.
     """
 
-    def __init__(self, worker: Worker, owner: Owner, clock: Clock) -> None:
+    def __init__(self, worker: Worker, owner: SessionOwner, clock: Clock) -> None:
         self._worker = worker
         self._owner = owner
         self._clock = clock
@@ -96,7 +96,7 @@
             self._ended(end, now)
         self._judge(report, asked, now)
         if fresh or board.has_news:
-            self._owner.changed()
+            self._owner.reschedule()
 
     async def acknowledge(self) -> None:
         """Let the worker forget its ends, once the store has them."""
@@ -105,7 +105,7 @@
             return
         try:
             async with asyncio.timeout(COMMIT_WAIT_S):
-                await self._owner.written(frozenset(self._ended_jobs))
+                await self._owner.wait_written(frozenset(self._ended_jobs))
         except TimeoutError:
             return
         self.seen = max(self.seen, noted)
--- a/src/saddlestack/control/requests.py
+++ b/src/saddlestack/control/requests.py
@@ -49,7 +49,7 @@
                 listing = await self._context.store.list(keys.PROGRESS)
                 break
             except StoreUnavailable:
-                await self._context.health.pause(LOAD_RETRY_S)
+                await self._context.health.wait_for_recovery(LOAD_RETRY_S)
         for item in listing.items:
             self._journal.known(item)
             self._load(item)
--- a/src/saddlestack/control/scheduler.py
+++ b/src/saddlestack/control/scheduler.py
@@ -22,7 +22,7 @@
 from saddlestack.control.endings import Proof, log_over, log_wait
 from saddlestack.control.evacuations import Evacuations
 from saddlestack.control.feed import Feed
-from saddlestack.control.halls import HallWatch
+from saddlestack.control.halls import HallMonitor
 from saddlestack.control.journal import Journal
 from saddlestack.control.leadership import Term
 from saddlestack.control.leases import Leases
@@ -78,7 +78,7 @@
     :param peers: the way to the VMs of other halls.
     :param renewals: tells whether an earlier leader may still renew leases.
     :param grants_until: tells until when this term may grant leases, on the VM's clock.
-    :param is_sure: tells whether this term may answer for what has happened.
+    :param is_confirmed: tells whether this term may answer for what has happened.
     :param on_displaced: called once when another leader has taken over.
     """
 
@@ -91,7 +91,7 @@
         membership: Membership,
         renewals: Renewals,
         grants_until: Callable[[], float],
-        is_sure: Callable[[], bool],
+        is_confirmed: Callable[[], bool],
         on_displaced: Callable[[], None],
     ) -> None:
         self._context = context
@@ -100,19 +100,19 @@
         self._on_displaced = on_displaced
         self.board = ClusterState()
         self.fence = term.fence
-        self.hold_s = context.settings.timings.longest_hold_ms / 1000
+        self.max_lease_s = context.settings.timings.longest_hold_ms / 1000
         self._journal = Journal(context, term.fence)
         self._requests = Requests(context, self.board, self._journal)
         self._commits = Commits(context, self._journal, self._displaced)
         self._began_s = context.clock.now()
         self._crashing = CrashLog(context.metrics)
-        self._leases = Leases(self.hold_s, self._began_s)
+        self._leases = Leases(self.max_lease_s, self._began_s)
         self._sessions = Sessions(context, self, self._leases)
-        self.waits = Waits(self.board, context.clock, context.metrics, self._leases.lasts_until)
+        self.waits = Waits(self.board, context.clock, context.metrics, self._leases.expires_at)
         self._workers = WorkerList(context, self.board, self._sessions)
         self._workers_feed = Feed(
             context,
-            context.documents.places.workers_prefix,
+            context.documents.locations.workers_prefix,
             self._workers_listed,
             self._workers_changed,
             wait_s=WORKERS_WAIT_S,
@@ -122,8 +122,8 @@
         self._evacuations = Evacuations(context, self._evacuated)
         self._renewals = renewals
         self._grants_until = grants_until
-        self._is_sure = is_sure
-        self._halls = HallWatch(context, peers, membership, self._sessions.suspect)
+        self._is_sure = is_confirmed
+        self._halls = HallMonitor(context, peers, membership, self._sessions.suspect)
         self._tasks = TaskGroup("scheduler")
         self._wake = asyncio.Event()
         self._lending_timer: asyncio.TimerHandle | None = None
@@ -139,7 +139,7 @@
     async def stop(self) -> None:
         """End the term: no order leaves after this."""
         self.over = True
-        self._configuration.unlisten(self._configured)
+        self._configuration.remove_listener(self._configured)
         await self._tasks.cancel()
         await self._commits.stop()
         await self._sessions.stop()
@@ -162,7 +162,7 @@
     def clear_suspects(self, job_id: str) -> int:
         """Start the tasks of a job as any others, though workers crashed under them."""
         found = self.board.clear_suspects(job_id)
-        self.changed()
+        self.reschedule()
         return found
 
     def told(self, item: Item) -> None:
@@ -171,7 +171,7 @@
 
     # What sessions need
 
-    def changed(self) -> None:
+    def reschedule(self) -> None:
         """Decide anew."""
         self._known += 1
         self._wake.set()
@@ -182,15 +182,15 @@
         return self._clock.now() <= self._grants_until()
 
     @property
-    def is_sure(self) -> bool:
+    def is_confirmed(self) -> bool:
         """Whether this term may answer for what has happened."""
         return not self.over and self._is_sure()
 
-    async def written(self, jobs: Iterable[str]) -> None:
+    async def wait_written(self, jobs: Iterable[str]) -> None:
         """Wait until the store has all that is known of some jobs by now."""
         await self._commits.written(self._known, jobs)
 
-    def missed(self, worker: Worker) -> None:
+    def call_missed(self, worker: Worker) -> None:
         """A call to a worker was not answered: look at it, or at all of its hall, at once."""
         hall = worker.record.data_hall
         if self._suspicion.missed(hall, worker.worker_id, self._clock.now()):
@@ -198,20 +198,20 @@
         else:
             self._sessions.suspect_worker(worker)
 
-    def replaced(self, worker: Worker) -> None:
+    def worker_replaced(self, worker: Worker) -> None:
         """Another life answered where a worker's was; orders to the one before may reach it."""
-        life = self._workers.life_after(worker.worker_id)
+        life = self._workers.next_incarnation(worker.worker_id)
         if life is not None:
             self._sessions.recall(life)
 
-    def fenced(self) -> None:
+    def worker_fenced(self) -> None:
         """A worker obeys a later term."""
         self._displaced("a worker obeys a later term")
 
     # Beginning
 
     async def _work(self) -> None:
-        self._configuration.listen(self._configured)
+        self._configuration.add_listener(self._configured)
         workers = self._workers_feed
         self._tasks.spawn(workers.run())
         self._tasks.spawn(self._evacuations.run())
@@ -238,7 +238,7 @@
         self.waits.show()
         self._sessions.open()
         for worker in self._ghosts():
-            log_wait(worker, self._leases.left_s(worker.worker_id, self._clock.now()))
+            log_wait(worker, self._leases.remaining_s(worker.worker_id, self._clock.now()))
         self._tasks.spawn(self._tick())
         self._tasks.spawn(self._look())
         self._tasks.spawn(self._halls.run())
@@ -260,29 +260,29 @@
         services = {queue.name: queue.service for queue in configuration.queues}
         advised = [queue.name for queue in configuration.queues if queue.advised]
         self.board.configure(guaranteed, services, advised)
-        self._workers.know_services([*services.values(), *(p.name for p in configuration.pools)])
-        self.changed()
+        self._workers.add_services([*services.values(), *(p.name for p in configuration.pools)])
+        self.reschedule()
 
     def _evacuated(self, halls: frozenset[str]) -> None:
         self.board.evacuate(halls)
-        self.changed()
+        self.reschedule()
 
     def _requested(self, items: tuple[Item, ...]) -> None:
-        self._workers.know_services(self._requests.take(items))
-        self.changed()
+        self._workers.add_services(self._requests.take(items))
+        self.reschedule()
 
     def _workers_listed(self, items: tuple[Item, ...]) -> None:
-        self._workers.listed(items)
+        self._workers.replace(items)
         self._workers_known()
 
     def _workers_changed(self, items: tuple[Item, ...]) -> None:
-        self._workers.changed(items)
+        self._workers.apply(items)
         self._workers_known()
 
     def _workers_known(self) -> None:
         if self.loaded.is_set():
             self._sessions.open()
-        self.changed()
+        self.reschedule()
 
     # Deciding
 
@@ -304,7 +304,7 @@
             self._lending_timer = None
             return
         wait_s = borrows_s - self._clock.now() + LENDING_SLACK_S
-        self._lending_timer = asyncio.get_running_loop().call_later(wait_s, self.changed)
+        self._lending_timer = asyncio.get_running_loop().call_later(wait_s, self.reschedule)
 
     def _decide_once(self) -> bool:
         """Decide, and have all of it leave that waits for no record.
@@ -347,7 +347,7 @@
             self._context.metrics.time("start_news", news_s)
             if not self._sessions.order_start(start, news_s):
                 self.board.not_started(start.run)
-                self.changed()
+                self.reschedule()
 
     def _show(self, job_id: str, state: JobState) -> None:
         job = self.board.jobs.get(job_id)
@@ -378,14 +378,14 @@
         else:
             step.advice.told(question.workers, leaves, self._clock.now())
         step.advice.asking = False
-        self.changed()
+        self.reschedule()
 
     async def _tick(self) -> None:
         while True:
             await asyncio.sleep(TICK_S)
             self._end_ghosts()
             self._sessions.close_gone()
-            self.changed()
+            self.reschedule()
 
     async def _forget_old(self) -> None:
         """Forget jobs that are over; apart from the tick, since the store may answer late."""
@@ -407,7 +407,7 @@
         """
         for _ in range(RENEWALS_ASKED):
             if self._waits_for_lapse() and await self._renewals.are_over():
-                self._leases.renewed_until(self._clock.now())
+                self._leases.limit_inherited(self._clock.now())
                 log.info("nobody else renews leases", extra={"event": "renewals_over"})
                 return
             await asyncio.sleep(RENEWALS_GAP_S)
@@ -425,7 +425,7 @@
         """Lives that nobody can ask hold their runs until every lease has lapsed."""
         now = self._clock.now()
         for worker in self._ghosts():
-            if now < self._leases.lasts_until(worker.worker_id):
+            if now < self._leases.expires_at(worker.worker_id):
                 continue
             log_over(worker.runs.values(), Proof.LAPSED, now - self._began_s)
             self.board.worker_over(worker.worker_id, LifeEnd(-math.inf, now, unheard=True))
--- a/src/saddlestack/control/session.py
+++ b/src/saddlestack/control/session.py
@@ -12,7 +12,7 @@
 from saddlestack.control.doubts import LATEST_S, Doubts
 from saddlestack.control.endings import Proof, log_over, log_wait
 from saddlestack.control.leases import Leases
-from saddlestack.control.owner import Owner
+from saddlestack.control.owner import SessionOwner
 from saddlestack.control.reports import Reports
 from saddlestack.interfaces.workers import (
     Refusal,
@@ -77,7 +77,7 @@
         self,
         worker: Worker,
         orders: WorkerOrders,
-        owner: Owner,
+        owner: SessionOwner,
         clock: Clock,
         leases: Leases,
         doubts: Doubts | None = None,
@@ -152,7 +152,7 @@
                     )
                 return
             except WorkerFenced:
-                self._owner.fenced()
+                self._owner.worker_fenced()
                 return
             except WorkerReplaced:
                 self._replaced()
@@ -183,14 +183,14 @@
                 continue
             except WorkerBusy:
                 self.worker.refused(self._clock.now())
-                reply = StartReply(None, Refusal.ROOM)
+                reply = StartReply(None, Refusal.CAPACITY)
             except WorkerReplaced:
                 if clean:
                     self._never_began(run, key)
                 self._replaced()
                 return
             except WorkerFenced:
-                self._owner.fenced()
+                self._owner.worker_fenced()
                 return
             except Exception:
                 log.exception("start failed", extra={"event": "start_failed"})
@@ -246,9 +246,9 @@
             run.ordered_s = now if run.ordered_s is None else run.ordered_s
             reply = await self._answer_of(self._orders.start(order, ORDER_TIMEOUT_S))
         if reply.clock_ms is None:
-            self._contact.heard()
+            self._contact.record_answer()
         else:
-            self._contact.told(reply.clock_ms)
+            self._contact.record_clock(reply.clock_ms)
         return reply
 
     async def _ask_for_sign(self) -> None:
@@ -262,7 +262,7 @@
         except WorkerUnreachable as error:
             self._missed(asked)
             raise _NotHeard from error
-        self._contact.told(report.clock_ms)
+        self._contact.record_clock(report.clock_ms)
 
     def _is_wanted(self, run: Run) -> bool:
         """Whether a run is still to start there.
@@ -278,7 +278,7 @@
         if reply.refusal is None:
             self._settle(key)
             self._owner.board.started(run, now)
-            self._owner.changed()
+            self._owner.reschedule()
             self._watch_progress()
             return
         log.info(
@@ -292,8 +292,8 @@
             },
         )
         if reply.refusal is Refusal.FENCED:
-            self._owner.fenced()
-        elif reply.refusal is Refusal.OLD:
+            self._owner.worker_fenced()
+        elif reply.refusal is Refusal.STALE:
             self._settle(key)
         elif clean:
             if reply.refusal is Refusal.TICKET:
@@ -325,7 +325,7 @@
                     await self._answer_of(
                         self._orders.stop(str(name), number, self._owner.fence, ORDER_TIMEOUT_S)
                     )
-                self._contact.heard()
+                self._contact.record_answer()
                 self._settle(key)
                 self._tasks.spawn(self._look_now())
                 return
@@ -333,7 +333,7 @@
                 self._replaced()
                 return
             except WorkerFenced:
-                self._owner.fenced()
+                self._owner.worker_fenced()
                 return
             except WorkerUnreachable:
                 self._missed(sent)
@@ -349,7 +349,7 @@
         The worker refuses it once the lease that it brings is over by its clock. A life after it
         may count on another clock, but no order is held back for longer than :data:`LATEST_S`.
         """
-        return self._clock.now() + max(self._leases.longest_s, LATEST_S)
+        return self._clock.now() + max(self._leases.lapse_after_s, LATEST_S)
 
     def _settle(self, key: RunKey) -> None:
         self._reports.settle(key)
@@ -360,7 +360,7 @@
         self._doubts.answered(self.worker.worker_id, key)
         self._reports.withdrawn(key)
         self._owner.board.not_started(run)
-        self._owner.changed()
+        self._owner.reschedule()
 
     # Looking
 
@@ -388,7 +388,7 @@
             self._replaced()
             return True
         except WorkerFenced:
-            self._owner.fenced()
+            self._owner.worker_fenced()
             return True
         except (WorkerUnreachable, WorkerBusy) as error:
             if isinstance(error, WorkerBusy):
@@ -409,11 +409,11 @@
         except WorkerReplaced:
             self._replaced()
         except WorkerFenced:
-            self._owner.fenced()
+            self._owner.worker_fenced()
         except WorkerBusy:
             self._turned_away()
             if self._is_here:
-                self._contact.heard()
+                self._contact.record_answer()
         except WorkerUnreachable:
             self._missed(asked)
         else:
@@ -421,16 +421,16 @@
 
     def _turned_away(self) -> None:
         """The worker does nothing now: a start would grant a lease that it does not take."""
-        self._contact.turned_away = True
+        self._contact.is_busy = True
         self.worker.refused(self._clock.now())
 
     def _over(self) -> None:
         """Nothing runs there any more: every lease has lapsed."""
-        heard_s = max(self._contact.heard_s, self._began_s)
+        heard_s = max(self._contact.last_answer_s, self._began_s)
         log_over(self.worker.runs.values(), Proof.LAPSED, self._clock.now() - heard_s)
         self._owner.board.worker_over(self.worker.worker_id, self._contact.end(unheard=True))
         self._reports.clear()
-        self._owner.changed()
+        self._owner.reschedule()
 
     def _watch_progress(self) -> None:
         """Look often while urgent work runs; the look that waits for an end may take 2 s."""
@@ -460,7 +460,7 @@
         wait_s = self._wait_s() if answers else 0.0
         # A worker that does not answer gets no longer lease, so that it lapses some day; nor does
         # one from a leader that stood still, whose successor counts what it granted before.
-        willing = answers and not self._contact.turned_away
+        willing = answers and not self._contact.is_busy
         renews = self.worker.runs and willing and self._owner.may_grant
         deadline = self._contact.deadline(asked) if renews else None
         return await self._hold(deadline, wait_s, wait_s + HOLD_SLACK_S)
@@ -474,7 +474,7 @@
         """How long the worker may wait for an end before it answers a look."""
         if not self.worker.runs or self.worker.suspected or self._reports.awaited:
             return 0.0
-        if self._contact.clock_is_old:
+        if self._contact.is_clock_stale:
             return 0.0
         if any(run.stopping for run in self.worker.runs.values()):
             return STOPPING_WAIT_S
@@ -483,7 +483,7 @@
     async def _take(self, report: WorkerReport, asked: float) -> None:
         if self._owner.board.workers.get(self.worker.worker_id) is not self.worker:
             return
-        self._contact.told(report.clock_ms)
+        self._contact.record_clock(report.clock_ms)
         for run in self.worker.runs.values():
             run.address = run.address or self.worker.record.address
         self._reports.take(report, asked)
@@ -491,19 +491,21 @@
         await self._reports.acknowledge()
 
     def _missed(self, sent: float) -> None:
-        if self._contact.missed(sent):
+        if self._contact.record_miss(sent):
             self._wake.set()
             self._wait_begins()
 
     def _wait_begins(self) -> None:
         """What runs there may go on unseen, until its leases have lapsed at most."""
         if self.worker.runs:
-            log_wait(self.worker, self._leases.left_s(self.worker.worker_id, self._clock.now()))
+            log_wait(
+                self.worker, self._leases.remaining_s(self.worker.worker_id, self._clock.now())
+            )
 
     def _unanswered(self, asked: float) -> bool:
         """Note a failed look; ``True`` where nothing can be running there any more."""
         self._missed(asked)
-        if not self._contact.lapsed:
+        if not self._contact.has_lapsed:
             return False
         if self.worker.runs:
             self._over()
@@ -527,7 +529,7 @@
         """Whether this life is known to have been at the address that is asked."""
         address = self.worker.record.address
         given = all(run.address == address for run in self.worker.runs.values())
-        return given or self._contact.heard_s > -math.inf
+        return given or self._contact.last_answer_s > -math.inf
 
     @property
     def _is_here(self) -> bool:
@@ -536,7 +538,7 @@
         It may be that of any life: it does not prove that one is alive which only an assignment
         names, and its runs wait for the lease.
         """
-        told = self.worker.listed or self._contact.heard_s > -math.inf
+        told = self.worker.listed or self._contact.last_answer_s > -math.inf
         return told and self._was_here
 
     def _replaced(self) -> None:
@@ -548,5 +550,5 @@
         self.worker.listed = False
         log_over(self.worker.runs.values(), Proof.REPLACED, 0.0)
         self._owner.board.worker_over(self.worker.worker_id, self._contact.end(unheard=False))
-        self._owner.replaced(self.worker)
-        self._owner.changed()
+        self._owner.worker_replaced(self.worker)
+        self._owner.reschedule()
--- a/src/saddlestack/control/sessions.py
+++ b/src/saddlestack/control/sessions.py
@@ -9,7 +9,7 @@
 from saddlestack.control.context import EntryContext
 from saddlestack.control.doubts import Doubts
 from saddlestack.control.leases import Leases
-from saddlestack.control.owner import Owner
+from saddlestack.control.owner import SessionOwner
 from saddlestack.control.session import WorkerSession
 from saddlestack.kernel.service import TaskGroup
 from saddlestack.policy.cluster.changes import Start, Stop
@@ -32,7 +32,7 @@
     :param leases: what was granted to workers in this term and before.
     """
 
-    def __init__(self, context: EntryContext, owner: Owner, leases: Leases) -> None:
+    def __init__(self, context: EntryContext, owner: SessionOwner, leases: Leases) -> None:
         self._context = context
         self._owner = owner
         self._sessions: dict[str, WorkerSession] = {}
--- a/src/saddlestack/control/upkeep.py
+++ b/src/saddlestack/control/upkeep.py
@@ -60,7 +60,7 @@
         self._waves: dict[int, WaveState] = {}
         self._completed: set[int] = set()
         self._feed = Feed(
-            context, context.documents.places.waves_prefix, self._ordered, self._ordered
+            context, context.documents.locations.waves_prefix, self._ordered, self._ordered
         )
         self._fresh: list[Item] = []
         self._refusals = Refusals(context.metrics, "wave")
@@ -172,12 +172,12 @@
                 item = await self._context.store.get(wave_key(wave))
                 return from_json(item.value, WaveRecord) if item.revision else WaveRecord()
             except StoreUnavailable:
-                await self._context.health.pause(STORE_RETRY_S)
+                await self._context.health.wait_for_recovery(STORE_RETRY_S)
 
     async def _keep(self, state: WaveState, *, completed: bool) -> None:
         """Write how far a wave is, for the operator and for the next leader."""
         number = state.wave.wave
-        places = self._context.documents.places
+        places = self._context.documents.locations
         status = self._context.documents.wave_status(completed=completed)
         record = WaveRecord(begun=state.begun, completed=completed)
         transaction = Transaction(
@@ -191,7 +191,7 @@
             try:
                 outcome = await self._context.store.transact(transaction)
             except (StoreUnavailable, WriteInDoubt):
-                await self._context.health.pause(STORE_RETRY_S)
+                await self._context.health.wait_for_recovery(STORE_RETRY_S)
                 continue
             if isinstance(outcome, Conflict):
                 log.warning("wave is another leader's", extra={"event": "wave_displaced"})
--- a/src/saddlestack/interfaces/documents.py
+++ b/src/saddlestack/interfaces/documents.py
@@ -73,7 +73,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Documents:
+class DocumentLocations:
     """Where the platform keeps the operators' documents and the workers' records.
 
     :param evacuations_prefix: of a key for each data hall that is being evacuated; the rest of the
@@ -92,7 +92,7 @@
     """Reads the platform's documents into the product's models."""
 
     @property
-    def places(self) -> Documents:
+    def locations(self) -> DocumentLocations:
         """Where the documents are."""
         ...
 
--- a/src/saddlestack/interfaces/lives.py
+++ b/src/saddlestack/interfaces/incarnations.py
@@ -10,7 +10,7 @@
 """No id of a worker has a slash."""
 
 
-def life_name(worker_id: str, born: int) -> str:
+def incarnation_name(worker_id: str, born: int) -> str:
     """The name of one life of a worker.
 
     :param born: when it was born, in milliseconds since 1970; 0 where the worker does not tell.
@@ -18,12 +18,12 @@
     return f"{worker_id}{_MARK}{born}" if born else worker_id
 
 
-def id_of(life: str) -> str:
+def worker_id_of(life: str) -> str:
     """The id of the worker that a life is of."""
     return life.partition(_MARK)[0]
 
 
-def born_of(life: str) -> int:
+def started_ms_of(life: str) -> int:
     """When a life was born, in milliseconds since 1970; 0 where its name does not tell."""
     born = life.partition(_MARK)[2]
     return int(born) if born.isdecimal() else 0
--- a/src/saddlestack/interfaces/store.py
+++ b/src/saddlestack/interfaces/store.py
@@ -18,7 +18,7 @@
     """The store forgot the changes asked for: read everything again."""
 
 
-class LeaseOver(Exception):
+class LeaseExpired(Exception):
     """The lease has ended."""
 
 
@@ -125,7 +125,7 @@
         """
         ...
 
-    async def keep_lease(self, lease: int) -> None:
+    async def renew_lease(self, lease: int) -> None:
         """Renew a lease.
 
         :raises LeaseOver: it has ended.
--- a/src/saddlestack/interfaces/workers.py
+++ b/src/saddlestack/interfaces/workers.py
@@ -33,9 +33,9 @@
     """Why a worker refused a start."""
 
     FENCED = "fenced"
-    OLD = "old"
+    STALE = "old"
     LATE = "late"
-    ROOM = "room"
+    CAPACITY = "room"
     TICKET = "ticket"
     INVALID = "invalid"
 
@@ -155,7 +155,7 @@
 class WorkerRecord:
     """One life of a worker as it records itself.
 
-    :param worker_id: the life's name, see :mod:`saddlestack.interfaces.lives`.
+    :param worker_id: the life's name, see :mod:`saddlestack.interfaces.incarnations`.
     :param labels: its kind, its rack and others that steps may ask for.
     :param remaining_ms: while it drains, the least time until it leaves.
     :param cold_ms: for how long it is still slow.
--- a/src/saddlestack/platform/documents.py
+++ b/src/saddlestack/platform/documents.py
@@ -17,12 +17,12 @@
 from saddlestack.interfaces.documents import (
     ClientAccount,
     ClientLimits,
-    Documents,
+    DocumentLocations,
     Pool,
     PoolConfiguration,
     Queue,
 )
-from saddlestack.interfaces.lives import life_name
+from saddlestack.interfaces.incarnations import incarnation_name
 from saddlestack.interfaces.machines import Wave
 from saddlestack.interfaces.store import Item
 from saddlestack.interfaces.workers import WorkerRecord
@@ -52,7 +52,7 @@
 _Positive = Annotated[int, msgspec.Meta(ge=1, le=MAX_NUMBER)]
 _Time = Annotated[float, msgspec.Meta(ge=0, le=MAX_TIME_MS)]
 
-PLACES = Documents(
+PLACES = DocumentLocations(
     configuration_prefix="op/",
     configuration_key="op/config",
     workers_prefix="servers/",
@@ -156,7 +156,7 @@
 class PlatformDocuments:
     """Reads the platform's documents into the product's models."""
 
-    places = PLACES
+    locations = PLACES
 
     def configuration(self, value: bytes) -> PoolConfiguration:
         """The configuration that a document holds."""
@@ -197,7 +197,7 @@
         room = Resources(record.capacity.cpu, record.capacity.mem_mb, record.capacity.gpu)
         remaining = None if record.remaining_ms is None else int(record.remaining_ms)
         return WorkerRecord(
-            worker_id=life_name(worker_id, _born(record)),
+            worker_id=incarnation_name(worker_id, _born(record)),
             service=record.service,
             address=record.address,
             data_hall=record.zone,
--- a/src/saddlestack/platform/kv.py
+++ b/src/saddlestack/platform/kv.py
@@ -18,7 +18,7 @@
     Conflict,
     HistoryGone,
     Item,
-    LeaseOver,
+    LeaseExpired,
     Listing,
     StoreUnavailable,
     Transaction,
@@ -113,7 +113,7 @@
             conflict = _written(response, ConflictBody)
             return Conflict(tuple(_item(item) for item in conflict.items))
         if response.status == 404:
-            raise LeaseOver
+            raise LeaseExpired
         _check(response)
         return Committed(_written(response, CommittedBody).rev)
 
@@ -127,7 +127,7 @@
         lease = _expect(response, LeaseBody)
         return lease.lease, lease.ttl_ms / 1000
 
-    async def keep_lease(self, lease: int) -> None:
+    async def renew_lease(self, lease: int) -> None:
         """Renew a lease."""
         await self._on_lease("POST", f"{paths.KEEP}{lease}")
 
@@ -145,7 +145,7 @@
         except WriteInDoubt as error:
             raise StoreUnavailable(str(error)) from error
         if response.status == 404:
-            raise LeaseOver
+            raise LeaseExpired
         _check(response)
 
     async def _read(self, path: str, timeout: float) -> Response:
--- a/src/saddlestack/platform/machines.py
+++ b/src/saddlestack/platform/machines.py
@@ -9,7 +9,7 @@
 
 from saddlestack.codec import from_json
 from saddlestack.errors import SaddlestackError
-from saddlestack.interfaces.lives import id_of
+from saddlestack.interfaces.incarnations import worker_id_of
 from saddlestack.interfaces.machines import (
     AdviserUnavailable,
     Leave,
@@ -93,7 +93,7 @@
 
     async def advise(self, step: str, workers: tuple[str, ...]) -> tuple[Leave, ...]:
         """The workers among these that may run a step; the adviser knows them by id."""
-        lives = {id_of(life): life for life in workers}
+        lives = {worker_id_of(life): life for life in workers}
         try:
             response = await self._http.request(
                 "POST", "/api/advise", _Question(step, tuple(lives)), timeout=ADVICE_TIMEOUT_S
--- a/src/saddlestack/platform/orders.py
+++ b/src/saddlestack/platform/orders.py
@@ -11,7 +11,7 @@
 
 from saddlestack.codec import from_json
 from saddlestack.errors import SaddlestackError
-from saddlestack.interfaces.lives import born_of, id_of
+from saddlestack.interfaces.incarnations import started_ms_of, worker_id_of
 from saddlestack.interfaces.workers import (
     EndedTask,
     EndKind,
@@ -47,9 +47,9 @@
 """A worker lists no more ends in one answer; the others come when these were acknowledged."""
 _REFUSALS = {
     "fence": Refusal.FENCED,
-    "old": Refusal.OLD,
+    "old": Refusal.STALE,
     "late": Refusal.LATE,
-    "room": Refusal.ROOM,
+    "room": Refusal.CAPACITY,
     "ticket": Refusal.TICKET,
 }
 
@@ -65,8 +65,8 @@
 
     def __init__(self, life: str, address: str, port: int, *, dialer: Dialer | None = None) -> None:
         self._http = HttpClient(address, port, dialer=dialer, kept=KEPT_CONNECTIONS)
-        self._headers = ((LIFE_HEADER, id_of(life)),)
-        self._born = born_of(life)
+        self._headers = ((LIFE_HEADER, worker_id_of(life)),)
+        self._born = started_ms_of(life)
 
     async def start(self, order: StartOrder, timeout_s: float) -> StartReply:
         """Start a run."""
@@ -85,7 +85,7 @@
         answer = _read(response, OrderAnswer, (200, 409))
         if response.status == 200:
             return StartReply(answer.clock_ms, None)
-        return StartReply(answer.clock_ms, _REFUSALS.get(answer.reason, Refusal.OLD))
+        return StartReply(answer.clock_ms, _REFUSALS.get(answer.reason, Refusal.STALE))
 
     async def stop(self, task: str, run: int, fence: int, timeout_s: float) -> None:
         """Stop a run; one that is not there yet will be refused when it comes."""
--- a/src/saddlestack/platform/serving.py
+++ b/src/saddlestack/platform/serving.py
@@ -16,7 +16,7 @@
     Conflict,
     HistoryGone,
     Item,
-    LeaseOver,
+    LeaseExpired,
     MetadataStore,
     Put,
     Transaction,
@@ -113,7 +113,7 @@
             return await self._route(request)
         except HistoryGone:
             return Response(410)
-        except LeaseOver:
+        except LeaseExpired:
             return Response(404)
         except WriteInDoubt:
             await asyncio.sleep(SILENCE_S)
@@ -141,7 +141,7 @@
             number, ttl_s = await self._store.grant_lease(ttl_ms / 1000)
             return Response(200, to_json(LeaseBody(round(ttl_s * 1000), number)))
         if name == "keep":
-            await self._store.keep_lease(int(lease))
+            await self._store.renew_lease(int(lease))
             return Response(200, to_json(LeaseBody(0)))
         if name == "lease-end":
             await self._store.end_lease(int(lease))
--- a/src/saddlestack/soak/life.py
+++ b/src/saddlestack/soak/life.py
@@ -196,9 +196,9 @@
 
     def _run_refusal(self, order: StartOrder) -> Refusal | None:
         if order.run <= self._highest.get(TaskName.parse(order.task), 0):
-            return Refusal.OLD
+            return Refusal.STALE
         if self.guards and not _needs(_plan(order)).fits(self._free):
-            return Refusal.ROOM
+            return Refusal.CAPACITY
         return None
 
     def _begin_run(self, order: StartOrder, arrival: Arrival) -> None:
--- a/src/saddlestack/soak/machine.py
+++ b/src/saddlestack/soak/machine.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from saddlestack.interfaces.lives import born_of, id_of, life_name
+from saddlestack.interfaces.incarnations import incarnation_name, started_ms_of, worker_id_of
 from saddlestack.interfaces.workers import StartOrder, StartReply, WorkerReport, WorkerUnreachable
 from saddlestack.kernel.service import TaskGroup
 from saddlestack.platform.serving import WorkerServing
@@ -80,11 +80,11 @@
 
     @property
     def worker_id(self) -> str:
-        return id_of(self.life.worker_id)
+        return worker_id_of(self.life.worker_id)
 
     @property
     def born(self) -> int:
-        return born_of(self.life.worker_id)
+        return started_ms_of(self.life.worker_id)
 
     def clock_ms(self) -> int:
         return self.life.clock_ms()
@@ -198,7 +198,7 @@
         if not self._settings.births:
             return f"i-{self._settings.name}-{next(self._lives)}"
         self._born_ms = max(self._born_ms + 1, time.time_ns() // 1_000_000)
-        return life_name(f"i-{self._settings.name}", self._born_ms)
+        return incarnation_name(f"i-{self._settings.name}", self._born_ms)
 
     def _crash_under(self, task: TaskName) -> None:
         """A task crashes the worker; another life comes after some seconds."""
--- a/src/saddlestack/soak/recording.py
+++ b/src/saddlestack/soak/recording.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from saddlestack.interfaces.lives import born_of, id_of
+from saddlestack.interfaces.incarnations import started_ms_of, worker_id_of
 from saddlestack.platform import paths
 from saddlestack.platform.documents import PLACES
 from saddlestack.platform.messages import CapacityBody, PutRow, TransactionBody, WorkerBody
@@ -86,7 +86,7 @@
 
     @property
     def _key(self) -> str:
-        return f"{PLACES.workers_prefix}{id_of(self.life.worker_id)}"
+        return f"{PLACES.workers_prefix}{worker_id_of(self.life.worker_id)}"
 
     async def _write(self) -> bool:
         async with self._writing:
@@ -115,7 +115,7 @@
             slots=SLOTS,
             version=VERSION,
             remaining_ms=self._remaining_ms(),
-            born=born_of(self.life.worker_id) or msgspec.UNSET,
+            born=started_ms_of(self.life.worker_id) or msgspec.UNSET,
         )
 
     def _remaining_ms(self) -> int | None:
--- a/src/saddlestack/standins/pool/orders.py
+++ b/src/saddlestack/standins/pool/orders.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from saddlestack.interfaces.lives import born_of
+from saddlestack.interfaces.incarnations import started_ms_of
 from saddlestack.interfaces.workers import (
     StartOrder,
     StartReply,
@@ -71,7 +71,7 @@
         """Renew the lease, acknowledge ends, and look."""
         await self._reach(timeout_s)
         report = await self.floor.hold(self.worker, fence, deadline_ms, seen, wait_s)
-        check_birth(born_of(self.life), report.born)
+        check_birth(started_ms_of(self.life), report.born)
         return report
 
     def close(self) -> None:
@@ -83,7 +83,7 @@
             await self._silence(timeout_s)
         if not self.worker.up or self.worker.address != self.address:
             self.worker = self._other_life()
-        if born_of(self.life) and self.life != self.worker.life:
+        if started_ms_of(self.life) and self.life != self.worker.life:
             raise WorkerReplaced
         if self.worker.busy:
             raise WorkerBusy("answered 503")
--- a/src/saddlestack/standins/pool/store.py
+++ b/src/saddlestack/standins/pool/store.py
@@ -18,7 +18,7 @@
     Conflict,
     HistoryGone,
     Item,
-    LeaseOver,
+    LeaseExpired,
     Listing,
     StoreUnavailable,
     Transaction,
@@ -103,7 +103,7 @@
             return Conflict(tuple(self._item(key) for key, _ in transaction.expect))
         for put in transaction.puts:
             if put.lease and put.lease not in self._leases:
-                raise LeaseOver
+                raise LeaseExpired
         puts = tuple(_Put(put.key, put.value, put.lease) for put in transaction.puts)
         return Committed(self._apply(puts, transaction.deletes))
 
@@ -122,7 +122,7 @@
         """
         self._expire()
         if lease not in self._leases:
-            raise LeaseOver
+            raise LeaseExpired
         self._leases[lease].until = _now() + self._leases[lease].ttl_s
 
     def end(self, lease: int) -> None:
@@ -302,7 +302,7 @@
         await self._read()
         return self.state.grant(ttl_s), ttl_s
 
-    async def keep_lease(self, lease: int) -> None:
+    async def renew_lease(self, lease: int) -> None:
         """Renew a lease."""
         await self._read()
         self.state.keep(lease)
@@ -336,7 +336,7 @@
         await asyncio.sleep(self.faults.late_s)
         try:
             self.state.transact(transaction)
-        except LeaseOver:
+        except LeaseExpired:
             return
 
 
--- a/src/saddlestack/standins/pool/workers.py
+++ b/src/saddlestack/standins/pool/workers.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from saddlestack.interfaces.lives import id_of, life_name
+from saddlestack.interfaces.incarnations import incarnation_name, worker_id_of
 from saddlestack.interfaces.workers import (
     EndedTask,
     EndKind,
@@ -145,7 +145,7 @@
     @property
     def life(self) -> str:
         """The name of this life."""
-        return life_name(self.worker_id, self.born)
+        return incarnation_name(self.worker_id, self.born)
 
     @property
     def free(self) -> int:
@@ -230,7 +230,9 @@
 
     def present(self, worker_id: str) -> FloorWorker:
         """The latest life of a worker, by its id or the name of any of its lives."""
-        lives = [each for each in self.workers.values() if each.worker_id == id_of(worker_id)]
+        lives = [
+            each for each in self.workers.values() if each.worker_id == worker_id_of(worker_id)
+        ]
         return max(lives, key=lambda each: each.born)
 
     def _birth(self) -> int:
@@ -326,14 +328,14 @@
         if (name, order.run) in worker.runs:
             return StartReply(clock, None)
         if order.run <= worker.highest.get(name, 0):
-            return StartReply(clock, Refusal.OLD)
+            return StartReply(clock, Refusal.STALE)
         if self.adviser is not None and not self._ticket_holds(worker, name, order.ticket):
             return StartReply(clock, Refusal.TICKET)
         plan = msgspec.json.decode(order.payload, type=TaskPlan)
         if plan.room > worker.free:
             if _now() >= worker.guards_from:
                 self.violations.append(f"{name} takes {worker.life} over its room")
-            return StartReply(clock, Refusal.ROOM)
+            return StartReply(clock, Refusal.CAPACITY)
         self._check_start(name)
         run = FloorRun(name, order.run, worker.life, plan, _now())
         if order.saved:
--- a/tests/simulation/troubles.py
+++ b/tests/simulation/troubles.py
@@ -35,7 +35,7 @@
 
 from saddlestack.codec import from_msgpack
 from saddlestack.control.keys import progress_key
-from saddlestack.control.leadership import LEASE_S, RENEWING_S
+from saddlestack.control.leadership import LEASE_S, RENEWAL_GRACE_S
 from saddlestack.control.leases import CLOCK_DRIFT, LAPSE_SLACK_S
 from saddlestack.control.session import HOLD_SLACK_S, LOOK_NOW_TIMEOUT_S, WAIT_S
 from saddlestack.platform.kv import CALL_TIMEOUT_S
@@ -50,7 +50,7 @@
 """For so long a leader counts a lease that it has granted."""
 DOUBT_S = LONGEST_LEASE_S + WAIT_S + HOLD_SLACK_S
 """The last lease may leave for a worker with a look that began just before it fell silent."""
-INHERITED_S = LEASE_S + RENEWING_S + LONGEST_LEASE_S
+INHERITED_S = LEASE_S + RENEWAL_GRACE_S + LONGEST_LEASE_S
 """For so long from its beginning a leader counts the leases of leaders before."""
 
 
--- a/tests/simulation/ways.py
+++ b/tests/simulation/ways.py
@@ -17,13 +17,13 @@
 from saddlestack.control.peers import CALL_TIMEOUT_S as PEER_TIMEOUT_S
 from saddlestack.control.peers import Peers, PeerUnavailable
 from saddlestack.errors import SaddlestackError
-from saddlestack.interfaces.lives import born_of, id_of
+from saddlestack.interfaces.incarnations import started_ms_of, worker_id_of
 from saddlestack.interfaces.store import (
     Committed,
     Conflict,
     HistoryGone,
     Item,
-    LeaseOver,
+    LeaseExpired,
     Listing,
     StoreUnavailable,
     Transaction,
@@ -209,7 +209,7 @@
         self._workers = workers
         self._vm = vm
         self._life = life
-        self._worker = workers.lives.get(life) or workers.present(id_of(life))
+        self._worker = workers.lives.get(life) or workers.present(worker_id_of(life))
         self._address = address
 
     async def start(self, order: StartOrder, timeout_s: float) -> StartReply:
@@ -250,7 +250,7 @@
             self._workers.hold(self._worker, fence, deadline_ms, seen, wait_s, reply)
 
         report: WorkerReport = await self._order("hold", timeout_s, carry)
-        check_birth(born_of(self._life), report.born)
+        check_birth(started_ms_of(self._life), report.born)
         return report
 
     def close(self) -> None:
@@ -267,10 +267,10 @@
         if alive is None:
             raise WorkerUnreachable("refused")
         if alive is not self._worker:
-            if born_of(self._life) or alive.worker_id != self._worker.worker_id:
+            if started_ms_of(self._life) or alive.worker_id != self._worker.worker_id:
                 raise WorkerReplaced
             self._worker = alive
-        if born_of(self._life) and alive.life != self._life:
+        if started_ms_of(self._life) and alive.life != self._life:
             raise WorkerReplaced
 
     async def _order(self, what: str, timeout_s: float, carry: Carry) -> Any:
@@ -441,7 +441,7 @@
         lease: int = await self._read(CALL_TIMEOUT_S, lambda: self._state.grant(ttl_s))
         return lease, ttl_s
 
-    async def keep_lease(self, lease: int) -> None:
+    async def renew_lease(self, lease: int) -> None:
         """Renew a lease."""
         await self._read(CALL_TIMEOUT_S, lambda: self._state.keep(lease))
 
@@ -469,7 +469,7 @@
     """What work returns, or the store's error."""
     try:
         return work()
-    except (LeaseOver, HistoryGone) as error:
+    except (LeaseExpired, HistoryGone) as error:
         return error
 
 
@@ -495,7 +495,7 @@
     async def ask(self, vm: str, question: object, kind: type[T]) -> T:
         """Ask a VM; this VM answers itself."""
         method = type(question).__name__
-        if vm == self._membership.me.vm:
+        if vm == self._membership.local.vm:
             own: Any = await self._methods[method][1](question)
             return own  # type: ignore[no-any-return]
         if self._membership.member(vm) is None:
@@ -509,7 +509,7 @@
         try:
             answer: T = await _call(
                 self.ways,
-                self._membership.me.vm,
+                self._membership.local.vm,
                 vm,
                 PEER_TIMEOUT_S,
                 carry,
--- a/tests/simulation/workers.py
+++ b/tests/simulation/workers.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from saddlestack.interfaces.lives import life_name
+from saddlestack.interfaces.incarnations import incarnation_name
 from saddlestack.interfaces.workers import (
     EndedTask,
     EndKind,
@@ -165,7 +165,7 @@
     @property
     def life(self) -> str:
         """The name of this life."""
-        return life_name(self.worker_id, self.born)
+        return incarnation_name(self.worker_id, self.born)
 
     @property
     def free(self) -> int:
@@ -277,11 +277,11 @@
         if (name, order.run) in worker.runs:
             return StartReply(clock_ms, None)
         if order.run <= worker.highest.get(name, 0):
-            return StartReply(clock_ms, Refusal.OLD)
+            return StartReply(clock_ms, Refusal.STALE)
         plan = msgspec.json.decode(order.payload, type=Plan)
         if plan.room > worker.free:
             if self.guards:
-                return StartReply(clock_ms, Refusal.ROOM)
+                return StartReply(clock_ms, Refusal.CAPACITY)
             self._judge_room(worker, name)
         run = SimRun(name, order.run, worker, plan, vm, order.fence, ordered_s, self._world.time())
         run.done_s = float(order.saved or 0.0)
--- a/tests/test_contact.py
+++ b/tests/test_contact.py
@@ -14,7 +14,7 @@
 
     def clock(self) -> WorkerClock:
         clock = WorkerClock()
-        clock.hear(1000, 10.5)
+        clock.update(1000, 10.5)
         return clock
 
     def test_a_clock_that_runs_slow_says_no_less_than_the_earliest(self) -> None:
@@ -24,17 +24,17 @@
 
     def test_an_answer_that_was_passed_by_a_later_one_changes_nothing(self) -> None:
         clock = self.clock()
-        clock.hear(900, 10.6)
-        self.assertEqual((clock.clock_ms, clock.heard_s), (1000, 10.5))
+        clock.update(900, 10.6)
+        self.assertEqual((clock.clock_ms, clock.updated_s), (1000, 10.5))
 
     def test_a_later_answer_counts(self) -> None:
         clock = self.clock()
-        clock.hear(1500, 11.0)
+        clock.update(1500, 11.0)
         self.assertEqual(clock.earliest(11.0), 1500)
 
     def test_before_an_answer_nothing_is_known(self) -> None:
-        self.assertFalse(WorkerClock().is_told)
-        self.assertTrue(self.clock().is_told)
+        self.assertFalse(WorkerClock().is_known)
+        self.assertTrue(self.clock().is_known)
 
 
 if __name__ == "__main__":
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -280,7 +280,7 @@
             await asyncio.sleep(3.0)
             self.assertEqual(self.starts_in(cluster, FAR), 0)
             leader.vm.scheduler.board.evacuate(frozenset())
-            leader.vm.scheduler.changed()
+            leader.vm.scheduler.reschedule()
             await cluster.until_state(A, JobState.COMPLETED)
 
         self.play(body)
--- a/tests/test_halls.py
+++ b/tests/test_halls.py
@@ -10,17 +10,23 @@
 
 from saddlestack.control.access import CreateQuestion, OutOfReach, StoreAccess
 from saddlestack.control.context import EntryContext
-from saddlestack.control.halls import PATIENCE_S, PING_S, HallWatch, PingAnswer, PingQuestion
+from saddlestack.control.halls import (
+    ANSWER_TIMEOUT_S,
+    PING_S,
+    HallMonitor,
+    PingAnswer,
+    PingQuestion,
+)
 from saddlestack.control.health import StoreHealth
 from saddlestack.control.membership import Member, Membership
 from saddlestack.control.peers import Peers, PeerUnavailable
-from saddlestack.control.relays import Found, Relays, StoreAnswer, StoreQuestion
+from saddlestack.control.relays import RelayResult, Relays, StoreAnswer, StoreQuestion
 from saddlestack.standins.loop import VirtualClock, run
 from saddlestack.standins.pool.store import StoreState, StoreView
 from tests.support import bare_context
 
 SILENCE_S = 5.0
-NOTICED_S = PING_S + PATIENCE_S + 0.05
+NOTICED_S = PING_S + ANSWER_TIMEOUT_S + 0.05
 KEY = "saddlestack/requests/job/a"
 
 
@@ -43,10 +49,10 @@
     asked: list[tuple[str, object]] = field(default_factory=list)
 
     @property
-    def me(self) -> Member:
+    def local(self) -> Member:
         return self.members[0]
 
-    def some_of_each_hall(self, most: int) -> dict[str, list[Member]]:
+    def sample_by_hall(self, most: int) -> dict[str, list[Member]]:
         halls: dict[str, list[Member]] = {}
         for each in self.members[1:]:
             halls.setdefault(each.data_hall, []).append(each)
@@ -89,7 +95,7 @@
             net = network()
             told: list[str] = []
             context = cast(EntryContext, None)
-            watch = HallWatch(context, net.as_peers, net.as_membership, told.append)
+            watch = HallMonitor(context, net.as_peers, net.as_membership, told.append)
             running = asyncio.ensure_future(watch.run())
             net.silent = {"b1", "c1", "c2"}
             await asyncio.sleep(NOTICED_S)
@@ -114,8 +120,8 @@
 
 
 class RelaysTest(unittest.TestCase):
-    def find(self, net: Network) -> Found:
-        async def main() -> Found:
+    def find(self, net: Network) -> RelayResult:
+        async def main() -> RelayResult:
             health = StoreHealth(StoreView(StoreState()), VirtualClock())
             return await Relays(net.as_peers, net.as_membership, health).find()
 
@@ -125,21 +131,21 @@
         net = network()
         net.silent = {"a2", "b1", "b2"}
         net.reaching = {"c1"}
-        self.assertEqual(self.find(net), Found("c1", cut_off=False))
+        self.assertEqual(self.find(net), RelayResult("c1", cut_off=False))
 
     def test_a_store_that_answers_nobody_is_no_cut(self) -> None:
         net = network()
         net.silent = {"b1", "b2", "c1"}
-        self.assertEqual(self.find(net), Found(None, cut_off=False))
+        self.assertEqual(self.find(net), RelayResult(None, cut_off=False))
 
     def test_silence_of_all_other_halls_is_a_cut(self) -> None:
         net = network()
         net.silent = {"b1", "b2", "c1", "c2", "c3"}
-        self.assertEqual(self.find(net), Found(None, cut_off=True))
+        self.assertEqual(self.find(net), RelayResult(None, cut_off=True))
 
     def test_where_there_is_one_hall_there_is_no_cut(self) -> None:
         net = Network([member("a1", "a"), member("a2", "a")], silent={"a2"})
-        self.assertEqual(self.find(net), Found(None, cut_off=False))
+        self.assertEqual(self.find(net), RelayResult(None, cut_off=False))
 
 
 class AccessTest(unittest.TestCase):
@@ -169,7 +175,7 @@
             began = asyncio.get_running_loop().time()
             with self.assertRaises(OutOfReach) as caught:
                 await access.create(KEY, b"job", began + 1.2)
-            self.assertLess(asyncio.get_running_loop().time() - began, PATIENCE_S + 0.05)
+            self.assertLess(asyncio.get_running_loop().time() - began, ANSWER_TIMEOUT_S + 0.05)
             self.assertFalse(caught.exception.doubt)
             self.assertFalse(caught.exception.elsewhere)
             await asyncio.sleep(1.0)  # until the balancer sends no more to this VM
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -7,13 +7,13 @@
 from collections.abc import Awaitable, Callable
 
 from saddlestack.control.guarded import GuardedStore
-from saddlestack.control.health import HEARTBEAT_S, SHORTEST_PATIENCE_S, StoreHealth
+from saddlestack.control.health import HEARTBEAT_S, MIN_OVERDUE_S, StoreHealth
 from saddlestack.interfaces.store import Put, Transaction, WriteInDoubt
 from saddlestack.standins.loop import VirtualClock, run
 from saddlestack.standins.pool.store import StoreState, StoreView
 
 KEY = "saddlestack/a"
-NOTICED_S = HEARTBEAT_S + SHORTEST_PATIENCE_S + 0.01
+NOTICED_S = HEARTBEAT_S + MIN_OVERDUE_S + 0.01
 """An outage is noticed by the first heartbeat after it began."""
 ANSWERED_S = HEARTBEAT_S + 0.02
 """The end of an outage is noticed by the first heartbeat after it."""
@@ -36,12 +36,12 @@
     def test_a_silent_store_is_lost_and_back_within_a_heartbeat(self) -> None:
         async def body(view: StoreView, health: StoreHealth) -> None:
             for _ in range(3):
-                self.assertTrue(health.answers)
+                self.assertTrue(health.is_available)
                 view.faults.silent = True
                 await asyncio.sleep(NOTICED_S)
-                self.assertFalse(health.answers)
+                self.assertFalse(health.is_available)
                 await asyncio.sleep(2.0)
-                self.assertFalse(health.answers)
+                self.assertFalse(health.is_available)
                 view.faults.silent = False
                 await asyncio.sleep(ANSWERED_S)
 
@@ -51,7 +51,7 @@
         async def body(view: StoreView, health: StoreHealth) -> None:
             view.faults.refusing = True
             await asyncio.sleep(ANSWERED_S)
-            self.assertFalse(health.answers)
+            self.assertFalse(health.is_available)
 
         self.play(body)
 
@@ -59,9 +59,9 @@
         async def body(view: StoreView, health: StoreHealth) -> None:
             await asyncio.sleep(0.03)
             view.faults.refusing = True
-            health.suspect()
+            health.probe_now()
             await asyncio.sleep(0.07)
-            self.assertFalse(health.answers)
+            self.assertFalse(health.is_available)
 
         self.play(body)
 
@@ -70,7 +70,7 @@
             view.faults.slow_s = 0.35
             await asyncio.sleep(1.0)
             for _ in range(40):
-                self.assertTrue(health.answers)
+                self.assertTrue(health.is_available)
                 await asyncio.sleep(0.1)
 
         self.play(body)
@@ -78,7 +78,7 @@
     def test_many_vms_together_ask_no_more_often(self) -> None:
         async def body(view: StoreView, health: StoreHealth) -> None:
             for vms, least, most in ((8, 45, 55), (400, 4, 6)):
-                health.share_among(vms)
+                health.set_vm_count(vms)
                 await asyncio.sleep(5.0)
                 before = view.state.reads
                 await asyncio.sleep(10.0)
@@ -91,7 +91,7 @@
             loop = asyncio.get_running_loop()
             view.faults.silent = True
             await asyncio.sleep(1.0)
-            waiting = loop.create_task(health.pause(9.0))
+            waiting = loop.create_task(health.wait_for_recovery(9.0))
             view.faults.silent = False
             await asyncio.sleep(ANSWERED_S)
             self.assertTrue(waiting.done())
@@ -153,7 +153,7 @@
             await asyncio.sleep(0.6)
             view.faults.silent = False
             view.faults.slow_s = 0.1
-            while not health.answers:
+            while not health.is_available:
                 await asyncio.sleep(0.001)
             began = asyncio.get_running_loop().time()
             await store.transact(Transaction(puts=(Put(KEY, b"x"),)))
--- a/tests/test_inherited.py
+++ b/tests/test_inherited.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from saddlestack.codec import from_msgpack, to_msgpack
-from saddlestack.control.leadership import LEASE_S, RENEWING_S
+from saddlestack.control.leadership import LEASE_S, RENEWAL_GRACE_S
 from saddlestack.control.leases import CLOCK_DRIFT, LAPSE_SLACK_S
 from saddlestack.interfaces.workers import EndKind
 from saddlestack.policy.cluster.records import (
@@ -36,7 +36,7 @@
 SOON_S = 2.0
 """A new leader asks at once; the election is over by then."""
 HOLD_S = 10.0
-INHERITED_S = LEASE_S + RENEWING_S + HOLD_S * CLOCK_DRIFT + LAPSE_SLACK_S
+INHERITED_S = LEASE_S + RENEWAL_GRACE_S + HOLD_S * CLOCK_DRIFT + LAPSE_SLACK_S
 """For so long a lease may hold that an earlier leader granted, counted from the next one's term."""
 READING_S = 1.0
 """Within this a new leader has read the store."""
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -5,14 +5,14 @@
 import asyncio
 import unittest
 
-from saddlestack.control.leadership import LEASE_S, RENEWING_S
+from saddlestack.control.leadership import LEASE_S, RENEWAL_GRACE_S
 from saddlestack.control.leases import CLOCK_DRIFT, LAPSE_SLACK_S, Leases
 from saddlestack.policy.cluster.records import TaskStatus
 from tests.test_session import HOLD_S, Scene, SessionCase
 
 LONGEST_S = HOLD_S * CLOCK_DRIFT + LAPSE_SLACK_S
 BEGAN_S = 100.0
-INHERITED_S = LEASE_S + RENEWING_S + LONGEST_S
+INHERITED_S = LEASE_S + RENEWAL_GRACE_S + LONGEST_S
 SILENT_S = 2.6
 """Two looks without answer, the first of which waits for an end."""
 LATE_S = BEGAN_S + 50.0
@@ -24,27 +24,27 @@
         self.leases = Leases(HOLD_S, BEGAN_S)
 
     def test_a_life_that_got_none_in_this_term_may_hold_an_earlier_one(self) -> None:
-        self.assertEqual(self.leases.lasts_until("w"), BEGAN_S + INHERITED_S)
-        self.assertEqual(self.leases.left_s("w", LATE_S), 0.0)
+        self.assertEqual(self.leases.expires_at("w"), BEGAN_S + INHERITED_S)
+        self.assertEqual(self.leases.remaining_s("w", LATE_S), 0.0)
 
     def test_a_lease_lasts_by_a_slow_clock_and_a_worker_that_ends_late(self) -> None:
-        self.leases.granted("w", LATE_S)
-        self.assertAlmostEqual(self.leases.left_s("w", LATE_S + 1.0), LONGEST_S - 1.0)
-        self.assertEqual(self.leases.left_s("other", LATE_S + 1.0), 0.0)
+        self.leases.record_grant("w", LATE_S)
+        self.assertAlmostEqual(self.leases.remaining_s("w", LATE_S + 1.0), LONGEST_S - 1.0)
+        self.assertEqual(self.leases.remaining_s("other", LATE_S + 1.0), 0.0)
 
     def test_one_that_leaves_late_shortens_none(self) -> None:
-        self.leases.granted("w", LATE_S + 2.0)
-        self.leases.granted("w", LATE_S)
-        self.assertEqual(self.leases.lasts_until("w"), LATE_S + 2.0 + LONGEST_S)
+        self.leases.record_grant("w", LATE_S + 2.0)
+        self.leases.record_grant("w", LATE_S)
+        self.assertEqual(self.leases.expires_at("w"), LATE_S + 2.0 + LONGEST_S)
 
     def test_where_nobody_renews_what_is_inherited_lapses_sooner_and_own_leases_do_not(
         self,
     ) -> None:
-        self.leases.granted("w", BEGAN_S + 2.0)
-        self.leases.renewed_until(BEGAN_S + 1.0)
-        self.leases.renewed_until(BEGAN_S + 3.0)
-        self.assertEqual(self.leases.lasts_until("other"), BEGAN_S + 1.0 + LONGEST_S)
-        self.assertEqual(self.leases.lasts_until("w"), BEGAN_S + 2.0 + LONGEST_S)
+        self.leases.record_grant("w", BEGAN_S + 2.0)
+        self.leases.limit_inherited(BEGAN_S + 1.0)
+        self.leases.limit_inherited(BEGAN_S + 3.0)
+        self.assertEqual(self.leases.expires_at("other"), BEGAN_S + 1.0 + LONGEST_S)
+        self.assertEqual(self.leases.expires_at("w"), BEGAN_S + 2.0 + LONGEST_S)
 
 
 class SessionMadeAnewTest(SessionCase):
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -18,14 +18,14 @@
 from saddlestack.control.entry import METRICS_PATH
 from saddlestack.control.settings import EntrySettings, check, parse_address
 from saddlestack.errors import ErrorKind, SaddlestackError
-from saddlestack.interfaces.lives import life_name
+from saddlestack.interfaces.incarnations import incarnation_name
 from saddlestack.interfaces.machines import UpkeepOutcome
 from saddlestack.interfaces.store import (
     Committed,
     Conflict,
     HistoryGone,
     Item,
-    LeaseOver,
+    LeaseExpired,
     Put,
     StoreUnavailable,
     Transaction,
@@ -210,7 +210,7 @@
             served.answer(412, {"items": [{"key": "a", "value": text(b"y"), "rev": 3}]})
             self.assertEqual(await store.transact(change), Conflict((Item("a", b"y", 3),)))
             served.answer(404)
-            with self.assertRaises(LeaseOver):
+            with self.assertRaises(LeaseExpired):
                 await store.transact(change)
             for status in (429, 503):
                 served.answer(status)
@@ -243,11 +243,11 @@
             self.assertEqual(await store.grant_lease(1.5), (77, 1.5))
             self.assertEqual(served.body(), {"ttl_ms": 1500})
             served.answer(200, {"ttl_ms": 1500})
-            await store.keep_lease(77)
+            await store.renew_lease(77)
             self.assertEqual(served.asked[-1].path, "/api/kv-keep/77")
             served.answer(404)
-            with self.assertRaises(LeaseOver):
-                await store.keep_lease(77)
+            with self.assertRaises(LeaseExpired):
+                await store.renew_lease(77)
             served.answer(200)
             await store.end_lease(77)
             self.assertEqual(served.asked[-1].method, "DELETE")
@@ -279,9 +279,9 @@
             )
             for reason, refusal in (
                 ("fence", Refusal.FENCED),
-                ("old", Refusal.OLD),
+                ("old", Refusal.STALE),
                 ("late", Refusal.LATE),
-                ("room", Refusal.ROOM),
+                ("room", Refusal.CAPACITY),
                 ("ticket", Refusal.TICKET),
             ):
                 served.answer(409, {"clock-ms": 1, "reason": reason})
@@ -314,7 +314,9 @@
 
     def test_a_life_that_tells_its_birth_is_met_first_on_each_connection(self) -> None:
         async def body(served: Served) -> None:
-            orders = HttpWorkerOrders(life_name("i-1", 1700), "127.0.0.1", served.server.port)
+            orders = HttpWorkerOrders(
+                incarnation_name("i-1", 1700), "127.0.0.1", served.server.port
+            )
             served.answer(200, {"clock-ms": 5, "born": 1700, "running": [], "ended": []})
             served.answer(200, {"clock-ms": 6})
             self.assertEqual((await orders.start(self.ORDER, 1.0)).clock_ms, 6)
@@ -331,7 +333,9 @@
 
     def test_another_life_under_the_id_is_given_no_order_and_no_acknowledgement(self) -> None:
         async def body(served: Served) -> None:
-            orders = HttpWorkerOrders(life_name("i-1", 1700), "127.0.0.1", served.server.port)
+            orders = HttpWorkerOrders(
+                incarnation_name("i-1", 1700), "127.0.0.1", served.server.port
+            )
             calls: list[Callable[[], Awaitable[object]]] = [
                 lambda: orders.start(self.ORDER, 1.0),
                 lambda: orders.stop("00000000000000aa.0.1.2", 3, 5, 1.0),
@@ -359,7 +363,9 @@
                 (200, {"clock-ms": 1, "born": 0}, WorkerUnreachable),
                 (200, {"clock-ms": 1, "born": 17.5}, WorkerUnreachable),
             ):
-                orders = HttpWorkerOrders(life_name("i-1", 1700), "127.0.0.1", served.server.port)
+                orders = HttpWorkerOrders(
+                    incarnation_name("i-1", 1700), "127.0.0.1", served.server.port
+                )
                 served.answer(status, answer)
                 with self.assertRaises(error):
                     await orders.start(self.ORDER, 1.0)
@@ -372,7 +378,9 @@
         async def body(served: Served) -> None:
             no_answers: list[Response | float] = [2.0, Response(500), Response(200, b"no answer")]
             for answer in no_answers:
-                orders = HttpWorkerOrders(life_name("i-1", 1700), "127.0.0.1", served.server.port)
+                orders = HttpWorkerOrders(
+                    incarnation_name("i-1", 1700), "127.0.0.1", served.server.port
+                )
                 served.answers.append(answer)
                 with self.assertRaises(WorkerNotReached):
                     await orders.start(self.ORDER, 1.0)
@@ -392,7 +400,9 @@
 
     def test_an_order_without_answer_may_have_left(self) -> None:
         async def body(served: Served) -> None:
-            orders = HttpWorkerOrders(life_name("i-1", 1700), "127.0.0.1", served.server.port)
+            orders = HttpWorkerOrders(
+                incarnation_name("i-1", 1700), "127.0.0.1", served.server.port
+            )
             served.answer(200, {"clock-ms": 5, "born": 1700, "running": [], "ended": []})
             served.answers.append(2.0)
             with self.assertRaises(WorkerUnreachable) as caught:
@@ -403,7 +413,7 @@
 
     def test_a_birth_that_is_told_on_one_side_alone_proves_nothing(self) -> None:
         async def body(served: Served) -> None:
-            known = HttpWorkerOrders(life_name("i-1", 1700), "127.0.0.1", served.server.port)
+            known = HttpWorkerOrders(incarnation_name("i-1", 1700), "127.0.0.1", served.server.port)
             served.answer(200, {"clock-ms": 5})
             with self.assertRaises(WorkerUnreachable):
                 await known.start(self.ORDER, 1.0)
@@ -418,7 +428,7 @@
     def test_the_adviser_knows_lives_by_their_id(self) -> None:
         async def body(served: Served) -> None:
             adviser = HttpAdviser("127.0.0.1", served.server.port)
-            life = life_name("i-1", 1700)
+            life = incarnation_name("i-1", 1700)
             good = [["i-1", "t1"], ["i-3", "t3"]]
             served.answer(200, {"good": good, "valid-ms": 1000})
             leaves = await adviser.advise("00000000000000aa.0.1", (life, "i-2"))
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -113,7 +113,7 @@
             await cluster.until_state(A, JobState.COMPLETED)
             leader = cluster.leader
             assert leader is not None
-            figures = HttpClient("127.0.0.1", leader.figures.port)
+            figures = HttpClient("127.0.0.1", leader.metrics_server.port)
             response = await figures.request("GET", "/metrics", timeout=1.0)
             figures.close()
             text = response.body.decode()
--- a/tests/test_renewals.py
+++ b/tests/test_renewals.py
@@ -6,9 +6,9 @@
 
 from saddlestack.control.entry import EntryVm
 from saddlestack.control.keys import MEMBERS, member_key
-from saddlestack.control.leadership import LEASE_S, RENEWING_S
+from saddlestack.control.leadership import LEASE_S, RENEWAL_GRACE_S
 from saddlestack.control.leases import CLOCK_DRIFT, LAPSE_SLACK_S
-from saddlestack.control.membership import GONE_S, KEEP_S, RETRY_S
+from saddlestack.control.membership import GONE_RETENTION_S, RENEW_INTERVAL_S, RETRY_S
 from saddlestack.control.membership import LEASE_S as MEMBER_LEASE_S
 from saddlestack.control.renewals import ASKED_AT_ONCE, RenewingAnswer, RenewingQuestion
 from saddlestack.control.scheduler import RENEWALS_ASKED, RENEWALS_GAP_S
@@ -23,7 +23,7 @@
 """After this a lease that nobody renews is over for sure."""
 TAKEOVER_S = 3.0
 """Within this a killed pool has a leader again that has asked all others."""
-RENEWS_S = LEASE_S + RENEWING_S + CALL_TIMEOUT_S
+RENEWS_S = LEASE_S + RENEWAL_GRACE_S + CALL_TIMEOUT_S
 """For so long a leader may renew after it has lost the store."""
 
 
@@ -60,7 +60,7 @@
             await cluster.kill(cluster.leader_name)
             await cluster.until(lambda: cluster.leader is not None)
             waited = await self.begun_again_after(cluster, 60.0)
-            self.assertGreater(waited, LEASE_S + RENEWING_S + LAPSED_S - 1.0)
+            self.assertGreater(waited, LEASE_S + RENEWAL_GRACE_S + LAPSED_S - 1.0)
 
         self.play(body)
 
@@ -105,7 +105,7 @@
 
     def test_a_vm_that_renews_without_the_store_is_still_known_to_the_others(self) -> None:
         """Its call for a renewal of its own lease takes a second to fail."""
-        self.assertLess(LEASE_S + RENEWING_S + 1.2, MEMBER_LEASE_S - KEEP_S)
+        self.assertLess(LEASE_S + RENEWAL_GRACE_S + 1.2, MEMBER_LEASE_S - RENEW_INTERVAL_S)
 
 
 class EarlierLeaderTest(PoolTest):
@@ -204,7 +204,7 @@
             old, new = await self.deposed(cluster)
             self.freeze(old)
             cluster.store.remove(member_key(old.settings.vm))
-            await asyncio.sleep(GONE_S + 0.5)
+            await asyncio.sleep(GONE_RETENTION_S + 0.5)
             self.assertTrue(await new.renewals.are_over())
 
         self.play(body)
@@ -223,8 +223,8 @@
 
     def test_a_record_is_known_as_gone_for_as_long_as_its_vm_may_renew(self) -> None:
         """The last call of each kind takes a second to fail."""
-        rewritten_s = KEEP_S + CALL_TIMEOUT_S + RETRY_S
-        self.assertLess(rewritten_s + RENEWS_S, GONE_S)
+        rewritten_s = RENEW_INTERVAL_S + CALL_TIMEOUT_S + RETRY_S
+        self.assertLess(rewritten_s + RENEWS_S, GONE_RETENTION_S)
 
     def test_the_record_of_a_vm_that_missed_a_renewal_outlives_its_renewing(self) -> None:
         """One renewal of its record is refused; a second later it loses the store for good."""
@@ -235,7 +235,7 @@
             lease = cluster.store._leases[cluster.store._keys[member_key(name)].lease]
             until = lease.until
             await cluster.until(lambda: lease.until > until)
-            await asyncio.sleep(KEEP_S - 0.2)
+            await asyncio.sleep(RENEW_INTERVAL_S - 0.2)
             faults.refusing = True
             await asyncio.sleep(0.4)
             faults.refusing = False
--- a/tests/test_second_run.py
+++ b/tests/test_second_run.py
@@ -169,9 +169,9 @@
         """A new lease."""
         return await self._through(lambda: StoreView.grant_lease(self, ttl_s))
 
-    async def keep_lease(self, lease: int) -> None:
+    async def renew_lease(self, lease: int) -> None:
         """Renew a lease."""
-        await self._through(lambda: StoreView.keep_lease(self, lease))
+        await self._through(lambda: StoreView.renew_lease(self, lease))
 
     async def _through(self, call: Callable[[], Awaitable[T]]) -> T:
         await self.trouble.thawed(self.vm)
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -125,27 +125,27 @@
 
     board: ClusterState
     fence: int = FENCE
-    hold_s: float = HOLD_S
+    max_lease_s: float = HOLD_S
     rounds: int = 0
     displaced: bool = False
     on_missed: Callable[[], None] | None = None
     may_grant: bool = True
     stored: asyncio.Event = field(default_factory=asyncio.Event)
 
-    def changed(self) -> None:
+    def reschedule(self) -> None:
         self.rounds += 1
 
-    async def written(self, jobs: Iterable[str]) -> None:
+    async def wait_written(self, jobs: Iterable[str]) -> None:
         await self.stored.wait()
 
-    def replaced(self, worker: Worker) -> None:
+    def worker_replaced(self, worker: Worker) -> None:
         pass
 
-    def missed(self, worker: Worker) -> None:
+    def call_missed(self, worker: Worker) -> None:
         if self.on_missed is not None:
             self.on_missed()
 
-    def fenced(self) -> None:
+    def worker_fenced(self) -> None:
         self.displaced = True
 
 
@@ -388,7 +388,7 @@
 
     def test_a_start_that_was_surely_not_done_frees_its_task_at_once(self) -> None:
         async def body(scene: Scene) -> None:
-            scene.orders.refusals = [Refusal.ROOM]
+            scene.orders.refusals = [Refusal.CAPACITY]
             scene.assign()
             await asyncio.sleep(0.1)
             self.assertIs(scene.status, TaskStatus.WAITING)
@@ -401,7 +401,7 @@
 
         async def body(scene: Scene) -> None:
             scene.orders.start_faults = [WorkerUnreachable]
-            scene.orders.refusals = [Refusal.ROOM]
+            scene.orders.refusals = [Refusal.CAPACITY]
             scene.orders.stop_faults = [WorkerUnreachable, WorkerUnreachable]
             scene.assign()
             await asyncio.sleep(1.0)
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -144,10 +144,10 @@
             lost_s = 0.0
             for _ in range(100):
                 await asyncio.sleep(0.01)
-                lost_s = max(lost_s, health.lost_for_s)
+                lost_s = max(lost_s, health.outage_s)
             self.assertGreater(lost_s, 0.0)
             self.assertLess(lost_s, HEARTBEAT_S)
-            self.assertTrue(health.answers)
+            self.assertTrue(health.is_available)
             await health.stop()
             store.close()
 
--- a/tests/test_simulated_news.py
+++ b/tests/test_simulated_news.py
@@ -78,7 +78,7 @@
         def always(leadership: Leadership, term: Term) -> bool:
             return True
 
-        with unittest.mock.patch.object(Leadership, "is_sure", always):
+        with unittest.mock.patch.object(Leadership, "is_confirmed", always):
             broken = day_of(self.SEEDS[0], SECONDS, ("suspend",)).play().broken
         self.assertTrue(any("after a suspension" in text for text in broken), broken)
 
--- a/tests/test_stale_beliefs.py
+++ b/tests/test_stale_beliefs.py
@@ -268,7 +268,7 @@
     def test_a_vm_whose_record_was_removed_is_listed_again(self) -> None:
         """It may go on leading and renewing while a VM that has just started finds no record of it.
 
-        ``is_told`` goes by the lease of the record, which holds on without the record.
+        ``is_listed`` goes by the lease of the record, which holds on without the record.
         """
 
         async def body(cluster: PoolCluster) -> None:
@@ -306,16 +306,16 @@
     def test_a_record_that_waits_for_its_service_and_goes_names_no_worker(self) -> None:
         """It went while the store forgot its history: no change told of it, the listing did.
 
-        ``listed`` looks for what is gone among the workers and the refused records alone.
+        ``replace`` looks for what is gone among the workers and the refused records alone.
         """
         floor_record = PlatformDocuments().worker(Item("servers/w", encoded(), 1))
         board = ClusterState()
         context = unittest.mock.Mock(documents=PlatformDocuments(), metrics=unittest.mock.Mock())
         context.clock.now.return_value = 1.0
         workers = WorkerList(context, board, unittest.mock.Mock())
-        workers.listed([Item("servers/w", encoded(), 1)])
-        workers.listed([])
-        workers.know_services([floor_record.service])
+        workers.replace([Item("servers/w", encoded(), 1)])
+        workers.replace([])
+        workers.add_services([floor_record.service])
         self.assertEqual(list(board.workers), [])
 
 
--- a/tests/test_waits_control.py
+++ b/tests/test_waits_control.py
@@ -18,7 +18,7 @@
 from msgspec.structs import replace
 
 from saddlestack.control.desk import Desk
-from saddlestack.control.health import SHORTEST_PATIENCE_S, StoreHealth
+from saddlestack.control.health import MIN_OVERDUE_S, StoreHealth
 from saddlestack.control.journal import Journal
 from saddlestack.control.keys import LEADER, PROGRESS, REQUESTS
 from saddlestack.control.scheduler import TICK_S
@@ -218,7 +218,7 @@
             fence = view.state.put(LEADER, b"leader")
             context = bare_context(VirtualClock(), store=view, health=StoreHealth(view, Clock()))
             journal = Journal(context, fence)
-            took_s = 3 * SHORTEST_PATIENCE_S
+            took_s = 3 * MIN_OVERDUE_S
             async with asyncio.timeout(10.0):
                 await journal.commit({f"{PROGRESS}{A}.0": bytes(round(NARROW_BYTES_S * took_s))})
 
--- a/tests/test_waits_orders.py
+++ b/tests/test_waits_orders.py
@@ -171,7 +171,7 @@
     def longest_s(self) -> float:
         """Until nothing can come of the last start any more, and a look has told so."""
         tries_s = START_TRIES * ORDER_TIMEOUT_S
-        late_s = max(Leases(HOLD_S, 0.0).longest_s, LATEST_S)
+        late_s = max(Leases(HOLD_S, 0.0).lapse_after_s, LATEST_S)
         return tries_s + late_s + ORDER_TIMEOUT_S + RETRY_S + WAIT_S + 1.0
 
     def play_fault(self, fault: Fault) -> None:
--- a/tests/test_worker_life.py
+++ b/tests/test_worker_life.py
@@ -64,7 +64,7 @@
                 TaskPlan(1.0, cpu=32_001),
                 TaskPlan(1.0, memory_mb=131_073),
             ):
-                self.assertIs(workers.start(full, index=1, fence=5).refusal, Refusal.ROOM)
+                self.assertIs(workers.start(full, index=1, fence=5).refusal, Refusal.CAPACITY)
             with self.assertRaises(WorkerFenced):
                 workers.stop(fence=4)
             with self.assertRaises(WorkerFenced):
@@ -80,7 +80,7 @@
             workers.start(ONE_S, number=3)
             await asyncio.sleep(1.5)
             for number in (1, 2, 3):
-                self.assertIs(workers.start(ONE_S, number=number).refusal, Refusal.OLD)
+                self.assertIs(workers.start(ONE_S, number=number).refusal, Refusal.STALE)
             self.assertIsNone(workers.start(ONE_S, number=4).refusal)
 
         virtually(body)
@@ -89,7 +89,7 @@
         async def body() -> None:
             workers = Workers()
             workers.stop(number=2)
-            self.assertIs(workers.start(ONE_S, number=2).refusal, Refusal.OLD)
+            self.assertIs(workers.start(ONE_S, number=2).refusal, Refusal.STALE)
             self.assertIsNone(workers.start(ONE_S, number=3).refusal)
 
         virtually(body)
@@ -185,7 +185,7 @@
             workers = Workers()
             workers.start(LONG, hold_s=2.0)
             full = TaskPlan(1.0, room=ACCELERATORS)
-            self.assertIs(workers.start(full, index=1, hold_s=5.0).refusal, Refusal.ROOM)
+            self.assertIs(workers.start(full, index=1, hold_s=5.0).refusal, Refusal.CAPACITY)
             await asyncio.sleep(4.0)
             self.assertEqual(workers.hows(), [])
 
