--- a/src/saddlestack/control/session.py
+++ b/src/saddlestack/control/session.py
@@ -11,7 +11,7 @@
 from saddlestack.control.contact import Contact
 from saddlestack.control.endings import EndProof, log_lease_wait, log_runs_over
 from saddlestack.control.leases import Leases
-from saddlestack.control.owner import Owner
+from saddlestack.control.owner import SessionOwner
 from saddlestack.control.reports import ReportHandler
 from saddlestack.control.unanswered import MAX_ORDER_DELAY_S, UnansweredStarts
 from saddlestack.interfaces.workers import (
@@ -77,7 +77,7 @@
         self,
         worker: Worker,
         orders: WorkerOrders,
-        owner: Owner,
+        owner: SessionOwner,
         clock: Clock,
         leases: Leases,
         unanswered_starts: UnansweredStarts | None = None,
@@ -152,7 +152,7 @@
                     )
                 return
             except WorkerFenced:
-                self._owner.fenced()
+                self._owner.worker_fenced()
                 return
             except WorkerReplaced:
                 self._replaced()
@@ -183,14 +183,14 @@
                 continue
             except WorkerBusy:
                 self.worker.refused(self._clock.now())
-                reply = StartReply(None, Refusal.ROOM)
+                reply = StartReply(None, Refusal.CAPACITY)
             except WorkerReplaced:
                 if clean:
                     self._never_began(run, key)
                 self._replaced()
                 return
             except WorkerFenced:
-                self._owner.fenced()
+                self._owner.worker_fenced()
                 return
             except Exception:
                 log.exception("start failed", extra={"event": "start_failed"})
@@ -248,9 +248,9 @@
             run.ordered_s = now if run.ordered_s is None else run.ordered_s
             reply = await self._answer_of(self._orders.start(order, ORDER_TIMEOUT_S))
         if reply.clock_ms is None:
-            self._contact.heard()
+            self._contact.record_answer()
         else:
-            self._contact.told(reply.clock_ms)
+            self._contact.record_clock(reply.clock_ms)
         return reply
 
     async def _ask_for_sign(self) -> None:
@@ -264,7 +264,7 @@
         except WorkerUnreachable as error:
             self._missed(asked)
             raise _NotHeard from error
-        self._contact.told(report.clock_ms)
+        self._contact.record_clock(report.clock_ms)
 
     def _is_wanted(self, run: Run) -> bool:
         """Whether a run is still to start there.
@@ -280,7 +280,7 @@
         if reply.refusal is None:
             self._settle(key)
             self._owner.cluster_state.run_started(run, now)
-            self._owner.changed()
+            self._owner.reschedule()
             self._watch_progress()
             return
         log.info(
@@ -294,8 +294,8 @@
             },
         )
         if reply.refusal is Refusal.FENCED:
-            self._owner.fenced()
-        elif reply.refusal is Refusal.OLD:
+            self._owner.worker_fenced()
+        elif reply.refusal is Refusal.STALE:
             self._settle(key)
         elif clean:
             if reply.refusal is Refusal.TICKET:
@@ -327,7 +327,7 @@
                     await self._answer_of(
                         self._orders.stop(str(name), number, self._owner.fence, ORDER_TIMEOUT_S)
                     )
-                self._contact.heard()
+                self._contact.record_answer()
                 self._settle(key)
                 self._tasks.spawn(self._look_now())
                 return
@@ -335,7 +335,7 @@
                 self._replaced()
                 return
             except WorkerFenced:
-                self._owner.fenced()
+                self._owner.worker_fenced()
                 return
             except WorkerUnreachable:
                 self._missed(sent)
@@ -352,7 +352,7 @@
         may count on another clock, but no order is held back for longer than
         :data:`MAX_ORDER_DELAY_S`.
         """
-        return self._clock.now() + max(self._leases.longest_s, MAX_ORDER_DELAY_S)
+        return self._clock.now() + max(self._leases.lapse_after_s, MAX_ORDER_DELAY_S)
 
     def _settle(self, key: RunKey) -> None:
         self._reports.settle(key)
@@ -363,7 +363,7 @@
         self._unanswered_starts.record_answered(self.worker.worker_id, key)
         self._reports.withdrawn(key)
         self._owner.cluster_state.run_not_started(run)
-        self._owner.changed()
+        self._owner.reschedule()
 
     # Looking
 
@@ -391,7 +391,7 @@
             self._replaced()
             return True
         except WorkerFenced:
-            self._owner.fenced()
+            self._owner.worker_fenced()
             return True
         except (WorkerUnreachable, WorkerBusy) as error:
             if isinstance(error, WorkerBusy):
@@ -412,11 +412,11 @@
         except WorkerReplaced:
             self._replaced()
         except WorkerFenced:
-            self._owner.fenced()
+            self._owner.worker_fenced()
         except WorkerBusy:
             self._turned_away()
             if self._is_here:
-                self._contact.heard()
+                self._contact.record_answer()
         except WorkerUnreachable:
             self._missed(asked)
         else:
@@ -424,18 +424,18 @@
 
     def _turned_away(self) -> None:
         """The worker does nothing now: a start would grant a lease that it does not take."""
-        self._contact.turned_away = True
+        self._contact.is_busy = True
         self.worker.refused(self._clock.now())
 
     def _over(self) -> None:
         """Nothing runs there any more: every lease has lapsed."""
-        heard_s = max(self._contact.heard_s, self._began_s)
+        heard_s = max(self._contact.last_answer_s, self._began_s)
         log_runs_over(self.worker.runs.values(), EndProof.LAPSED, self._clock.now() - heard_s)
         self._owner.cluster_state.worker_ended(
             self.worker.worker_id, self._contact.end(unheard=True)
         )
         self._reports.clear()
-        self._owner.changed()
+        self._owner.reschedule()
 
     def _watch_progress(self) -> None:
         """Look often while urgent work runs; the look that waits for an end may take 2 s."""
@@ -465,7 +465,7 @@
         wait_s = self._wait_s() if answers else 0.0
         # A worker that does not answer gets no longer lease, so that it lapses some day; nor does
         # one from a leader that stood still, whose successor counts what it granted before.
-        willing = answers and not self._contact.turned_away
+        willing = answers and not self._contact.is_busy
         renews = self.worker.runs and willing and self._owner.may_grant
         deadline = self._contact.deadline(asked) if renews else None
         return await self._hold(deadline, wait_s, wait_s + LONG_POLL_SLACK_S)
@@ -479,7 +479,7 @@
         """How long the worker may wait for an end before it answers a look."""
         if not self.worker.runs or self.worker.suspected or self._reports.awaited:
             return 0.0
-        if self._contact.clock_is_old:
+        if self._contact.is_clock_stale:
             return 0.0
         if any(run.stopping for run in self.worker.runs.values()):
             return STOPPING_WAIT_S
@@ -488,7 +488,7 @@
     async def _take(self, report: WorkerReport, asked: float) -> None:
         if self._owner.cluster_state.workers.get(self.worker.worker_id) is not self.worker:
             return
-        self._contact.told(report.clock_ms)
+        self._contact.record_clock(report.clock_ms)
         for run in self.worker.runs.values():
             run.address = run.address or self.worker.record.address
         self._reports.take(report, asked)
@@ -496,7 +496,7 @@
         await self._reports.acknowledge()
 
     def _missed(self, sent: float) -> None:
-        if self._contact.missed(sent):
+        if self._contact.record_miss(sent):
             self._wake.set()
             self._wait_begins()
 
@@ -504,13 +504,13 @@
         """What runs there may go on unseen, until its leases have lapsed at most."""
         if self.worker.runs:
             log_lease_wait(
-                self.worker, self._leases.left_s(self.worker.worker_id, self._clock.now())
+                self.worker, self._leases.remaining_s(self.worker.worker_id, self._clock.now())
             )
 
     def _unanswered(self, asked: float) -> bool:
         """Note a failed look; ``True`` where nothing can be running there any more."""
         self._missed(asked)
-        if not self._contact.lapsed:
+        if not self._contact.has_lapsed:
             return False
         if self.worker.runs:
             self._over()
@@ -534,7 +534,7 @@
         """Whether this life is known to have been at the address that is asked."""
         address = self.worker.record.address
         given = all(run.address == address for run in self.worker.runs.values())
-        return given or self._contact.heard_s > -math.inf
+        return given or self._contact.last_answer_s > -math.inf
 
     @property
     def _is_here(self) -> bool:
@@ -543,7 +543,7 @@
         It may be that of any life: it does not prove that one is alive which only an assignment
         names, and its runs wait for the lease.
         """
-        told = self.worker.listed or self._contact.heard_s > -math.inf
+        told = self.worker.listed or self._contact.last_answer_s > -math.inf
         return told and self._was_here
 
     def _replaced(self) -> None:
@@ -557,5 +557,5 @@
         self._owner.cluster_state.worker_ended(
             self.worker.worker_id, self._contact.end(unheard=False)
         )
-        self._owner.replaced(self.worker)
-        self._owner.changed()
+        self._owner.worker_replaced(self.worker)
+        self._owner.reschedule()
--- a/tests/test_waits_orders.py
+++ b/tests/test_waits_orders.py
@@ -173,7 +173,7 @@
     def longest_s(self) -> float:
         """Until nothing can come of the last start any more, and a look has told so."""
         tries_s = MAX_START_TRIES * ORDER_TIMEOUT_S
-        late_s = max(Leases(HOLD_S, 0.0).longest_s, MAX_ORDER_DELAY_S)
+        late_s = max(Leases(HOLD_S, 0.0).lapse_after_s, MAX_ORDER_DELAY_S)
         return tries_s + late_s + ORDER_TIMEOUT_S + RETRY_S + LONG_POLL_S + 1.0
 
     def play_fault(self, fault: Fault) -> None:
