--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -11,7 +11,7 @@
 from benchmarks.pages import MEASURES, replace_table
 from saddlestack.models import Adjacency, Assignment, JobClass, JobSpec, Rack
 from saddlestack.policy.cell import Cell
-from saddlestack.policy.room import workers_of
+from saddlestack.policy.resources import workers_of
 from saddlestack.replay.maker import config_of, make
 from saddlestack.replay.runner import Replay
 from saddlestack.replay.trace import Trace
--- a/benchmarks/faulty.py
+++ b/benchmarks/faulty.py
@@ -22,7 +22,7 @@
 
 from saddlestack.interfaces.workers import EndKind
 from saddlestack.policy.cluster import blame
-from saddlestack.policy.standstill import StillWatch
+from saddlestack.policy.stall import StallDetector
 from saddlestack.work import JobRequest, JobState
 
 LOOK_S = 0.5
@@ -121,7 +121,7 @@
     def __init__(self, day: days.Day, figures: Figures) -> None:
         self._day = day
         self._figures = figures
-        self._still = StillWatch()
+        self._still = StallDetector()
         self._accepted_s: dict[str, float] = {}
         self._over: set[str] = set()
         self._found = 0
@@ -142,7 +142,7 @@
                 self._note_over(job_id, state, now - began_s)
             elif self._stands(job_id):
                 standing.append(job_id)
-        self._found += len(self._still.look(standing, now))
+        self._found += len(self._still.update(standing, now))
         for job_id in standing:
             since_s = self._still.since(job_id)
             lasted_s = 0.0 if since_s is None else now - since_s
--- a/benchmarks/variants.py
+++ b/benchmarks/variants.py
@@ -78,12 +78,12 @@
         (
             Edit(
                 "policy/cluster/reservations.py",
-                "            worker.reserved = worker.reserved + step.step.room",
+                "            worker.reserved = worker.reserved + step.step.allocation",
                 "            pass",
             ),
             Edit(
                 "policy/cluster/reservations.py",
-                "            worker.reserved = worker.reserved - step.step.room",
+                "            worker.reserved = worker.reserved - step.step.allocation",
                 "            pass",
             ),
         ),
--- a/src/saddlestack/cli/loggedpool.py
+++ b/src/saddlestack/cli/loggedpool.py
@@ -15,7 +15,7 @@
 
 from saddlestack.cli.loglines import LogLine
 from saddlestack.cli.steps import LoggedStep, logged_step
-from saddlestack.policy.standstill import ROOM_FACTOR, PoolUse, has_room
+from saddlestack.policy.stall import FREE_CAPACITY_FACTOR, PoolUsage, has_free_capacity
 from saddlestack.work import Resources, TaskName
 
 START = "start"
@@ -87,13 +87,13 @@
         if run is not None:
             self.held[run.worker] -= self._needs(task)
 
-    def use(self, accelerators: int) -> PoolUse:
+    def use(self, accelerators: int) -> PoolUsage:
         """What is held of the workers that are there.
 
         :param accelerators: of each worker.
         """
         used = sum(min(held.accelerators, accelerators) for held in self.held.values())
-        return PoolUse(used, len(self.present) * accelerators)
+        return PoolUsage(used, len(self.present) * accelerators)
 
     def has_room_for(self, step: LoggedStep, room: Resources) -> bool:
         """Whether a step that waits fits in twice over.
@@ -104,9 +104,9 @@
         copies = 0
         for worker in self.present:
             copies += step.needs.copies_in(room - self.held.get(worker, _NOTHING))
-            if copies >= ROOM_FACTOR * wanted:
+            if copies >= FREE_CAPACITY_FACTOR * wanted:
                 break
-        return has_room(self.use(room.accelerators), copies, wanted)
+        return has_free_capacity(self.use(room.accelerators), copies, wanted)
 
     def _needs(self, task: str) -> Resources:
         name = TaskName.parse(task)
--- a/src/saddlestack/cli/operators.py
+++ b/src/saddlestack/cli/operators.py
@@ -11,7 +11,7 @@
 
 from saddlestack.cli.connection import Connection, json_option, pass_connection
 from saddlestack.cli.output import as_json, errors_to_exit_codes, moment, table
-from saddlestack.codec import from_json, read_commented, to_json
+from saddlestack.codec import from_json, read_json_with_comments, to_json
 from saddlestack.errors import EXIT_REFUSED, TABLE, ErrorKind
 from saddlestack.models import Account, Confirmation, Intent, Limits, Plan, Weights
 from saddlestack.services.access import hash_token
@@ -54,7 +54,7 @@
 @planning
 def plan_file(connection: Connection, path: Path, save: Path, as_json_: bool) -> None:
     """Plan an intent written in JSON with comments: data_halls, accounts, weights, spare."""
-    _make(connection, read_commented(path, Intent), save, as_json_)
+    _make(connection, read_json_with_comments(path, Intent), save, as_json_)
 
 
 @plan.group("account")
--- a/src/saddlestack/cli/standstills.py
+++ b/src/saddlestack/cli/standstills.py
@@ -11,7 +11,7 @@
 from saddlestack.cli.loglines import LogLine, read
 from saddlestack.cli.output import errors_to_exit_codes, log_files
 from saddlestack.cli.stillness import ACCELERATORS, LoggedStandstill, Stillness, stillness
-from saddlestack.policy.standstill import ROOM_FACTOR, STILL_S
+from saddlestack.policy.stall import FREE_CAPACITY_FACTOR, STALL_S
 
 
 @click.command()
@@ -43,8 +43,8 @@
     for line in found.told:
         yield _told(line)
     yield (
-        f"{len(found.found)} times a job of {found.accepted} stood still for {STILL_S:g} s or more "
-        f"with room for {ROOM_FACTOR} of it and under half of the pool held"
+        f"{len(found.found)} times a job of {found.accepted} stood still for {STALL_S:g} s or more "
+        f"with room for {FREE_CAPACITY_FACTOR} of it and under half of the pool held"
     )
     for after, count in Counter(stood.after for stood in found.found).most_common():
         yield f"{count:8}  after {after}"
--- a/src/saddlestack/cli/stillness.py
+++ b/src/saddlestack/cli/stillness.py
@@ -1,6 +1,6 @@
 """Jobs that stood still beside a free pool, from the logs of all VMs of one day.
 
-What counts is told by :mod:`saddlestack.policy.standstill`; what the logs do not tell is taken as
+What counts is told by :mod:`saddlestack.policy.stall`; what the logs do not tell is taken as
 :mod:`saddlestack.cli.loggedpool` says, and:
 
 - a run counts from the order to start it to the line that ends it, also where its worker never
@@ -29,7 +29,7 @@
 )
 from saddlestack.cli.loglines import LogLine
 from saddlestack.cli.steps import LoggedStep, logged_step
-from saddlestack.policy.standstill import PoolUse, StillWatch
+from saddlestack.policy.stall import PoolUsage, StallDetector
 from saddlestack.work import FINAL_STATES, Resources, TaskName
 
 ACCELERATORS = 8
@@ -60,7 +60,7 @@
     job_id: str
     since_s: float
     until_s: float
-    use: PoolUse
+    use: PoolUsage
     beside: int
     after: str
     reasons: tuple[str, ...]
@@ -166,7 +166,7 @@
         heapq.heapify(self._comings)
         heapq.heapify(self._goings)
         self._started: set[tuple[str, int]] = set()
-        self._watch = StillWatch()
+        self._watch = StallDetector()
         self._standing: set[str] = set()
         self._idle: set[str] = set()
         self._open: dict[str, LoggedStandstill] = {}
@@ -264,7 +264,7 @@
     def _look(self, at_s: float) -> None:
         """Note who has stood for too long by now, and who stands no more."""
         self._close([job_id for job_id in self._open if job_id not in self._standing], at_s)
-        for each in self._watch.look(self._standing, at_s):
+        for each in self._watch.update(self._standing, at_s):
             use = self._pool.use(self._room.accelerators)
             last = self.jobs[each.job_id].last
             self._open[each.job_id] = LoggedStandstill(
--- a/src/saddlestack/client.py
+++ b/src/saddlestack/client.py
@@ -22,7 +22,7 @@
     JobView,
     Plan,
 )
-from saddlestack.policy.retry import delay
+from saddlestack.policy.retry import retry_delay
 from saddlestack.services.metrics import MetricsView
 from saddlestack.wire.dialer import Dialer
 from saddlestack.wire.http import AnswerLost, HttpClient, NotSent, Response, error_of
@@ -210,7 +210,7 @@
                     return _in_the_light_of(response, lost, method)
                 self._next += 1
             if attempt + 1 < allowed:
-                await asyncio.sleep(delay(attempt + 1, self._rng))
+                await asyncio.sleep(retry_delay(attempt + 1, self._rng))
         raise _lost(method, path, lost)
 
 
--- a/src/saddlestack/codec.py
+++ b/src/saddlestack/codec.py
@@ -100,7 +100,7 @@
         raise invalid(_reason(error), _place(error, where)) from None
 
 
-def read_commented(path: Path, kind: type[T]) -> T:
+def read_json_with_comments(path: Path, kind: type[T]) -> T:
     """Read a file of JSON with comments into a model.
 
     :raises SaddlestackError: unreadable, malformed or wrong, with file and line or key path.
@@ -109,10 +109,10 @@
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
         raise invalid(f"cannot be read: {error}", str(path)) from None
-    return parse_commented(text, kind, str(path))
+    return parse_json_with_comments(text, kind, str(path))
 
 
-def parse_commented(text: str, kind: type[T], name: str) -> T:
+def parse_json_with_comments(text: str, kind: type[T], name: str) -> T:
     """Parse JSON with comments into a model; ``name`` is the file named in errors."""
     try:
         value: Any = pyjson5.decode(text)
--- a/src/saddlestack/control/entry.py
+++ b/src/saddlestack/control/entry.py
@@ -107,7 +107,7 @@
         self.callers = HttpServer(callers.handle, max_connections=MAX_CONNECTIONS)
         self.scheduler: Scheduler | None = None
         self._ending = 0
-        self.asked_to_leave = asyncio.Event()
+        self.stop_requested = asyncio.Event()
         self._tasks = TaskGroup("entry")
 
     async def start(self) -> None:
@@ -133,7 +133,7 @@
     async def drain(self) -> None:
         """A planned stop: hand the leadership over, answer what was read, leave."""
         log.info("stopping", extra={"event": "stopping"})
-        self.asked_to_leave.set()
+        self.stop_requested.set()
         await self.leadership.resign()
         await asyncio.sleep(NOTICE_S)
         grace_s = self.settings.timings.grace_s - NOTICE_S - LAST_CLOSE_S
@@ -210,7 +210,7 @@
 
     def _ready(self) -> bool:
         configured = self.configuration.current is not None
-        return configured and self.health.answers and not self.asked_to_leave.is_set()
+        return configured and self.health.answers and not self.stop_requested.is_set()
 
 
 def _store_at(text: str, dialer: Dialer) -> MetadataStore:
@@ -245,10 +245,10 @@
     entry = EntryVm(settings)
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, entry.asked_to_leave.set)
+        loop.add_signal_handler(number, entry.stop_requested.set)
     loop.add_signal_handler(signal.SIGHUP, _reload, path)
     await entry.start()
-    await entry.asked_to_leave.wait()
+    await entry.stop_requested.wait()
     await entry.drain()
 
 
--- a/src/saddlestack/control/feed.py
+++ b/src/saddlestack/control/feed.py
@@ -9,7 +9,7 @@
 
 from saddlestack.control.context import EntryContext
 from saddlestack.interfaces.store import HistoryGone, Item, StoreUnavailable
-from saddlestack.policy.retry import pause
+from saddlestack.policy.retry import backoff_delay
 
 log = logging.getLogger("saddlestack.feed")
 
@@ -112,5 +112,5 @@
             )
         self._failures += 1
         await self._context.health.pause(
-            pause(self._failures, FIRST_RETRY_S, LONGEST_RETRY_S, self._context.rng)
+            backoff_delay(self._failures, FIRST_RETRY_S, LONGEST_RETRY_S, self._context.rng)
         )
--- a/src/saddlestack/control/journal.py
+++ b/src/saddlestack/control/journal.py
@@ -20,7 +20,7 @@
     Transaction,
     WriteInDoubt,
 )
-from saddlestack.policy.retry import pause
+from saddlestack.policy.retry import backoff_delay
 
 log = logging.getLogger("saddlestack.journal")
 
@@ -116,7 +116,7 @@
                 if failures >= tries:
                     raise Unanswered from error
                 await self._context.health.pause(
-                    pause(failures, FIRST_RETRY_S, LONGEST_RETRY_S, self._context.rng)
+                    backoff_delay(failures, FIRST_RETRY_S, LONGEST_RETRY_S, self._context.rng)
                 )
                 continue
             if isinstance(outcome, Committed):
--- a/src/saddlestack/control/scheduler.py
+++ b/src/saddlestack/control/scheduler.py
@@ -195,7 +195,7 @@
     def missed(self, worker: Worker) -> None:
         """A call to a worker was not answered: look at it, or at all of its hall, at once."""
         hall = worker.record.data_hall
-        if self._suspicion.missed(hall, worker.worker_id, self._clock.now()):
+        if self._suspicion.record_unanswered(hall, worker.worker_id, self._clock.now()):
             self._sessions.suspect(hall)
         else:
             self._sessions.suspect_worker(worker)
--- a/src/saddlestack/control/settings.py
+++ b/src/saddlestack/control/settings.py
@@ -5,7 +5,7 @@
 import ipaddress
 from pathlib import Path
 
-from saddlestack.codec import read_commented
+from saddlestack.codec import read_json_with_comments
 from saddlestack.errors import invalid
 from saddlestack.models import Model
 from saddlestack.settings import LOG_LEVELS, Address
@@ -90,7 +90,7 @@
 
     :raises SaddlestackError: with every fault found, each with its line or key path.
     """
-    settings = read_commented(path, EntrySettings)
+    settings = read_json_with_comments(path, EntrySettings)
     faults = check(settings)
     if faults:
         raise invalid("; ".join(faults), str(path))
--- a/src/saddlestack/control/upkeep.py
+++ b/src/saddlestack/control/upkeep.py
@@ -107,7 +107,7 @@
         down_s = self._context.settings.timings.upkeep_s
         state = WaveState(wave, self._clock.now(), down_s)
         for name in kept.begun:
-            state.is_gone(name)
+            state.mark_done(name)
         self._waves[wave.wave] = state
         log.info(
             "wave of upkeep",
@@ -154,15 +154,15 @@
             extra={"event": "upkeep", "machine": machine, "outcome": outcome.value},
         )
         if outcome is UpkeepOutcome.BEGUN:
-            state.went_down(machine)
+            state.mark_down(machine)
             await self._keep(state, completed=False)
         elif outcome in {UpkeepOutcome.UNKNOWN_MACHINE, UpkeepOutcome.NOT_IN_WAVE}:
-            state.is_gone(machine)
+            state.mark_done(machine)
             self._give_back(machine)
 
     def _give_back(self, machine: str) -> None:
         """A machine goes on: its worker takes work again, unless another wave prepares it."""
-        if any(state.prepares(machine) for state in self._waves.values()):
+        if any(state.is_preparing(machine) for state in self._waves.values()):
             return
         for worker in self._cluster_state.workers.values():
             if worker.record.machine == machine:
--- a/src/saddlestack/control/waits.py
+++ b/src/saddlestack/control/waits.py
@@ -18,7 +18,7 @@
 from saddlestack.policy.cluster.records import FailureCause
 from saddlestack.policy.cluster.state import ClusterState
 from saddlestack.policy.cluster.survey import ServicePool, pools
-from saddlestack.policy.standstill import Standstill, StillWatch
+from saddlestack.policy.stall import Stall, StallDetector
 from saddlestack.services.metrics import Metrics
 from saddlestack.work import JobState
 
@@ -98,7 +98,7 @@
         self._metrics = metrics
         self._lease_until_s = lease_until_s
         self._diagnosis = Diagnosis(cluster_state)
-        self._watch = StillWatch()
+        self._watch = StallDetector()
         self._writing: Counter[str] = Counter()
         self._planned_s = clock.now()
         self._looked_s = clock.now()
@@ -198,13 +198,13 @@
 
     def _tell_standstills(self) -> None:
         standing = [wait.job_id for wait in self._now.values() if wait.beside_room]
-        found = self._watch.look(standing, self._clock.now())
+        found = self._watch.update(standing, self._clock.now())
         for standstill in found[:STANDSTILLS_A_TICK]:
             self._tell_standstill(standstill)
         self._metrics.count("standstills", len(found))
         self._tell_left_out("stands_still", len(found) - STANDSTILLS_A_TICK)
 
-    def _tell_standstill(self, standstill: Standstill) -> None:
+    def _tell_standstill(self, standstill: Stall) -> None:
         wait = self._now[standstill.job_id]
         log.warning(
             "a job stands still beside a free pool",
--- a/src/saddlestack/daemon.py
+++ b/src/saddlestack/daemon.py
@@ -63,7 +63,7 @@
             incarnation=incarnation or int(time.time() * 1000),
         )
         self._tasks = TaskGroup("daemon")
-        self.asked_to_leave = asyncio.Event()
+        self.stop_requested = asyncio.Event()
         self._services: list[Service] = []
         self._build()
 
@@ -102,7 +102,7 @@
     def _configured(self, document: Document) -> None:
         """An operator's `vm drain` of this VM is a planned stop."""
         if self.settings.vm in document.leaving:
-            self.asked_to_leave.set()
+            self.stop_requested.set()
 
     def _add(self, service: S) -> S:
         self.registry.add(service.name, service)
@@ -170,7 +170,7 @@
     daemon = Daemon(settings)
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, daemon.asked_to_leave.set)
+        loop.add_signal_handler(number, daemon.stop_requested.set)
     await daemon.start()
-    await daemon.asked_to_leave.wait()
+    await daemon.stop_requested.wait()
     await daemon.drain()
--- a/src/saddlestack/logs.py
+++ b/src/saddlestack/logs.py
@@ -18,8 +18,8 @@
 
 FORMAT = "%(asctime)s %(levelname)s %(name)s %(message)s"
 QUEUED_LINES = 10_000
-LINES_A_SECOND = 2_000
-LAST_WORDS_S = 0.5
+LINES_PER_SECOND = 2_000
+CLOSE_TIMEOUT_S = 0.5
 
 
 def level_of(name: str) -> int:
@@ -36,33 +36,33 @@
     """
 
     def __init__(
-        self, stream: TextIO, *, queued: int = QUEUED_LINES, rate: float = LINES_A_SECOND
+        self, stream: TextIO, *, queued: int = QUEUED_LINES, rate: float = LINES_PER_SECOND
     ) -> None:
         super().__init__()
         self._stream = stream
         self._lines: queue.Queue[str | None] = queue.Queue(queued)
         self._bucket = TokenBucket(rate, rate)
-        self.left_out = 0
+        self.dropped = 0
         self._thread = threading.Thread(target=self._write, name="log writer", daemon=True)
         self._thread.start()
 
     def emit(self, record: logging.LogRecord) -> None:
         """Queue a line, or count it as left out."""
         if not self._bucket.take(record.created):
-            self.left_out += 1
+            self.dropped += 1
             return
-        if self.left_out and self._queue(self._left_out_line(record)):
-            self.left_out = 0
+        if self.dropped and self._queue(self._dropped_line(record)):
+            self.dropped = 0
         if not self._queue(self.format(record)):
-            self.left_out += 1
+            self.dropped += 1
 
     def close(self) -> None:
         """Write what is queued, as far as the reader takes it in a short time."""
         try:
-            self._lines.put(None, timeout=LAST_WORDS_S)
+            self._lines.put(None, timeout=CLOSE_TIMEOUT_S)
         except queue.Full:
             pass
-        self._thread.join(LAST_WORDS_S)
+        self._thread.join(CLOSE_TIMEOUT_S)
         super().close()
 
     def _queue(self, line: str) -> bool:
@@ -72,11 +72,11 @@
             return False
         return True
 
-    def _left_out_line(self, record: logging.LogRecord) -> str:
+    def _dropped_line(self, record: logging.LogRecord) -> str:
         told = logging.LogRecord(
             record.name, logging.WARNING, "", 0, "lines were left out", None, None
         )
-        told.__dict__.update(event="log_left_out", lines=self.left_out)
+        told.__dict__.update(event="log_left_out", lines=self.dropped)
         return self.format(told)
 
     def _write(self) -> None:
@@ -97,7 +97,7 @@
             if self._lines.empty():
                 self._stream.flush()
         except (OSError, ValueError):
-            self.left_out += 1
+            self.dropped += 1
 
 
 def configure(level: int, vm: str) -> BoundedHandler:
--- a/src/saddlestack/policy/cell.py
+++ b/src/saddlestack/policy/cell.py
@@ -26,16 +26,16 @@
     Decision,
     Gang,
     Loss,
-    Means,
     Reclaim,
+    ReclaimMethod,
     Refusal,
     Start,
 )
-from saddlestack.policy.guarantees import Charge, Guarantees, largest_beside
+from saddlestack.policy.guarantees import Charge, Guarantees, largest_beside_guarantees
 from saddlestack.policy.packing import Shares
-from saddlestack.policy.placement import find
+from saddlestack.policy.placement import find_placement
 from saddlestack.policy.queue import Estimator, Reservation
-from saddlestack.policy.room import Room, WorkerInfo
+from saddlestack.policy.resources import CellResources, WorkerInfo
 from saddlestack.policy.round import Round
 from saddlestack.policy.router import CellSummary
 
@@ -65,8 +65,8 @@
         queue_limits: dict[str, int] | None = None,
     ) -> None:
         self.name = name
-        self.room = Room(workers)
-        self.guarantees = Guarantees(self.room, assignments)
+        self.resources = CellResources(workers)
+        self.guarantees = Guarantees(self.resources, assignments)
         self.waiting: dict[str, Gang] = {}
         self.running: dict[str, Gang] = {}
         self.estimator = Estimator()
@@ -81,7 +81,7 @@
         self._considered = float("-inf")
         self._fresh: list[str] = []
         self._held: list[tuple[Reservation, int]] = []
-        self._pinnable = largest_beside(self.room, self.guarantees)
+        self._pinnable = largest_beside_guarantees(self.resources, self.guarantees)
 
     # Events
 
@@ -132,16 +132,16 @@
         gang.attempt = attempt
         gang.started = started
         gang.progress = progress
-        shares = tuple((self.room.index[part.vm], part.accelerators) for part in parts)
+        shares = tuple((self.resources.index[part.vm], part.accelerators) for part in parts)
         charge = self.guarantees.charge_for(spec)
-        if charge is not None and not self.guarantees.admits(charge, shares):
+        if charge is not None and not self.guarantees.admit(charge, shares):
             charge = None
         self._occupy(gang, shares, charge)
 
     def finished(self, job_id: str, now: float) -> None:
         """A running gang ended by itself."""
         gang = self.running[job_id]
-        self.estimator.learn(gang.spec, now - gang.started + gang.progress)
+        self.estimator.record(gang.spec, now - gang.started + gang.progress)
         self._vacate(gang)
 
     def cancel(self, job_id: str) -> bool:
@@ -165,25 +165,25 @@
 
         :rtype: list[Loss]
         """
-        worker = self.room.index[name]
+        worker = self.resources.index[name]
         self._changed = True
         hurt = list(self._gangs_on[worker].values())
-        self.room.set_state(worker, up=False, leaving=False)
+        self.resources.set_state(worker, up=False, leaving=False)
         losses = [self._lose(gang, now) for gang in hurt]
         self.guarantees.repack()
         return losses
 
     def vm_leaving(self, name: str) -> None:
         """A worker is to receive no new work; what runs there goes on."""
-        worker = self.room.index[name]
+        worker = self.resources.index[name]
         self._changed = True
-        self.room.set_state(worker, up=self.room.up[worker], leaving=True)
+        self.resources.set_state(worker, up=self.resources.up[worker], leaving=True)
         self.guarantees.repack()
 
     def vm_back(self, name: str) -> None:
         """A worker serves again."""
         self._changed = True
-        self.room.set_state(self.room.index[name], up=True, leaving=False)
+        self.resources.set_state(self.resources.index[name], up=True, leaving=False)
         self.guarantees.repack()
 
     def configure(
@@ -197,8 +197,8 @@
         for gang in gangs:
             gang.charge = None
         self._unpin_all(gangs)
-        self.guarantees = Guarantees(self.room, assignments)
-        self._pinnable = largest_beside(self.room, self.guarantees)
+        self.guarantees = Guarantees(self.resources, assignments)
+        self._pinnable = largest_beside_guarantees(self.resources, self.guarantees)
         for gang in gangs:
             self._charge_in_place(gang)
 
@@ -224,7 +224,9 @@
 
     def possible(self, shape: Shape) -> bool:
         """Whether the empty cell could hold the shape."""
-        return shape.accelerators <= self.room.largest_possible(ADJACENCY_ORDER[shape.adjacent])
+        return shape.accelerators <= self.resources.largest_possible(
+            ADJACENCY_ORDER[shape.adjacent]
+        )
 
     def queued(self, job_class: JobClass | None = None) -> int:
         """How many jobs wait, of a class or in all."""
@@ -248,7 +250,7 @@
 
     def summary(self, data_hall: str) -> CellSummary:
         """What the cell's scheduler announces."""
-        room = self.room
+        resources = self.resources
         queued = [0, 0, 0]
         lent = [sum(counts) for counts in self.lent]
         for gang in self.waiting.values():
@@ -256,17 +258,27 @@
         return CellSummary(
             self.name,
             data_hall,
-            (room.largest_possible(0), room.largest_possible(1), room.largest_possible(2)),
+            (
+                resources.largest_possible(0),
+                resources.largest_possible(1),
+                resources.largest_possible(2),
+            ),
             self._pinnable,
-            (max(room.free, default=0), max(room.rack_free, default=0), sum(room.free)),
+            (
+                max(resources.free, default=0),
+                max(resources.rack_free, default=0),
+                sum(resources.free),
+            ),
             (queued[0], queued[1], queued[2]),
             (lent[1] + lent[2], lent[2], 0),
-            sum(room.total),
+            sum(resources.total),
         )
 
     def place_free(self, shape: Shape) -> Shares | None:
         """Where the shape would fit in free room, or ``None``."""
-        return find(shape, self.room.free, self.room.racks, scatter=self.scatter)
+        return find_placement(
+            shape, self.resources.free, self.resources.racks, scatter=self.scatter
+        )
 
     @property
     def scatter(self) -> bool:
@@ -288,7 +300,7 @@
         gang.attempt += 1
         gang.started = now
         self._occupy(gang, shares, charge)
-        parts = tuple(Part(self.room.workers[w].name, count) for w, count in shares)
+        parts = tuple(Part(self.resources.workers[w].name, count) for w, count in shares)
         return Start(
             gang.job_id, gang.attempt, parts, gang.progress, charge is not None, gang.resumed
         )
@@ -296,7 +308,7 @@
     def evict(self, gang: Gang, now: float, *, moved: bool = False) -> Reclaim:
         """Take a running gang's room back and queue it again."""
         lost = gang.loss(now)
-        means = Means.CHECKPOINT if gang.spec.checkpoint else Means.STOP
+        method = ReclaimMethod.CHECKPOINT if gang.spec.checkpoint else ReclaimMethod.STOP
         if gang.spec.checkpoint:
             gang.progress += now - gang.started
             gang.resumed = True
@@ -304,7 +316,7 @@
         self._requeue(gang)
         if moved:
             gang.moved = now
-        return Reclaim(gang.job_id, gang.attempt, means, lost, moved)
+        return Reclaim(gang.job_id, gang.attempt, method, lost, moved)
 
     def undo_evict(
         self, gang: Gang, shares: Shares, charge: Charge | None, progress: float
@@ -343,14 +355,14 @@
             (gang, gang.started + expected(gang.spec) - gang.progress)
             for gang in self.running.values()
         ]
-        move = Consolidation(self.room, now).best(ends)
+        move = Consolidation(self.resources, now).best(ends)
         if move is None:
             return []
         decisions: list[Decision] = []
         while move is not None and len(decisions) < 2 * MOVES_AT_ONCE:
             decisions.append(self.evict(move.gang, now, moved=True))
             decisions.append(self.start(move.gang, move.shares, None, now))
-            move = Consolidation(self.room, now).best(ends)
+            move = Consolidation(self.resources, now).best(ends)
         self._next_move = now + MOVE_EVERY_S
         return decisions
 
@@ -376,7 +388,7 @@
 
     def _can_pin(self, spec: JobSpec) -> bool:
         """Whether a job that can't be taken back could ever run here."""
-        if spec.reclaimable or self.guarantees.ever_covers(spec):
+        if spec.reclaimable or self.guarantees.could_cover(spec):
             return True
         index = ADJACENCY_ORDER[spec.adjacent]
         return spec.accelerators <= self._pinnable[index]
@@ -390,7 +402,7 @@
         gang.charge = charge
         gang.pinned = charge is not None or not gang.spec.reclaimable
         gang.state = JobState.RUNNING
-        self.room.take(shares, pinned=gang.pinned)
+        self.resources.take(shares, pinned=gang.pinned)
         self._lend(gang, 1)
         for worker, _ in shares:
             self._gangs_on[worker][gang.job_id] = gang
@@ -405,7 +417,7 @@
         self._changed = True
         for worker, _ in gang.shares:
             del self._gangs_on[worker][gang.job_id]
-        self.room.give_back(gang.shares, pinned=gang.pinned)
+        self.resources.give_back(gang.shares, pinned=gang.pinned)
         self._lend(gang, -1)
         charge, shares = gang.charge, gang.shares
         gang.shares = ()
@@ -416,7 +428,7 @@
             self.guarantees.release(charge, gang.job_id, shares)
             self._promote(gang.spec.account)
         if gang.pinned and charge is None:
-            self.guarantees.settle()
+            self.guarantees.restore_witnesses()
 
     def _promote(self, account: str) -> None:
         for gang in list(self.running.values()):
@@ -426,12 +438,12 @@
     def _charge_in_place(self, gang: Gang) -> None:
         charge = self.guarantees.charge_for(gang.spec)
         was_pinned = gang.pinned
-        self.room.give_back(gang.shares, pinned=was_pinned)
+        self.resources.give_back(gang.shares, pinned=was_pinned)
         self._lend(gang, -1)
-        if charge is not None and not self.guarantees.admits(charge, gang.shares):
+        if charge is not None and not self.guarantees.admit(charge, gang.shares):
             charge = None
         gang.pinned = charge is not None or not gang.spec.reclaimable
-        self.room.take(gang.shares, pinned=gang.pinned)
+        self.resources.take(gang.shares, pinned=gang.pinned)
         self._lend(gang, 1)
         if charge is not None:
             gang.charge = charge
@@ -441,10 +453,10 @@
     def _unpin_all(self, gangs: Iterable[Gang]) -> None:
         self._borrowed = {}
         for gang in gangs:
-            self.room.give_back(gang.shares, pinned=gang.pinned)
+            self.resources.give_back(gang.shares, pinned=gang.pinned)
             self._lend(gang, -1)
             gang.pinned = not gang.spec.reclaimable
-            self.room.take(gang.shares, pinned=gang.pinned)
+            self.resources.take(gang.shares, pinned=gang.pinned)
             self._lend(gang, 1)
             self._borrow(gang, 1)
 
--- a/src/saddlestack/policy/cellview.py
+++ b/src/saddlestack/policy/cellview.py
@@ -10,7 +10,7 @@
 from saddlestack.policy.guarantees import Charge, Guarantees
 from saddlestack.policy.packing import Shares
 from saddlestack.policy.queue import Estimator
-from saddlestack.policy.room import Room
+from saddlestack.policy.resources import CellResources
 
 
 class CellView(Protocol):
@@ -21,7 +21,7 @@
     :ivar lent: accelerators on each worker that gangs of each class use beyond guarantees.
     """
 
-    room: Room
+    resources: CellResources
     guarantees: Guarantees
     estimator: Estimator
     waiting: dict[str, Gang]
--- a/src/saddlestack/policy/cluster/candidates.py
+++ b/src/saddlestack/policy/cluster/candidates.py
@@ -66,7 +66,7 @@
         """What a step shares with others that fit where it does."""
         return FitKey(
             service=self._cluster_state.service_of(step.occurrence.job),
-            room=step.step.room,
+            room=step.step.allocation,
             label=step.step.label,
             proven=step.needs_proven_worker,
         )
--- a/src/saddlestack/policy/cluster/diagnosis.py
+++ b/src/saddlestack/policy/cluster/diagnosis.py
@@ -21,7 +21,7 @@
 from saddlestack.policy.cluster.state import ClusterState
 from saddlestack.policy.cluster.survey import ServicePool, Survey, Surveyor, pools
 from saddlestack.policy.cluster.waiting import may_start
-from saddlestack.policy.standstill import has_room
+from saddlestack.policy.stall import has_free_capacity
 from saddlestack.work import FINAL_STATES, Resources
 
 JOBS_A_LOOK = 128
@@ -312,7 +312,7 @@
 
     def _has_room(self, step: StepState, survey: Survey) -> bool:
         wanted = step.step.count if step.step.gang else 1
-        return has_room(self._pool(step).use, survey.copies, wanted)
+        return has_free_capacity(self._pool(step).use, survey.copies, wanted)
 
     def _survey(self, step: StepState) -> Survey | None:
         """What a step finds in its pool; ``None`` where that would cost too much."""
@@ -353,7 +353,7 @@
         )
         return _Kind(
             service=self._cluster_state.service_of(job),
-            room=needs.room,
+            room=needs.allocation,
             count=needs.count if needs.gang else 1,
             gang=needs.gang,
             same_rack=needs.same_rack,
--- a/src/saddlestack/policy/cluster/isolation.py
+++ b/src/saddlestack/policy/cluster/isolation.py
@@ -225,7 +225,7 @@
 def _fills(step: StepState, worker: Worker) -> bool:
     """Whether a task of a step leaves nothing of a worker to others of its kind."""
     capacity = worker.record.capacity
-    wanted = step.step.room
+    wanted = step.step.allocation
     if capacity.accelerators:
         return wanted.accelerators >= capacity.accelerators
     return wanted.cpu >= capacity.cpu
--- a/src/saddlestack/policy/cluster/patience.py
+++ b/src/saddlestack/policy/cluster/patience.py
@@ -11,7 +11,7 @@
 
 from saddlestack.policy.cluster.index import ServiceCapacity
 from saddlestack.policy.cluster.jobs import StepState
-from saddlestack.policy.standstill import ROOM_FACTOR
+from saddlestack.policy.stall import FREE_CAPACITY_FACTOR
 
 NEAR_PATIENCE_S = 8.0
 """Work waits this long for a place near its data while much of the pool is in use."""
@@ -52,4 +52,4 @@
     :param copies: tasks of it that fit.
     :param wanted: tasks that have to start at once.
     """
-    return copies >= ROOM_FACTOR * wanted
+    return copies >= FREE_CAPACITY_FACTOR * wanted
--- a/src/saddlestack/policy/cluster/placement.py
+++ b/src/saddlestack/policy/cluster/placement.py
@@ -101,7 +101,7 @@
     for worker in workers:
         if copies(worker) < 1:
             continue
-        left = worker.free - step.step.room
+        left = worker.free - step.step.allocation
         key = (bool(near) and worker.record.rack != near, left.accelerators, left.cpu)
         if best_key is None or key < best_key:
             best, best_key = worker, key
--- a/src/saddlestack/policy/cluster/places.py
+++ b/src/saddlestack/policy/cluster/places.py
@@ -223,7 +223,7 @@
 
     def _tightest(self) -> Iterator[Worker]:
         """Workers that hold one task or more, the fullest first."""
-        room = self._step.step.room
+        room = self._step.step.allocation
         for worker in self._service_capacity.tightest_first(room.accelerators, room.cpu):
             if self._kept is not None and self._kept(worker):
                 continue
@@ -234,7 +234,7 @@
         wanted = self._step.step.count
         if self._fits.total < wanted:
             return None
-        room = self._step.step.room
+        room = self._step.step.allocation
         eligible = ((worker, worker.fitting(room, worker.free)) for worker in self._tightest())
         return fill_one_hall(eligible, wanted)
 
--- a/src/saddlestack/policy/cluster/planner.py
+++ b/src/saddlestack/policy/cluster/planner.py
@@ -299,7 +299,7 @@
         needs = step.step
         anywhere = Shape(
             service=service,
-            room=needs.room,
+            room=needs.allocation,
             count=needs.count if needs.gang else 1,
             same_rack=needs.gang and needs.same_rack,
             label=needs.label,
--- a/src/saddlestack/policy/cluster/reservations.py
+++ b/src/saddlestack/policy/cluster/reservations.py
@@ -77,7 +77,7 @@
         if worker.is_over:
             return False
         free = worker.record.capacity - used
-        return self.step.step.room.copies_in(free) >= self.places.count(worker)
+        return self.step.step.allocation.copies_in(free) >= self.places.count(worker)
 
 
 class Reservations:
@@ -99,7 +99,7 @@
         if step.preempts_since_s is None:
             step.preempts_since_s = now
         for worker in places:
-            worker.reserved = worker.reserved + step.step.room
+            worker.reserved = worker.reserved + step.step.allocation
             _note_awaited(worker, now)
         held = self._held[id(step)] = Reservation(step, places, now + RESERVATION_TIMEOUT_S)
         return held
@@ -110,7 +110,7 @@
         if held is None:
             return False
         for worker in held.places:
-            worker.reserved = worker.reserved - step.step.room
+            worker.reserved = worker.reserved - step.step.allocation
         return True
 
     def __len__(self) -> int:
--- a/src/saddlestack/policy/cluster/stalled.py
+++ b/src/saddlestack/policy/cluster/stalled.py
@@ -120,7 +120,7 @@
             return None
         return _Kind(
             self._cluster_state.service_of(step.occurrence.job),
-            step.step.room,
+            step.step.allocation,
             step.at_once,
             step.step.label,
             step.next_failure_is_final,
--- a/src/saddlestack/policy/cluster/state.py
+++ b/src/saddlestack/policy/cluster/state.py
@@ -135,7 +135,9 @@
             return
         address = addresses.get(record.worker, "")
         worker = self._worker_at(record.worker, address)
-        run = Run(task, record.run, worker.worker_id, task.step.step.room, 0.0, inherited=True)
+        run = Run(
+            task, record.run, worker.worker_id, task.step.step.allocation, 0.0, inherited=True
+        )
         run.saved = record.saved
         run.address = address
         task.run = run
@@ -507,7 +509,7 @@
 
     def assign(self, task: Task, worker: Worker, number: int, now: float) -> None:
         """Give a run of a task to a worker."""
-        run = Run(task, number, worker.worker_id, task.step.step.room, assigned_s=now)
+        run = Run(task, number, worker.worker_id, task.step.step.allocation, assigned_s=now)
         run.address = worker.record.address
         task.run = run
         task.record.status = TaskStatus.ASSIGNED
--- a/src/saddlestack/policy/cluster/survey.py
+++ b/src/saddlestack/policy/cluster/survey.py
@@ -16,7 +16,7 @@
 from saddlestack.policy.cluster.reasons import Reason
 from saddlestack.policy.cluster.waiting import is_waiting
 from saddlestack.policy.cluster.workers import Worker
-from saddlestack.policy.standstill import PoolUse
+from saddlestack.policy.stall import PoolUsage
 from saddlestack.work import Resources
 
 _LEFT_OUT = (
@@ -73,9 +73,9 @@
     reserved_idle: int = 0
 
     @property
-    def use(self) -> PoolUse:
+    def use(self) -> PoolUsage:
         """What of it is held."""
-        return PoolUse(self.used, self.total)
+        return PoolUsage(self.used, self.total)
 
     def add(self, worker: Worker, now: float) -> None:
         """Count a worker that is in the list."""
@@ -299,7 +299,7 @@
         return (self._all, self._sums[rack])
 
     def _without_trial(self, worker: Worker) -> int:
-        needs = self._step.step.room
+        needs = self._step.step.allocation
         copies = needs.copies_in(worker.free + worker.reserved)
         limit = self._step.step.per_worker
         return min(copies, limit) if limit else copies
--- a/src/saddlestack/policy/cluster/workers.py
+++ b/src/saddlestack/policy/cluster/workers.py
@@ -229,7 +229,7 @@
 
     def most(self, step: Step) -> int:
         """Tasks of a step that it could hold if it were empty and well."""
-        copies = step.room.copies_in(self.record.capacity)
+        copies = step.allocation.copies_in(self.record.capacity)
         return min(copies, step.per_worker) if step.per_worker else copies
 
     def fitting(self, needs: Resources, room: Resources) -> int:
@@ -253,11 +253,11 @@
         :param reserved: whether what is reserved for other work counts as free.
         """
         room = self.unused if reserved else self.free
-        return 0 if self.is_over else self._limited(step, step.step.room.copies_in(room))
+        return 0 if self.is_over else self._limited(step, step.step.allocation.copies_in(room))
 
     def copies(self, step: StepState, room: Resources) -> int:
         """Tasks of a step that fit into some room of it."""
-        return self._limited(step, self.fitting(step.step.room, room))
+        return self._limited(step, self.fitting(step.step.allocation, room))
 
     def _limited(self, step: StepState, copies: int) -> int:
         """So many tasks of a step, or fewer where it limits those of one worker."""
--- a/src/saddlestack/policy/defrag.py
+++ b/src/saddlestack/policy/defrag.py
@@ -14,7 +14,7 @@
 from saddlestack.models import Adjacency, Shape
 from saddlestack.policy.gang import Gang
 from saddlestack.policy.packing import Shares
-from saddlestack.policy.room import Room
+from saddlestack.policy.resources import CellResources
 
 MOVE_REST_S = 180.0
 MIN_LEFT_S = 120.0
@@ -29,21 +29,21 @@
     gain: int
 
 
-def usable(room: Room, shape: Shape) -> int:
+def usable(resources: CellResources, shape: Shape) -> int:
     """Free accelerators that gangs of one shape alone could take."""
     size = shape.accelerators
     if shape.adjacent is Adjacency.WORKER:
-        return sum([free // size for free in room.free]) * size
+        return sum([free // size for free in resources.free]) * size
     if shape.adjacent is Adjacency.RACK:
-        return sum([free // size for free in room.rack_free]) * size
-    return sum(room.free) // size * size
+        return sum([free // size for free in resources.rack_free]) * size
+    return sum(resources.free) // size * size
 
 
 class Consolidation:
     """Searches for the move that pays most."""
 
-    def __init__(self, room: Room, now: float) -> None:
-        self._room = room
+    def __init__(self, resources: CellResources, now: float) -> None:
+        self._resources = resources
         self._now = now
 
     def best(self, gangs: Iterable[tuple[Gang, float]]) -> Move | None:
@@ -52,7 +52,7 @@
         :param gangs: running gangs with their expected ends.
         """
         best: Move | None = None
-        if sum(1 for free in self._room.free if free) < 2:
+        if sum(1 for free in self._resources.free if free) < 2:
             return None
         for gang, end in gangs:
             if not self._may_move(gang, end):
@@ -70,12 +70,12 @@
 
     def _best_of(self, gang: Gang) -> Move | None:
         """Where one gang would do most good: a hole it fills, on a fuller worker."""
-        room = self._room
+        resources = self._resources
         source, count = gang.shares[0]
-        left = room.free[source]
-        frees_source = left + count == room.total[source]
+        left = resources.free[source]
+        frees_source = left + count == resources.total[source]
         best: tuple[int, int] | None = None
-        for worker, free in enumerate(room.free):
+        for worker, free in enumerate(resources.free):
             if worker == source or free < count:
                 continue
             if not frees_source and free != count:
--- a/src/saddlestack/policy/fleet.py
+++ b/src/saddlestack/policy/fleet.py
@@ -9,7 +9,7 @@
 from saddlestack.policy.cell import Cell
 from saddlestack.policy.gang import Decision, Loss, Refusal
 from saddlestack.policy.planner import CellSite
-from saddlestack.policy.router import CellSummary, better, choose
+from saddlestack.policy.router import CellSummary, choose_cell, find_better_cell
 
 
 class Fleet:
@@ -43,7 +43,7 @@
 
         :return: ``None``, or why it was not taken in.
         """
-        name = choose(spec, self.summaries(), self._guaranteed(spec))
+        name = choose_cell(spec, self.summaries(), self._guaranteed(spec))
         if name is None:
             return Refusal(ErrorKind.SHAPE_IMPOSSIBLE, f"no cell can ever hold {spec.shape}")
         refusal = self.cells[name].submit(spec, now)
@@ -65,7 +65,7 @@
             if not cell.waiting:
                 continue
             for gang in cell.movable():
-                there = better(gang.spec, name, summaries)
+                there = find_better_cell(gang.spec, name, summaries)
                 if there is None:
                     continue
                 cell.cancel(gang.job_id)
--- a/src/saddlestack/policy/gang.py
+++ b/src/saddlestack/policy/gang.py
@@ -65,7 +65,7 @@
         return 0.0 if self.spec.checkpoint else self.work(now) + self.progress
 
 
-class Means(enum.StrEnum):
+class ReclaimMethod(enum.StrEnum):
     """How room is taken back."""
 
     CHECKPOINT = "checkpoint"
@@ -99,7 +99,7 @@
 
     job_id: str
     attempt: int
-    means: Means
+    method: ReclaimMethod
     lost: float
     moved: bool = False
 
--- a/src/saddlestack/policy/guarantees.py
+++ b/src/saddlestack/policy/guarantees.py
@@ -16,8 +16,8 @@
 from collections.abc import Iterable, Sequence
 
 from saddlestack.models import ADJACENCY_ORDER, Adjacency, Assignment, JobSpec, Shape
-from saddlestack.policy.packing import Shares, Space, Want, online_budget, pack
-from saddlestack.policy.room import Room
+from saddlestack.policy.packing import ShapeRequest, Shares, Space, online_budget, pack
+from saddlestack.policy.resources import CellResources
 
 
 class Unit:
@@ -40,9 +40,9 @@
         return self.shape.accelerators - self.used
 
     @property
-    def want(self) -> Want:
+    def request(self) -> ShapeRequest:
         """The part of the shape that is not in use, and where it has to lie."""
-        return Want(Shape(self.left, self.shape.adjacent), self.domain)
+        return ShapeRequest(Shape(self.left, self.shape.adjacent), self.domain)
 
 
 Charge = tuple[tuple[Unit, int], ...]
@@ -54,15 +54,15 @@
 class Guarantees:
     """All units of a cell and their witnesses."""
 
-    def __init__(self, room: Room, assignments: Iterable[Assignment] = ()) -> None:
-        self._room = room
-        self._budget = online_budget(len(room.total))
+    def __init__(self, resources: CellResources, assignments: Iterable[Assignment] = ()) -> None:
+        self._resources = resources
+        self._budget = online_budget(len(resources.total))
         self._units: dict[str, list[Unit]] = {}
         for assignment in assignments:
             unit = Unit(assignment.account, assignment.shape)
             self._units.setdefault(assignment.account, []).append(unit)
-        self.reserved = [0] * len(room.total)
-        self.reserved_slots = [0] * len(room.total)
+        self.reserved = [0] * len(resources.total)
+        self.reserved_slots = [0] * len(resources.total)
         self.repack()
 
     @property
@@ -78,7 +78,7 @@
         """Units whose unused part has no witness: VMs are missing."""
         return [unit for unit in self.units if unit.left and unit.witness is None]
 
-    def ever_covers(self, spec: JobSpec) -> bool:
+    def could_cover(self, spec: JobSpec) -> bool:
         """Whether the account's units, all unused, would cover a gang."""
         units = self.of(spec.account)
         if any(
@@ -132,11 +132,11 @@
         limit = self._spare()
         for unit, _ in charge:
             for worker, count in unit.witness or ():
-                if self._room.open(worker):
+                if self._resources.open(worker):
                     limit[worker] += count
         return self._whole_domains(charge[0][0], limit) if len(charge) == 1 else limit
 
-    def admits(self, charge: Charge | None, shares: Shares) -> bool:
+    def admit(self, charge: Charge | None, shares: Shares) -> bool:
         """Whether a pinned gang may stand there; moves witnesses so that it can.
 
         The caller takes the room at once when the answer is true.
@@ -169,9 +169,9 @@
         else:
             for unit, _ in charge:
                 self._take_lent_back(unit)
-        self.settle()
+        self.restore_witnesses()
 
-    def settle(self) -> None:
+    def restore_witnesses(self) -> None:
         """Find witnesses for the units that have none."""
         missing = self.unformable()
         if not missing or self._place_each_in(self._space(), missing):
@@ -187,7 +187,7 @@
         units = [unit for unit in self.units if unit.left]
         for unit in self.units:
             self._set_witness(unit, None)
-        places = pack(self._space(), [unit.want for unit in units], self._budget)
+        places = pack(self._space(), [unit.request for unit in units], self._budget)
         if places is None:
             self._place_each_in(self._space(), sorted(units, key=_hardest_first))
             return
@@ -203,7 +203,7 @@
         elif unit.shape.adjacent is Adjacency.WORKER:
             return [count if count >= unit.left else 0 for count in limit]
         elif unit.shape.adjacent is Adjacency.RACK:
-            domains = self._room.racks
+            domains = self._resources.racks
         else:
             return limit
         allowed = [0] * len(limit)
@@ -236,9 +236,9 @@
         if adjacent is Adjacency.WORKER:
             return workers if len(workers) == 1 else None
         if adjacent is Adjacency.RACK:
-            racks = {self._room.rack_of[worker] for worker in workers}
-            return tuple(self._room.racks[racks.pop()]) if len(racks) == 1 else None
-        return tuple(range(len(self._room.total)))
+            racks = {self._resources.rack_of[worker] for worker in workers}
+            return tuple(self._resources.racks[racks.pop()]) if len(racks) == 1 else None
+        return tuple(range(len(self._resources.total)))
 
     def _take_witnesses(self, charge: Charge) -> bool:
         for unit, count in charge:
@@ -251,7 +251,7 @@
         """A unit that a spread gang used whole has its old witness again."""
         lent, unit.lent = unit.lent, None
         self._set_witness(unit, None)
-        if lent and all(self._room.open(w) for w, _ in lent) and self._space().fits(lent):
+        if lent and all(self._resources.open(w) for w, _ in lent) and self._space().fits(lent):
             self._set_witness(unit, lent)
 
     # Witnesses
@@ -309,7 +309,7 @@
             self._set_witness(unit, None)
         space = self._space()
         space.take(shares)
-        places = pack(space, [unit.want for unit in units], self._budget)
+        places = pack(space, [unit.request for unit in units], self._budget)
         if places is None:
             return False
         for unit, place in zip(units, places, strict=True):
@@ -319,7 +319,7 @@
     def _place_each_in(self, space: Space, units: Iterable[Unit]) -> bool:
         all_placed = True
         for unit in units:
-            place = space.best(unit.want)
+            place = space.best(unit.request)
             if place is None:
                 all_placed = False
                 continue
@@ -334,7 +334,7 @@
         merged = dict(unit.witness or ())
         self._set_witness(unit, None)
         for worker, count in shares:
-            if self._room.open(worker):
+            if self._resources.open(worker):
                 merged[worker] = merged.get(worker, 0) + count
         if sum(merged.values()) == unit.left and self._space().fits(tuple(merged.items())):
             self._set_witness(unit, tuple(merged.items()))
@@ -349,54 +349,58 @@
         unit.witness = witness
 
     def _spare(self) -> list[int]:
-        room = self._room
+        resources = self._resources
         return [
-            room.unpinned(w) - self.reserved[w]
-            if room.unpinned_slots(w) > self.reserved_slots[w]
+            resources.unpinned(w) - self.reserved[w]
+            if resources.unpinned_slots(w) > self.reserved_slots[w]
             else 0
-            for w in range(len(room.total))
+            for w in range(len(resources.total))
         ]
 
     def _space(self) -> Space:
-        room = self._room
-        workers = range(len(room.total))
-        slots = [room.unpinned_slots(w) - self.reserved_slots[w] for w in workers]
+        resources = self._resources
+        workers = range(len(resources.total))
+        slots = [resources.unpinned_slots(w) - self.reserved_slots[w] for w in workers]
         left = [
             total - pinned - reserved if is_open else -reserved
             for total, pinned, reserved, is_open in zip(
-                room.total, room.pinned, self.reserved, room.opened, strict=True
+                resources.total, resources.pinned, self.reserved, resources.opened, strict=True
             )
         ]
-        return Space(left, slots, room.racks)
+        return Space(left, slots, resources.racks)
 
 
 def _hardest_first(unit: Unit) -> tuple[bool, int, int]:
     return unit.domain is None, ADJACENCY_ORDER[unit.shape.adjacent], -unit.left
 
 
-def largest_beside(room: Room, guarantees: Guarantees) -> tuple[int, int, int]:
+def largest_beside_guarantees(
+    resources: CellResources, guarantees: Guarantees
+) -> tuple[int, int, int]:
     """The largest gang that fits the empty cell beside every guarantee, by adjacency.
 
     :return: adjacent on a worker, on a rack, in the hall.
     """
-    wants = [Want(unit.shape) for unit in guarantees.units]
+    requests = [ShapeRequest(unit.shape) for unit in guarantees.units]
     found = [
-        _largest(room, wants, adjacent, room.largest_possible(rank))
+        _largest(resources, requests, adjacent, resources.largest_possible(rank))
         for adjacent, rank in ADJACENCY_ORDER.items()
     ]
     return found[0], found[1], found[2]
 
 
-def _largest(room: Room, wants: list[Want], adjacent: Adjacency, most: int) -> int:
+def _largest(
+    resources: CellResources, requests: list[ShapeRequest], adjacent: Adjacency, most: int
+) -> int:
     """The largest size that packs, by halving."""
-    if not wants:
+    if not requests:
         return most
     low = 0
-    budget = online_budget(len(room.total))
+    budget = online_budget(len(resources.total))
     while low < most:
         middle = (low + most + 1) // 2
-        space = Space(room.total, room.slots, room.racks)
-        if pack(space, [*wants, Want(Shape(middle, adjacent))], budget) is None:
+        space = Space(resources.total, resources.slots, resources.racks)
+        if pack(space, [*requests, ShapeRequest(Shape(middle, adjacent))], budget) is None:
             most = middle - 1
         else:
             low = middle
--- a/src/saddlestack/policy/packing.py
+++ b/src/saddlestack/policy/packing.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 
 from saddlestack.models import Adjacency, Shape
-from saddlestack.policy.room import Share
+from saddlestack.policy.resources import Share
 
 Shares = tuple[Share, ...]
 ONLINE_STEPS = 8_000
@@ -22,7 +22,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Want:
+class ShapeRequest:
     """A shape to be placed.
 
     :param within: the workers it has to lie on, where that is already settled.
@@ -74,11 +74,11 @@
         """Take ``wanted`` accelerators from some workers, whole workers first."""
         return fill(workers, [self.usable(w) for w in workers], wanted)
 
-    def options(self, want: Want) -> list[Shares]:
+    def options(self, request: ShapeRequest) -> list[Shares]:
         """Places for a shape, tightest first, one for each that differs in kind."""
-        shape = want.shape
-        if want.within is not None:
-            shares = self.fill(want.within, shape.accelerators)
+        shape = request.shape
+        if request.within is not None:
+            shares = self.fill(request.within, shape.accelerators)
             return [] if shares is None else [shares]
         if shape.adjacent is Adjacency.WORKER:
             return self._worker_options(shape.accelerators)
@@ -88,16 +88,16 @@
         shares = self.fill(everywhere, shape.accelerators)
         return [] if shares is None else [shares]
 
-    def best(self, want: Want) -> Shares | None:
+    def best(self, request: ShapeRequest) -> Shares | None:
         """The tightest place for a shape, the first of its options."""
-        wanted = want.shape.accelerators
-        if want.within is not None or want.shape.adjacent is Adjacency.HALL:
-            options = self.options(want)
+        wanted = request.shape.accelerators
+        if request.within is not None or request.shape.adjacent is Adjacency.HALL:
+            options = self.options(request)
             return options[0] if options else None
         usable = [
             count if slots > 0 else 0 for count, slots in zip(self.left, self.slots, strict=True)
         ]
-        if want.shape.adjacent is Adjacency.WORKER:
+        if request.shape.adjacent is Adjacency.WORKER:
             return self._best_worker(usable, wanted)
         totals = [sum([usable[w] for w in rack]) for rack in self.racks]
         fitting = [i for i, total in enumerate(totals) if total >= wanted]
@@ -172,33 +172,33 @@
     return (*shares, (worker, wanted))
 
 
-def pack(space: Space, wants: Sequence[Want], budget: int) -> list[Shares] | None:
+def pack(space: Space, requests: Sequence[ShapeRequest], budget: int) -> list[Shares] | None:
     """One place for each shape, all at the same time.
 
     :param space: what may be used; left as it was.
     :param budget: steps the exact search may take.
-    :return: places in the order of ``wants``, or ``None`` where none was found.
+    :return: places in the order of ``requests``, or ``None`` where none was found.
     """
-    order = sorted(range(len(wants)), key=lambda i: _hardest_first(wants[i]))
-    places: list[Shares | None] = [None] * len(wants)
-    if not _greedy(space, wants, order, places):
-        search = _Search(space, wants, order, budget)
+    order = sorted(range(len(requests)), key=lambda i: _hardest_first(requests[i]))
+    places: list[Shares | None] = [None] * len(requests)
+    if not _greedy(space, requests, order, places):
+        search = _Search(space, requests, order, budget)
         if not search.run(0):
             return None
         places = search.places
     return [place for place in places if place is not None]
 
 
-def _hardest_first(want: Want) -> tuple[bool, int, int]:
-    return want.within is None, _HARDNESS[want.shape.adjacent], -want.shape.accelerators
+def _hardest_first(request: ShapeRequest) -> tuple[bool, int, int]:
+    return request.within is None, _HARDNESS[request.shape.adjacent], -request.shape.accelerators
 
 
 def _greedy(
-    space: Space, wants: Sequence[Want], order: list[int], places: list[Shares | None]
+    space: Space, requests: Sequence[ShapeRequest], order: list[int], places: list[Shares | None]
 ) -> bool:
     taken: list[Shares] = []
     for i in order:
-        place = space.best(wants[i])
+        place = space.best(requests[i])
         if place is None:
             break
         places[i] = place
@@ -212,10 +212,12 @@
 class _Search:
     """Depth-first search over the distinct places of each shape."""
 
-    def __init__(self, space: Space, wants: Sequence[Want], order: list[int], budget: int) -> None:
-        self.places: list[Shares | None] = [None] * len(wants)
+    def __init__(
+        self, space: Space, requests: Sequence[ShapeRequest], order: list[int], budget: int
+    ) -> None:
+        self.places: list[Shares | None] = [None] * len(requests)
         self._space = space
-        self._wants = wants
+        self._requests = requests
         self._order = order
         self._budget = budget
 
@@ -223,7 +225,7 @@
         if depth == len(self._order):
             return True
         i = self._order[depth]
-        for shares in self._space.options(self._wants[i]):
+        for shares in self._space.options(self._requests[i]):
             self._budget -= 1
             if self._budget < 0:
                 return False
--- a/src/saddlestack/policy/placement.py
+++ b/src/saddlestack/policy/placement.py
@@ -12,7 +12,7 @@
 from saddlestack.policy.packing import Shares, fill
 
 
-def find(
+def find_placement(
     shape: Shape, usable: Sequence[int], racks: Sequence[Sequence[int]], *, scatter: bool
 ) -> Shares | None:
     """The best place for a shape in usable accelerators.
--- a/src/saddlestack/policy/planner.py
+++ b/src/saddlestack/policy/planner.py
@@ -18,8 +18,8 @@
     Shape,
 )
 from saddlestack.policy.assigning import CellKind, CellSearch
-from saddlestack.policy.packing import PLANNER_BUDGET, Space, Want, pack
-from saddlestack.policy.room import Room, WorkerInfo, workers_of
+from saddlestack.policy.packing import PLANNER_BUDGET, ShapeRequest, Space, pack
+from saddlestack.policy.resources import CellResources, WorkerInfo, workers_of
 
 MAX_CELL_WORKERS = 256
 
@@ -74,8 +74,8 @@
 @functools.lru_cache(maxsize=256)
 def _largest(workers: tuple[WorkerInfo, ...]) -> tuple[int, ...]:
     """The largest gangs that some workers could hold empty, by adjacency rank."""
-    room = Room(workers)
-    return tuple(room.largest_possible(rank) for rank in ADJACENCY_ORDER.values())
+    resources = CellResources(workers)
+    return tuple(resources.largest_possible(rank) for rank in ADJACENCY_ORDER.values())
 
 
 class Planner:
@@ -185,21 +185,31 @@
 
     def _holds(self, site: CellSite, shapes: Sequence[Shape]) -> bool:
         """Whether a cell can form all shapes at once, also after the loss of its spare workers."""
-        room = Room(site.workers)
-        wants = [Want(shape) for shape in shapes]
-        if pack(Space(room.total, room.slots, room.racks), wants, PLANNER_BUDGET) is None:
+        resources = CellResources(site.workers)
+        requests = [ShapeRequest(shape) for shape in shapes]
+        if (
+            pack(Space(resources.total, resources.slots, resources.racks), requests, PLANNER_BUDGET)
+            is None
+        ):
             return False
-        return all(self._packs_without(room, wants, lost) for lost in self._worst_losses(room))
+        return all(
+            self._packs_without(resources, requests, lost) for lost in self._worst_losses(resources)
+        )
 
-    def _packs_without(self, room: Room, wants: Sequence[Want], lost: Sequence[int]) -> bool:
-        left = [0 if w in lost else total for w, total in enumerate(room.total)]
-        return pack(Space(left, room.slots, room.racks), wants, PLANNER_BUDGET) is not None
+    def _packs_without(
+        self, resources: CellResources, requests: Sequence[ShapeRequest], lost: Sequence[int]
+    ) -> bool:
+        left = [0 if w in lost else total for w, total in enumerate(resources.total)]
+        return (
+            pack(Space(left, resources.slots, resources.racks), requests, PLANNER_BUDGET)
+            is not None
+        )
 
-    def _worst_losses(self, room: Room) -> list[list[int]]:
+    def _worst_losses(self, resources: CellResources) -> list[list[int]]:
         """The spare workers lost from one rack, for each rack."""
         if not self._spare:
             return []
-        return [list(rack[: self._spare]) for rack in room.racks]
+        return [list(rack[: self._spare]) for rack in resources.racks]
 
     def _nearest(
         self, cells: dict[str, list[Assignment]], account: str, shape: Shape
@@ -224,11 +234,12 @@
 
 
 def _kind_of(site: CellSite) -> CellKind:
-    room = Room(site.workers)
+    resources = CellResources(site.workers)
     layout = tuple(
-        tuple((room.total[worker], room.slots[worker]) for worker in rack) for rack in room.racks
+        tuple((resources.total[worker], resources.slots[worker]) for worker in rack)
+        for rack in resources.racks
     )
-    return CellKind(sum(room.total), layout)
+    return CellKind(sum(resources.total), layout)
 
 
 def _hardest_first(shape: Shape) -> tuple[int, int]:
--- a/src/saddlestack/policy/queue.py
+++ b/src/saddlestack/policy/queue.py
@@ -8,7 +8,7 @@
 from saddlestack.models import JobClass, JobSpec, Shape
 from saddlestack.policy.gang import Gang
 from saddlestack.policy.placement import domains
-from saddlestack.policy.room import Room
+from saddlestack.policy.resources import CellResources
 
 AGING_S = {0: 0.0, 1: 0.0, 2: 4 * 3600.0}
 """How long a gang of each class rank waits until it counts as one class higher; 0 never."""
@@ -33,10 +33,10 @@
         ratio = self._ratio.get((spec.account, spec.job_class), 1.0)
         return max(spec.estimate, MIN_ESTIMATE_S) * ratio
 
-    def learn(self, spec: JobSpec, took: float) -> None:
+    def record(self, spec: JobSpec, actual_s: float) -> None:
         """Note how long a gang really ran, seconds."""
         key = (spec.account, spec.job_class)
-        seen = max(took, MIN_ESTIMATE_S) / max(spec.estimate, MIN_ESTIMATE_S)
+        seen = max(actual_s, MIN_ESTIMATE_S) / max(spec.estimate, MIN_ESTIMATE_S)
         seen = min(max(seen, 1 / MAX_CORRECTION), MAX_CORRECTION)
         before = self._ratio.get(key, 1.0)
         self._ratio[key] = before + LEARNING_RATE * (seen - before)
@@ -50,7 +50,7 @@
     return gang.rank
 
 
-class Order:
+class QueueOrder:
     """The order in which waiting gangs are considered.
 
     Class first, then the account that borrows least, then age, where a short gang counts as
@@ -96,7 +96,7 @@
 
 
 def reserve(
-    gang: Gang, room: Room, running: Sequence[tuple[float, Gang]], now: float
+    gang: Gang, resources: CellResources, running: Sequence[tuple[float, Gang]], now: float
 ) -> Reservation | None:
     """Find where a blocked gang could start first, as running gangs end.
 
@@ -104,13 +104,13 @@
     """
     shape = gang.spec.shape
     best: tuple[float, Sequence[int]] | None = None
-    domain_list = _reservable(shape, room)
+    domain_list = _reservable(shape, resources)
     position = {worker: i for i, workers in enumerate(domain_list) for worker in workers}
-    free = [sum([room.free[w] for w in workers]) for workers in domain_list]
+    free = [sum([resources.free[w] for w in workers]) for workers in domain_list]
     for end, other in running:
         for worker, count in other.shares:
             i = position.get(worker)
-            if i is None or not room.open(worker):
+            if i is None or not resources.open(worker):
                 continue
             free[i] += count
             if free[i] >= shape.accelerators:
@@ -123,7 +123,7 @@
     return Reservation(gang.job_id, gang.rank, frozenset(best[1]), best[0])
 
 
-def _reservable(shape: Shape, room: Room) -> list[Sequence[int]]:
+def _reservable(shape: Shape, resources: CellResources) -> list[Sequence[int]]:
     if shape.adjacent.value == "hall":
-        return [[worker for rack in room.racks for worker in rack]]
-    return list(domains(shape, room.racks))
+        return [[worker for rack in resources.racks for worker in rack]]
+    return list(domains(shape, resources.racks))
--- a/src/saddlestack/policy/reclaim.py
+++ b/src/saddlestack/policy/reclaim.py
@@ -9,11 +9,11 @@
 from saddlestack.policy.gang import Gang
 from saddlestack.policy.packing import Shares, fill
 from saddlestack.policy.placement import domains
-from saddlestack.policy.room import Room
+from saddlestack.policy.resources import CellResources
 
 
 @dataclass(frozen=True, slots=True)
-class Takeover:
+class ReclaimPlan:
     """A place for a gang and the gangs that have to leave it.
 
     :param lost: accelerator-seconds thrown away.
@@ -35,29 +35,29 @@
 
     def __init__(
         self,
-        room: Room,
+        resources: CellResources,
         gangs_on: Sequence[Mapping[str, Gang]],
         takeable: Callable[[Gang], bool],
         limit: Sequence[int],
         reachable: Sequence[int],
         now: float,
     ) -> None:
-        self._room = room
+        self._resources = resources
         self._gangs_on = gangs_on
         self._takeable = takeable
         self._limit = limit
         self._reachable = reachable
         self._now = now
 
-    def cheapest(self, shape: Shape) -> Takeover | None:
+    def cheapest(self, shape: Shape) -> ReclaimPlan | None:
         """The takeover that spares urgent gangs, loses least work, hurts the fewest gangs.
 
         :rtype: Takeover | None
         """
         reachable = self._reachable
-        best: Takeover | None = None
+        best: ReclaimPlan | None = None
         best_cost = (0, 0.0, 0)
-        for workers in domains(shape, self._room.racks):
+        for workers in domains(shape, self._resources.racks):
             if sum([reachable[w] for w in workers]) < shape.accelerators:
                 continue
             found = self._within(workers, shape.accelerators)
@@ -71,7 +71,7 @@
                     break
         return best
 
-    def _within(self, workers: Sequence[int], wanted: int) -> Takeover | None:
+    def _within(self, workers: Sequence[int], wanted: int) -> ReclaimPlan | None:
         candidates = self._candidates(workers)
         victims = self._choose(workers, candidates, wanted)
         if victims is None:
@@ -82,7 +82,7 @@
         if shares is None:
             return None
         lost = sum(gang.loss(self._now) for gang in victims)
-        return Takeover(shares, tuple(victims), lost)
+        return ReclaimPlan(shares, tuple(victims), lost)
 
     def _candidates(self, workers: Sequence[int]) -> list[Gang]:
         found: dict[str, Gang] = {}
@@ -118,7 +118,7 @@
         return kept
 
     def _usable(self, workers: Sequence[int], victims: Iterable[Gang]) -> list[int]:
-        room = self._room
+        resources = self._resources
         freed: dict[int, int] = {}
         slots: dict[int, int] = {}
         for gang in victims:
@@ -127,8 +127,8 @@
                 slots[worker] = slots.get(worker, 0) + 1
         usable = []
         for worker in workers:
-            free = room.total[worker] - room.held[worker] + freed.get(worker, 0)
-            has_slot = room.held_slots[worker] - slots.get(worker, 0) < room.slots[worker]
-            may = free if room.open(worker) and has_slot else 0
+            free = resources.total[worker] - resources.held[worker] + freed.get(worker, 0)
+            has_slot = resources.held_slots[worker] - slots.get(worker, 0) < resources.slots[worker]
+            may = free if resources.open(worker) and has_slot else 0
             usable.append(min(may, self._limit[worker]))
         return usable
--- a/src/saddlestack/policy/room.py
+++ b/src/saddlestack/policy/resources.py
@@ -38,7 +38,7 @@
     ]
 
 
-class Room:
+class CellResources:
     """Accelerators and slots of a cell's workers, and how much of each is taken."""
 
     def __init__(self, workers: Sequence[WorkerInfo]) -> None:
--- a/src/saddlestack/policy/retry.py
+++ b/src/saddlestack/policy/retry.py
@@ -7,8 +7,8 @@
 
 from saddlestack.policy.limits import TokenBucket
 
-FIRST_DELAY_S = 0.05
-LAST_DELAY_S = 2.0
+BASE_DELAY_S = 0.05
+MAX_DELAY_S = 2.0
 RETRY_SHARE = 0.2
 RETRY_BURST = 20.0
 RETRIES_PER_S = 20.0
@@ -17,12 +17,12 @@
 BREAKER_OPEN_S = 5.0
 
 
-def delay(attempt: int, rng: random.Random) -> float:
+def retry_delay(attempt: int, rng: random.Random) -> float:
     """Seconds to wait before retry ``attempt`` (0 is the first), with full jitter."""
-    return rng.uniform(0.0, min(LAST_DELAY_S, FIRST_DELAY_S * float(2**attempt)))
+    return rng.uniform(0.0, min(MAX_DELAY_S, BASE_DELAY_S * float(2**attempt)))
 
 
-def pause(failures: int, first_s: float, longest_s: float, rng: random.Random) -> float:
+def backoff_delay(failures: int, first_s: float, longest_s: float, rng: random.Random) -> float:
     """Seconds to wait after ``failures`` in a row where a caller has to go on for ever.
 
     Doubles up to the longest, with half of it left to chance, so that it is never near none.
@@ -48,7 +48,7 @@
         self._tokens = burst
         self._steady = TokenBucket(per_second, per_second)
 
-    def first_try(self) -> None:
+    def record_first_try(self) -> None:
         """Note a first try."""
         self._tokens = min(self._burst, self._tokens + self._share)
 
@@ -102,4 +102,4 @@
             self._opened = now
 
 
-__all__ = ["Breaker", "BreakerState", "RetryBudget", "TokenBucket", "delay"]
+__all__ = ["Breaker", "BreakerState", "RetryBudget", "TokenBucket", "retry_delay"]
--- a/src/saddlestack/policy/round.py
+++ b/src/saddlestack/policy/round.py
@@ -16,9 +16,9 @@
 )
 from saddlestack.policy.guarantees import Charge
 from saddlestack.policy.packing import Shares
-from saddlestack.policy.placement import find
-from saddlestack.policy.queue import Order, Reservation, reserve
-from saddlestack.policy.reclaim import Reclaimer, Takeover
+from saddlestack.policy.placement import find_placement
+from saddlestack.policy.queue import QueueOrder, Reservation, reserve
+from saddlestack.policy.reclaim import Reclaimer, ReclaimPlan
 
 RESERVATIONS = 2
 MOVE_INTERVAL_S = 120.0
@@ -33,7 +33,7 @@
     def __init__(self, cell: CellView, now: float, held: list[tuple[Reservation, int]]) -> None:
         self._cell = cell
         self._held = held
-        self._room = cell.room
+        self._resources = cell.resources
         self._now = now
         self._decisions: list[Decision] = []
         self._too_large: dict[tuple[str, bool], int] = {}
@@ -54,10 +54,10 @@
 
     def _consider(self, gangs: list[Gang]) -> None:
         """Try gangs in order; those that stay blocked may get a reservation."""
-        order = Order(
+        order = QueueOrder(
             self._cell.estimator,
             dict(self._cell.borrowed),
-            sum(self._room.total),
+            sum(self._resources.total),
             self._now,
         )
         for gang in order.sort(gangs):
@@ -97,11 +97,11 @@
         if len(charge) > 1:
             limit = _only(guarantees.at_witnesses(charge), len(limit))
             shape = gang.spec.shape
-        usable = list(map(min, self._room.free, limit))
+        usable = list(map(min, self._resources.free, limit))
         shares = self._find(shape, usable)
         if shares is None and len(charge) == 1 and charge[0][0].domain is None:
             shares = self._cell.place_free(shape)
-        if shares is not None and guarantees.admits(charge, shares):
+        if shares is not None and guarantees.admit(charge, shares):
             self._start(gang, shares, charge)
             return True
         if self._reclaim_within(gang, shape, charge, limit):
@@ -116,13 +116,13 @@
         kept = _only(self._cell.guarantees.at_witnesses(charge, whole=True), len(limit))
         for allowed in (limit, kept):
             found = self._cheapest(shape, lambda other: not other.pinned, allowed, 0)
-            if found is not None and self._cell.guarantees.admits(charge, found.shares):
+            if found is not None and self._cell.guarantees.admit(charge, found.shares):
                 self._evict_all(found)
                 self._start(gang, found.shares, charge)
                 return True
         return False
 
-    def _worth(self, gang: Gang, found: Takeover) -> bool:
+    def _worth(self, gang: Gang, found: ReclaimPlan) -> bool:
         """Beyond a guarantee, work that is not urgent waits as long as stopping would cost."""
         if gang.rank == 0:
             return True
@@ -140,7 +140,7 @@
             return False
         if not gang.spec.reclaimable:
             return self._try_pinned(gang)
-        shares = self._place_beside_reservations(gang, self._room.free)
+        shares = self._place_beside_reservations(gang, self._resources.free)
         if shares is None:
             return False
         self._start(gang, shares, None)
@@ -148,10 +148,10 @@
 
     def _try_pinned(self, gang: Gang) -> bool:
         """Borrowed room for work that can't be taken back: beside every guarantee."""
-        spare = list(map(min, self._room.free, self._cell.guarantees.limits(())))
-        for usable in (spare, self._room.free):
+        spare = list(map(min, self._resources.free, self._cell.guarantees.limits(())))
+        for usable in (spare, self._resources.free):
             shares = self._place_beside_reservations(gang, usable)
-            if shares is not None and self._cell.guarantees.admits(None, shares):
+            if shares is not None and self._cell.guarantees.admit(None, shares):
                 self._start(gang, shares, None)
                 return True
         return False
@@ -185,7 +185,7 @@
         key = (f"reclaim {gang.spec.adjacent} {gang.rank}", gang.spec.reclaimable)
         if gang.spec.accelerators >= self._too_large.get(key, 1 << 30):
             return False
-        limit = self._room.total
+        limit = self._resources.total
         if not gang.spec.reclaimable:
             limit = self._cell.guarantees.limits(())
         found = self._cheapest(
@@ -199,7 +199,7 @@
             return False
         if not self._worth(gang, found):
             return False
-        if not gang.spec.reclaimable and not self._cell.guarantees.admits(None, found.shares):
+        if not gang.spec.reclaimable and not self._cell.guarantees.admit(None, found.shares):
             return False
         self._evict_all(found)
         self._start(gang, found.shares, None)
@@ -243,13 +243,13 @@
             return
         if self._try_moving(gang):
             return
-        held = reserve(gang, self._room, self._running_by_end(), self._now)
+        held = reserve(gang, self._resources, self._running_by_end(), self._now)
         if held is not None:
             self._reservations.append(held)
             self._spare[held.job_id] = self._spare_at(held, gang)
 
     def _spare_at(self, held: Reservation, gang: Gang) -> int:
-        free = sum(self._room.free[w] for w in held.workers)
+        free = sum(self._resources.free[w] for w in held.workers)
         for end, other in self._running_by_end():
             if end > held.start:
                 break
@@ -270,12 +270,12 @@
 
     def _try_moving(self, gang: Gang) -> bool:
         """Make contiguous room by moving checkpointable borrowers to other free room."""
-        if not gang.spec.reclaimable or sum(self._room.free) < gang.spec.accelerators:
+        if not gang.spec.reclaimable or sum(self._resources.free) < gang.spec.accelerators:
             return False
         if self._now < gang.next_move:
             return False
         gang.next_move = self._now + TRY_MOVING_S
-        found = self._cheapest(gang.spec.shape, self._movable, self._room.total, 0)
+        found = self._cheapest(gang.spec.shape, self._movable, self._resources.total, 0)
         if found is None or not found.victims:
             return False
         size = sum(victim.spec.accelerators for victim in found.victims)
@@ -287,10 +287,10 @@
         rested = self._now - max(gang.moved, gang.started) >= MOVE_INTERVAL_S
         return not gang.pinned and gang.spec.checkpoint and rested
 
-    def _move_all(self, gang: Gang, found: Takeover) -> bool:
+    def _move_all(self, gang: Gang, found: ReclaimPlan) -> bool:
         before = [(v, v.shares, v.charge, v.progress) for v in found.victims]
         reclaims = [self._cell.evict(victim, self._now, moved=True) for victim in found.victims]
-        usable = list(self._room.free)
+        usable = list(self._resources.free)
         for worker, count in found.shares:
             usable[worker] -= count
         places = self._places_for(found.victims, usable)
@@ -318,7 +318,7 @@
     # Shared steps
 
     def _find(self, shape: Shape, usable: Sequence[int]) -> Shares | None:
-        return find(shape, usable, self._room.racks, scatter=self._cell.scatter)
+        return find_placement(shape, usable, self._resources.racks, scatter=self._cell.scatter)
 
     def _cheapest(
         self,
@@ -326,23 +326,23 @@
         takeable: Callable[[Gang], bool],
         limit: Sequence[int],
         least_rank: int,
-    ) -> Takeover | None:
+    ) -> ReclaimPlan | None:
         """The cheapest takeover from gangs of a class rank or lesser ones."""
-        room = self._room
+        resources = self._resources
         lent = [sum(counts) for counts in zip(*self._cell.lent[least_rank:], strict=True)]
         if not lent:
             return None
         reachable = [
             min(most, total - held + count) if is_open else 0
             for most, total, held, count, is_open in zip(
-                limit, room.total, room.held, lent, room.opened, strict=True
+                limit, resources.total, resources.held, lent, resources.opened, strict=True
             )
         ]
         gangs_on = self._cell.gangs_on()
-        search = Reclaimer(room, gangs_on, takeable, limit, reachable, self._now)
+        search = Reclaimer(resources, gangs_on, takeable, limit, reachable, self._now)
         return search.cheapest(shape)
 
-    def _evict_all(self, found: Takeover) -> None:
+    def _evict_all(self, found: ReclaimPlan) -> None:
         for victim in found.victims:
             self._decisions.append(self._cell.evict(victim, self._now))
 
--- a/src/saddlestack/policy/router.py
+++ b/src/saddlestack/policy/router.py
@@ -35,7 +35,7 @@
 _RANK = {JobClass.URGENT: 0, JobClass.NORMAL: 1, JobClass.BULK: 2}
 
 
-class SentSince:
+class RoutedSinceSummary:
     """Counts what was sent to each cell since it last announced itself.
 
     Summaries are a heartbeat old; without this, every job of a burst would go to the cell
@@ -75,7 +75,7 @@
         self._sent[cell][_RANK[spec.job_class]] += spec.accelerators
 
 
-def choose(
+def choose_cell(
     spec: JobSpec,
     summaries: Iterable[CellSummary],
     guaranteed: Sequence[str],
@@ -101,7 +101,7 @@
     return min(possible, key=lambda s: _preference(spec, s, guaranteed, home)).cell
 
 
-def better(spec: JobSpec, here: str, summaries: Iterable[CellSummary]) -> str | None:
+def find_better_cell(spec: JobSpec, here: str, summaries: Iterable[CellSummary]) -> str | None:
     """A cell where a job that waits would start at once, unless it would here too.
 
     :param here: the cell where it waits.
--- a/src/saddlestack/policy/standstill.py
+++ b/src/saddlestack/policy/stall.py
@@ -10,14 +10,14 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-STILL_S = 3.0
+STALL_S = 3.0
 """For so long a job may stand beside a free pool. From the platform's bounds."""
-ROOM_FACTOR = 2
+FREE_CAPACITY_FACTOR = 2
 """Room is there where a job fits so many times over. From the platform's bounds."""
 
 
 @dataclass(frozen=True, slots=True)
-class PoolUse:
+class PoolUsage:
     """What of a service's pool is held.
 
     :param used: accelerators that runs hold, those being stopped among them.
@@ -34,7 +34,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Standstill:
+class Stall:
     """A job that has stood still for too long.
 
     :param job_id: its name.
@@ -45,23 +45,23 @@
     since_s: float
 
 
-def has_room(pool: PoolUse, copies: int, wanted: int) -> bool:
+def has_free_capacity(pool: PoolUsage, copies: int, wanted: int) -> bool:
     """Whether a job that stands has no reason to in the pool's room.
 
     :param copies: tasks of it that fit into what is free.
     :param wanted: tasks that have to start at once: all of a gang, else one.
     """
-    return pool.is_mostly_free and copies >= ROOM_FACTOR * wanted
+    return pool.is_mostly_free and copies >= FREE_CAPACITY_FACTOR * wanted
 
 
-class StillWatch:
+class StallDetector:
     """Since when each job stands, from look to look."""
 
     def __init__(self) -> None:
         self._since: dict[str, float] = {}
         self._told: set[str] = set()
 
-    def look(self, standing: Iterable[str], now: float) -> list[Standstill]:
+    def update(self, standing: Iterable[str], now: float) -> list[Stall]:
         """Note which jobs stand now; those that have just stood for too long, once each time.
 
         :param standing: jobs of which nothing runs, though a task may and has room.
@@ -73,9 +73,9 @@
         found = []
         for job_id in sorted(present):
             since_s = self._since.setdefault(job_id, now)
-            if now - since_s >= STILL_S and job_id not in self._told:
+            if now - since_s >= STALL_S and job_id not in self._told:
                 self._told.add(job_id)
-                found.append(Standstill(job_id, since_s))
+                found.append(Stall(job_id, since_s))
         return found
 
     def since(self, job_id: str) -> float | None:
--- a/src/saddlestack/policy/suspicion.py
+++ b/src/saddlestack/policy/suspicion.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-TOGETHER_S = 0.5
+CORRELATION_WINDOW_S = 0.5
 """Calls to two workers of a hall without answer within this time speak against the hall: orders are
 given up after 0.6 s and looks at least every 2.4 s, so a cut hall shows this soon."""
 
@@ -26,10 +26,10 @@
     def __init__(self) -> None:
         self._latest: dict[str, _Miss] = {}
 
-    def missed(self, hall: str, worker_id: str, now: float) -> bool:
+    def record_unanswered(self, hall: str, worker_id: str, now: float) -> bool:
         """Note a call without answer; whether it speaks against the whole hall."""
         before = self._latest.get(hall)
         self._latest[hall] = _Miss(worker_id, now)
         if before is None or before.worker_id == worker_id:
             return False
-        return now - before.at_s <= TOGETHER_S
+        return now - before.at_s <= CORRELATION_WINDOW_S
--- a/src/saddlestack/policy/upkeep.py
+++ b/src/saddlestack/policy/upkeep.py
@@ -98,15 +98,15 @@
                 names.append(name)
         return names
 
-    def went_down(self, machine: str) -> None:
+    def mark_down(self, machine: str) -> None:
         """The order was carried out."""
         self.machines[machine].status = MachineStatus.DOWN
 
-    def is_gone(self, machine: str) -> None:
+    def mark_done(self, machine: str) -> None:
         """There is no such machine any more, or it is not of this wave."""
         self.machines[machine].status = MachineStatus.DONE
 
-    def prepares(self, machine: str) -> bool:
+    def is_preparing(self, machine: str) -> bool:
         """Whether a machine is to go down and has not yet."""
         known = self.machines.get(machine)
         return known is not None and known.status in {
--- a/src/saddlestack/replay/baselines.py
+++ b/src/saddlestack/replay/baselines.py
@@ -13,7 +13,7 @@
 from saddlestack.policy.gang import Decision, Gang, Loss, Refusal, Start
 from saddlestack.policy.packing import Shares
 from saddlestack.policy.planner import CellSite
-from saddlestack.policy.room import Room
+from saddlestack.policy.resources import CellResources
 
 
 class Baseline:
@@ -24,12 +24,12 @@
 
     def __init__(self, sites: Iterable[CellSite], *, strict: bool) -> None:
         self._strict = strict
-        self.rooms = {site.plan.name: Room(site.workers) for site in sites}
+        self.rooms = {site.plan.name: CellResources(site.workers) for site in sites}
         self._room_of_vm = {
             worker.name: room for room in self.rooms.values() for worker in room.workers
         }
         self.waiting: dict[str, Gang] = {}
-        self.running: dict[str, tuple[Gang, Room]] = {}
+        self.running: dict[str, tuple[Gang, CellResources]] = {}
         self._orders = 0
 
     def submit(self, spec: JobSpec, now: float) -> Refusal | None:
@@ -99,7 +99,7 @@
         room = self._room_of_vm[vm]
         room.set_state(room.index[vm], up=True, leaving=False)
 
-    def _start(self, gang: Gang, room: Room, shares: Shares, now: float) -> Start:
+    def _start(self, gang: Gang, room: CellResources, shares: Shares, now: float) -> Start:
         del self.waiting[gang.job_id]
         gang.attempt += 1
         gang.started = now
@@ -109,19 +109,19 @@
         parts = tuple(Part(room.workers[w].name, count) for w, count in shares)
         return Start(gang.job_id, gang.attempt, parts, gang.progress, False)
 
-    def _first_fit(self, spec: JobSpec) -> tuple[Room, Shares] | None:
+    def _first_fit(self, spec: JobSpec) -> tuple[CellResources, Shares] | None:
         for room in self.rooms.values():
             shares = _first_place(room, spec)
             if shares is not None:
                 return room, shares
         return None
 
-    def _could_hold(self, room: Room, spec: JobSpec) -> bool:
+    def _could_hold(self, room: CellResources, spec: JobSpec) -> bool:
         rank = [Adjacency.WORKER, Adjacency.RACK, Adjacency.HALL].index(spec.adjacent)
         return room.largest_possible(rank) >= spec.accelerators
 
 
-def _first_place(room: Room, spec: JobSpec) -> Shares | None:
+def _first_place(room: CellResources, spec: JobSpec) -> Shares | None:
     if spec.adjacent is Adjacency.WORKER:
         for worker, free in enumerate(room.free):
             if free >= spec.accelerators:
@@ -136,7 +136,7 @@
     return None
 
 
-def _take_in_order(room: Room, workers: Iterable[int], wanted: int) -> Shares:
+def _take_in_order(room: CellResources, workers: Iterable[int], wanted: int) -> Shares:
     shares: list[tuple[int, int]] = []
     for worker in workers:
         count = min(room.free[worker], wanted)
--- a/src/saddlestack/replay/checks.py
+++ b/src/saddlestack/replay/checks.py
@@ -87,7 +87,7 @@
                 continue
             self._check_place(now, cell, unit)
             for worker, count in unit.witness:
-                name = cell.room.workers[worker].name
+                name = cell.resources.workers[worker].name
                 accelerators, tasks = taken.get(name, (0, 0))
                 taken[name] = (accelerators + count, tasks + 1)
         for name, (accelerators, tasks) in taken.items():
@@ -97,7 +97,7 @@
         self._check_missing(now, cell, missing, missing_before)
 
     def _check_missing(self, now: float, cell: Cell, missing: int, before: int) -> None:
-        closed = any(not cell.room.open(w) for w in range(len(cell.room.total)))
+        closed = any(not cell.resources.open(w) for w in range(len(cell.resources.total)))
         if missing and not closed:
             self.note(now, f"{missing} guaranteed shapes of cell {cell.name} can't be formed")
         elif missing > before:
@@ -105,7 +105,7 @@
 
     def _check_place(self, now: float, cell: Cell, unit: Unit) -> None:
         shares = unit.witness or ()
-        workers = [cell.room.workers[w] for w, _ in shares]
+        workers = [cell.resources.workers[w] for w, _ in shares]
         near = {
             Adjacency.WORKER: len(workers) == 1,
             Adjacency.RACK: len({worker.rack for worker in workers}) == 1,
--- a/src/saddlestack/replay/measures.py
+++ b/src/saddlestack/replay/measures.py
@@ -8,7 +8,7 @@
 
 from saddlestack.models import JobClass, Shape, Weights
 from saddlestack.policy.defrag import usable
-from saddlestack.policy.room import Room
+from saddlestack.policy.resources import CellResources
 
 
 class Summary(msgspec.Struct):
@@ -102,7 +102,7 @@
         self._area = 0.0
         self.points: list[tuple[float, float]] = []
 
-    def note(self, now: float, rooms: Sequence[Room]) -> None:
+    def note(self, now: float, rooms: Sequence[CellResources]) -> None:
         """Account for the time since the last change, then look at the rooms anew."""
         self._area += self._value * (now - self._at)
         self._at = now
@@ -116,7 +116,7 @@
         area = self._area + self._value * (until - self._at)
         return area / until if until > 0 else self._value
 
-    def _now(self, rooms: Sequence[Room]) -> float:
+    def _now(self, rooms: Sequence[CellResources]) -> float:
         free = sum(sum(room.free) for room in rooms)
         if not free or not self._shapes:
             return 0.0
--- a/src/saddlestack/replay/runner.py
+++ b/src/saddlestack/replay/runner.py
@@ -17,9 +17,9 @@
 from saddlestack.policy.defrag import usable
 from saddlestack.policy.fleet import Fleet
 from saddlestack.policy.gang import Decision, Loss, Reclaim, Refusal, Start
-from saddlestack.policy.placement import find
+from saddlestack.policy.placement import find_placement
 from saddlestack.policy.planner import Planner, cells_of
-from saddlestack.policy.room import Room
+from saddlestack.policy.resources import CellResources
 from saddlestack.replay.baselines import Baseline
 from saddlestack.replay.checks import Checks
 from saddlestack.replay.measures import (
@@ -263,9 +263,9 @@
         elif self._baseline is not None:
             self._baseline.vm_back(vm)
 
-    def _rooms(self) -> list[Room]:
+    def _rooms(self) -> list[CellResources]:
         if self._fleet is not None:
-            return [cell.room for cell in self._fleet.cells.values()]
+            return [cell.resources for cell in self._fleet.cells.values()]
         assert self._baseline is not None
         return list(self._baseline.rooms.values())
 
@@ -381,7 +381,7 @@
         if self._fleet is None:
             return self._problem_without_reclaim(event.account or "", shape)
         missing = [
-            str(unit.want.shape)
+            str(unit.request.shape)
             for cell in self._fleet.cells.values()
             for unit in cell.guarantees.of(event.account or "")
             if unit.left and unit.witness is None and shape in {None, unit.shape}
@@ -392,21 +392,21 @@
         """A baseline takes nothing back: its guarantee is what lies free."""
         for guaranteed in self._guarantee_shapes[account]:
             if shape in {None, guaranteed}:
-                room = sum(usable(room, guaranteed) for room in self._rooms())
-                if room < guaranteed.accelerators:
+                resources = sum(usable(resources, guaranteed) for resources in self._rooms())
+                if resources < guaranteed.accelerators:
                     return f"{guaranteed} can't be formed"
         return None
 
     def _problem_of_room(self, event: Expect) -> str | None:
         wanted = event.accelerators or 0
         if event.adjacent is Adjacency.WORKER:
-            most = max(max(room.free, default=0) for room in self._rooms())
+            most = max(max(resources.free, default=0) for resources in self._rooms())
         elif event.adjacent is Adjacency.RACK:
-            most = max(max(room.rack_free, default=0) for room in self._rooms())
+            most = max(max(resources.rack_free, default=0) for resources in self._rooms())
         elif event.adjacent is Adjacency.HALL:
-            most = max(sum(room.free) for room in self._rooms())
+            most = max(sum(resources.free) for resources in self._rooms())
         else:
-            most = sum(sum(room.free) for room in self._rooms())
+            most = sum(sum(resources.free) for resources in self._rooms())
         return None if most >= wanted else f"{most} are free"
 
     # The result
@@ -445,8 +445,9 @@
     def _could_start(self, job: JobRun) -> bool:
         """Whether a job that is left over would fit the VMs that are up."""
         return any(
-            find(job.spec.shape, room.free, room.racks, scatter=False) is not None
-            for room in self._rooms()
+            find_placement(job.spec.shape, resources.free, resources.racks, scatter=False)
+            is not None
+            for resources in self._rooms()
         )
 
 
--- a/src/saddlestack/replay/trace.py
+++ b/src/saddlestack/replay/trace.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from saddlestack.codec import from_json, read_commented
+from saddlestack.codec import from_json, read_json_with_comments
 from saddlestack.errors import ErrorKind, SaddlestackError, invalid
 from saddlestack.models import Account, Adjacency, DataHall, Intent, JobClass, JobSpec, Weights
 from saddlestack.policy.intent import check_intent
@@ -138,7 +138,7 @@
 
     :raises SaddlestackError: with file and key path.
     """
-    config = read_commented(path, ReplayConfig)
+    config = read_json_with_comments(path, ReplayConfig)
     intent = Intent(
         data_halls=config.data_halls,
         accounts=config.accounts,
--- a/src/saddlestack/services/cellstate.py
+++ b/src/saddlestack/services/cellstate.py
@@ -75,7 +75,7 @@
         self._lease = self._new_lease()
         self._dispatch = Dispatch(self._links, self.clock.now)
         self._freeing: dict[str, set[asyncio.Task[None]]] = {}
-        self._evidence = Evidence(self._policy.room.index)
+        self._evidence = Evidence(self._policy.resources.index)
         self._leaving: frozenset[str] = frozenset()
         self._paused = False
         self._last_tick = 0.0
--- a/src/saddlestack/services/configuration.py
+++ b/src/saddlestack/services/configuration.py
@@ -28,7 +28,7 @@
     WriteInDoubt,
 )
 from saddlestack.policy.intent import apply_intent, describe
-from saddlestack.policy.retry import delay
+from saddlestack.policy.retry import retry_delay
 from saddlestack.services import names
 from saddlestack.services.audit import Audit
 from saddlestack.services.context import Context
@@ -176,7 +176,7 @@
     async def _settle(self, entry: Entry, after: Document, record: AuditRecord) -> None:
         """Find out whether a write that was not answered took effect."""
         for attempt in range(DOUBT_TRIES):
-            await asyncio.sleep(delay(attempt, self._context.rng) + CHECK_S)
+            await asyncio.sleep(retry_delay(attempt, self._context.rng) + CHECK_S)
             try:
                 now = await self._store.get(KEY)
             except StoreUnavailable:
@@ -256,7 +256,7 @@
             try:
                 entry = await self._store.watch(KEY, self._version, WATCH_S)
             except StoreUnavailable:
-                await asyncio.sleep(min(PROBE_S, delay(attempt, self._context.rng) + CHECK_S))
+                await asyncio.sleep(min(PROBE_S, retry_delay(attempt, self._context.rng) + CHECK_S))
                 attempt += 1
                 continue
             attempt = 0
@@ -269,7 +269,7 @@
             try:
                 self._take(await self._store.get(KEY))
             except StoreUnavailable:
-                await asyncio.sleep(delay(attempt, self._context.rng) + CHECK_S)
+                await asyncio.sleep(retry_delay(attempt, self._context.rng) + CHECK_S)
                 attempt += 1
 
     async def _read_anyway(self) -> None:
--- a/src/saddlestack/services/gangs.py
+++ b/src/saddlestack/services/gangs.py
@@ -11,7 +11,7 @@
     JobState,
 )
 from saddlestack.platform.endpoint import Op, TaskState, TaskStatus
-from saddlestack.policy.gang import Decision, Expire, Loss, Means, Reclaim, Start
+from saddlestack.policy.gang import Decision, Expire, Loss, Reclaim, ReclaimMethod, Start
 from saddlestack.services.cellstate import CellState
 from saddlestack.services.dispatch import Launched, LaunchOrder
 from saddlestack.services.entries import (
@@ -62,7 +62,7 @@
 
     def _stands_on(self, job_id: str, vm: str) -> bool:
         """Whether a running gang has a part on a worker."""
-        index = self._policy.room.index[vm]
+        index = self._policy.resources.index[vm]
         return any(worker == index for worker, _ in self._policy.running[job_id].shares)
 
     def _attempt(self, entry: JobEntry) -> int:
@@ -71,7 +71,7 @@
 
     def _part_done(self, entry: JobEntry, link: EndpointLink, status: TaskStatus) -> None:
         gang = self._policy.running[status.job]
-        leader = self._policy.room.workers[gang.shares[0][0]].name
+        leader = self._policy.resources.workers[gang.shares[0][0]].name
         if link.name == leader:
             answer = whole_answer(status)
             if answer is None:
@@ -105,7 +105,7 @@
         gang = self._policy.running.get(job_id)
         if gang is None or entry.launching or entry.answer is None:
             return
-        vms = {self._policy.room.workers[w].name for w, _ in gang.shares}
+        vms = {self._policy.resources.workers[w].name for w, _ in gang.shares}
         if entry.ended >= vms:
             self._policy.finished(job_id, self.clock.now())
             entry.record.answer = entry.answer
@@ -114,21 +114,21 @@
     def _refresh_vm(self, name: str) -> None:
         """Let the policy see a worker as its link and the lists show it."""
         link = self._links.get(name)
-        index = self._policy.room.index.get(name)
+        index = self._policy.resources.index.get(name)
         if index is None:
             return
         up = link is not None and link.reachable
         told = (link is not None and link.leaving) or name in self._leaving
         leaving = told or self._evidence.holds(name)
-        room = self._policy.room
-        if room.up[index] and not up:
+        resources = self._policy.resources
+        if resources.up[index] and not up:
             for loss in self._policy.vm_lost(name, self.clock.now()):
                 self._gang_lost(loss, name)
-        elif up and not room.up[index]:
+        elif up and not resources.up[index]:
             self._policy.vm_back(name)
-        if up and leaving and not room.leaving[index]:
+        if up and leaving and not resources.leaving[index]:
             self._policy.vm_leaving(name)
-        elif up and not leaving and room.leaving[index]:
+        elif up and not leaving and resources.leaving[index]:
             self._policy.vm_back(name)
 
     def _gang_lost(self, loss: Loss, vm: str) -> None:
@@ -150,7 +150,7 @@
         gang = self._policy.running.get(job_id)
         if gang is None:
             return
-        vms = [self._policy.room.workers[w].name for w, _ in gang.shares]
+        vms = [self._policy.resources.workers[w].name for w, _ in gang.shares]
         progress = gang.progress
         self._policy.cancel(job_id)
         self._take_back(entry, gang.attempt, vms, Op.STOP)
@@ -301,7 +301,7 @@
         self._after_break(entry, message.attempt, entry.record.progress)
 
     def _reclaim(self, entry: JobEntry, reclaim: Reclaim) -> None:
-        op = Op.CHECKPOINT if reclaim.means is Means.CHECKPOINT else Op.STOP
+        op = Op.CHECKPOINT if reclaim.method is ReclaimMethod.CHECKPOINT else Op.STOP
         vms = [part.vm for part in entry.record.parts]
         self._take_back(entry, reclaim.attempt, vms, op, report=True)
         entry.record.state = JobState.QUEUED
--- a/src/saddlestack/services/groupcommit.py
+++ b/src/saddlestack/services/groupcommit.py
@@ -20,7 +20,7 @@
     VersionMoved,
     WriteInDoubt,
 )
-from saddlestack.policy.retry import delay
+from saddlestack.policy.retry import retry_delay
 
 log = logging.getLogger("saddlestack.store")
 
@@ -191,7 +191,7 @@
                 attempt += 1
 
     async def _pause(self, attempt: int) -> None:
-        await asyncio.sleep(delay(attempt, self._rng) + self._gather_s)
+        await asyncio.sleep(retry_delay(attempt, self._rng) + self._gather_s)
 
     def _fail(self, error: Fenced) -> None:
         self.fenced = error
--- a/src/saddlestack/services/link.py
+++ b/src/saddlestack/services/link.py
@@ -17,7 +17,7 @@
     SyncBody,
     SyncReply,
 )
-from saddlestack.policy.retry import Breaker, delay
+from saddlestack.policy.retry import Breaker, retry_delay
 from saddlestack.services.context import Context
 from saddlestack.wire.http import AnswerLost, NotSent
 
@@ -206,11 +206,11 @@
             except (NotSent, AnswerLost):
                 failures += 1
                 self._note_silence()
-                await asyncio.sleep(delay(failures, self._context.rng) + 0.1)
+                await asyncio.sleep(retry_delay(failures, self._context.rng) + 0.1)
             except SaddlestackError as error:
                 failures += 1
                 self._refused(error)
-                await asyncio.sleep(delay(failures, self._context.rng) + 0.1)
+                await asyncio.sleep(retry_delay(failures, self._context.rng) + 0.1)
             else:
                 failures = 0
                 self._take(reply)
--- a/src/saddlestack/services/router.py
+++ b/src/saddlestack/services/router.py
@@ -11,8 +11,8 @@
 from saddlestack.kernel.service import Service
 from saddlestack.models import ADJACENCY_ORDER, JobSpec, JobView
 from saddlestack.policy.planner import cells_of
-from saddlestack.policy.retry import RetryBudget, delay
-from saddlestack.policy.router import CellSummary, SentSince, choose
+from saddlestack.policy.retry import RetryBudget, retry_delay
+from saddlestack.policy.router import CellSummary, RoutedSinceSummary, choose_cell
 from saddlestack.services import names
 from saddlestack.services.configuration import Configuration
 from saddlestack.services.context import Context
@@ -65,7 +65,7 @@
         self._membership = context.registry.get(names.MEMBERSHIP, Membership)
         self._configuration = context.registry.get(names.CONFIGURATION, Configuration)
         self._budget = RetryBudget()
-        self._sent = SentSince()
+        self._sent = RoutedSinceSummary()
         rpc = context.registry.get(names.RPC, Rpc)
         rpc.add("submit", Submit, self._serve_submit)
         rpc.add("ask", Ask, self._serve_ask)
@@ -85,7 +85,9 @@
         summaries = [
             self._sent.adjusted(_summary(owner, halls)) for owner in self._membership.cells()
         ]
-        cell = choose(spec, summaries, self._guaranteed_cells(spec), home=self._context.data_hall)
+        cell = choose_cell(
+            spec, summaries, self._guaranteed_cells(spec), home=self._context.data_hall
+        )
         if cell is not None:
             self._sent.note(cell, spec)
             return cell
@@ -192,7 +194,7 @@
     ) -> T:
         """Call a cell's scheduler, following it when it moves."""
         patience = Patience(self.clock.now() + OWNER_PATIENCE_S)
-        self._budget.first_try()
+        self._budget.record_first_try()
         while True:
             owner = self._membership.owner(cell)
             if owner is not None and self._may_try(owner, patience):
@@ -207,7 +209,7 @@
                 patience.attempt += 1
             if self.clock.now() >= patience.until:
                 raise self._gave_up(cell, patience)
-            await asyncio.sleep(0.05 + delay(min(patience.attempt, 3), self._context.rng))
+            await asyncio.sleep(0.05 + retry_delay(min(patience.attempt, 3), self._context.rng))
 
     def _may_try(self, owner: OwnedCell, patience: Patience) -> bool:
         """A cell that moved is always tried; the same scheduler again only within the budget."""
--- a/src/saddlestack/services/scheduler.py
+++ b/src/saddlestack/services/scheduler.py
@@ -86,7 +86,7 @@
 
     def connect(self, name: str, address: str, port: int) -> None:
         """Know an endpoint of the cell, or its new address."""
-        if name not in self._policy.room.index:
+        if name not in self._policy.resources.index:
             return
         known = self._links.get(name)
         if known is not None and known.address == (address, port):
@@ -200,24 +200,24 @@
 
     def status(self) -> CellStatus:
         """The cell's state, for operators."""
-        room = self._policy.room
+        resources = self._policy.resources
         accounts = sorted({unit.account for unit in self._policy.guarantees.units})
         return CellStatus(
             cell=self.cell,
             owner=self._context.vm,
             term=self.term,
             interim=self.interim,
-            workers_up=sum(room.up),
-            workers=len(room.up),
-            free=sum(room.free),
-            capacity=sum(room.total),
+            workers_up=sum(resources.up),
+            workers=len(resources.up),
+            free=sum(resources.free),
+            capacity=sum(resources.total),
             running=len(self._policy.running),
             queued={kind.value: self._policy.queued(kind) for kind in JobClass},
             guarantees=tuple(self._formable(account) for account in accounts),
             workers_down=tuple(
                 worker.name
-                for i, worker in enumerate(room.workers)
-                if not room.up[i] or room.leaving[i]
+                for i, worker in enumerate(resources.workers)
+                if not resources.up[i] or resources.leaving[i]
             ),
         )
 
@@ -379,7 +379,7 @@
                 message.document.weights,
                 queue_limits(message.document),
             )
-        for name in self._policy.room.index:
+        for name in self._policy.resources.index:
             self._refresh_vm(name)
 
     def _tell(self) -> None:
--- a/src/saddlestack/services/takeover.py
+++ b/src/saddlestack/services/takeover.py
@@ -11,7 +11,7 @@
 )
 from saddlestack.platform.endpoint import Op, SyncReply, TaskStatus
 from saddlestack.platform.store import StoreUnavailable
-from saddlestack.policy.retry import delay
+from saddlestack.policy.retry import retry_delay
 from saddlestack.services.cellstate import RECOVER_S
 from saddlestack.services.entries import (
     JobEntry,
@@ -44,7 +44,7 @@
         for status in reply.tasks:
             if status.job not in self._entries and status.spec is not None:
                 self._unknown_task(status)
-        for gang in list(self._policy.gangs_on()[self._policy.room.index[link.name]].values()):
+        for gang in list(self._policy.gangs_on()[self._policy.resources.index[link.name]].values()):
             entry = self._entries[gang.job_id]
             if (gang.job_id, gang.attempt) not in here and not entry.launching:
                 self._gang_broken(entry)
@@ -71,7 +71,7 @@
             known = records.get(record.spec.job_id)
             if known is None or (not known.state.final and record.attempt >= known.attempt):
                 records[record.spec.job_id] = record
-        for name in self._policy.room.index:
+        for name in self._policy.resources.index:
             self._policy.vm_lost(name, self.clock.now())
         self._restore_records(records.values())
         await self._hear_endpoints()
@@ -84,7 +84,7 @@
             try:
                 return await self._ledger.open()
             except StoreUnavailable:
-                await asyncio.sleep(delay(attempt, self._context.rng) + LEDGER_RETRY_S)
+                await asyncio.sleep(retry_delay(attempt, self._context.rng) + LEDGER_RETRY_S)
                 attempt += 1
 
     def _restore_records(self, records: Iterable[JobRecord]) -> None:
@@ -105,7 +105,7 @@
         until = self.clock.now() + RECOVER_S
         while self.clock.now() < until:
             links = list(self._links.values())
-            if len(links) == len(self._policy.room.index) and all(
+            if len(links) == len(self._policy.resources.index) and all(
                 link.first.is_set() for link in links
             ):
                 break
--- a/src/saddlestack/settings.py
+++ b/src/saddlestack/settings.py
@@ -6,7 +6,7 @@
 import logging
 from pathlib import Path
 
-from saddlestack.codec import read_commented
+from saddlestack.codec import read_json_with_comments
 from saddlestack.errors import invalid
 from saddlestack.models import Model
 
@@ -91,7 +91,7 @@
 
     :raises SaddlestackError: with every fault found, each with its line or key path.
     """
-    settings = read_commented(path, Settings)
+    settings = read_json_with_comments(path, Settings)
     faults = check(settings)
     if faults:
         raise invalid("; ".join(faults), str(path))
--- a/src/saddlestack/soak/excuses.py
+++ b/src/saddlestack/soak/excuses.py
@@ -5,7 +5,7 @@
 the first start, of whatever job, that was ordered after its end.
 
 A standstill is broken where it has a stretch of
-:data:`~saddlestack.policy.standstill.STILL_S` or more in which
+:data:`~saddlestack.policy.stall.STALL_S` or more in which
 
 - no fault reached the VM that led, and nobody else had begun to lead (:attr:`Excuse.LEADER`);
 - no fault of all VMs, of the store for all, or of a share of all workers' ways or records reached
@@ -27,7 +27,7 @@
 from collections.abc import Iterable, Iterator, Mapping, Sequence
 from dataclasses import dataclass
 
-from saddlestack.policy.standstill import STILL_S
+from saddlestack.policy.stall import STALL_S
 from saddlestack.soak.disturbances import ALL_VMS
 from saddlestack.soak.faults import Fault
 from saddlestack.soak.platform import Term
@@ -138,10 +138,10 @@
             ],
         }
         reached = [span for spans in reaches.values() for span in spans]
-        if any(longest_gap_s(span, reached) >= STILL_S for span in sure):
+        if any(longest_gap_s(span, reached) >= STALL_S for span in sure):
             return JudgedStandstill(stood, ())
         excuses = [excuse for excuse, spans in reaches.items() if spans]
-        if longest_gap_s(whole, reached) >= STILL_S:
+        if longest_gap_s(whole, reached) >= STALL_S:
             excuses.append(Excuse.ROOM)
         return JudgedStandstill(stood, tuple(excuses))
 
--- a/src/saddlestack/soak/shape.py
+++ b/src/saddlestack/soak/shape.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-from saddlestack.codec import read_commented
+from saddlestack.codec import read_json_with_comments
 from saddlestack.errors import invalid
 from saddlestack.models import Model
 
@@ -272,7 +272,7 @@
 
     :raises SaddlestackError: with every fault found, each with its line or key path.
     """
-    shape = read_commented(path, SoakShape)
+    shape = read_json_with_comments(path, SoakShape)
     faults = list(check(shape))
     if faults:
         raise invalid("; ".join(faults), str(path))
--- a/src/saddlestack/soak/standstills.py
+++ b/src/saddlestack/soak/standstills.py
@@ -1,7 +1,7 @@
 """Finds accepted jobs that stood still beside a free pool, by what workers and clients saw.
 
 One sweep over the beginnings and ends of lives, runs, turns and troubles in order of time. What
-counts as room enough, and as too long, is told by :mod:`saddlestack.policy.standstill`.
+counts as room enough, and as too long, is told by :mod:`saddlestack.policy.stall`.
 """
 
 from __future__ import annotations
@@ -12,7 +12,12 @@
 from dataclasses import dataclass, field, replace
 from functools import partial
 
-from saddlestack.policy.standstill import ROOM_FACTOR, PoolUse, StillWatch, has_room
+from saddlestack.policy.stall import (
+    FREE_CAPACITY_FACTOR,
+    PoolUsage,
+    StallDetector,
+    has_free_capacity,
+)
 from saddlestack.soak.runs import RunAccount, RunBook
 from saddlestack.soak.turns import AcceptedWork, Turn, turns_of
 from saddlestack.work import JobRequest, Resources
@@ -42,7 +47,7 @@
     job_id: str
     since_s: float
     until_s: float
-    pool: PoolUse
+    pool: PoolUsage
     beside: int = 0
 
 
@@ -96,8 +101,8 @@
     used: int = 0
 
     @property
-    def use(self) -> PoolUse:
-        return PoolUse(self.used, self.total)
+    def use(self) -> PoolUsage:
+        return PoolUsage(self.used, self.total)
 
     def has_room_for(self, turn: Turn) -> bool:
         """Whether a step that waits fits in twice over."""
@@ -108,11 +113,11 @@
         for worker in self.workers.values():
             if worker.closed:
                 continue
-            fitting = step.room.copies_in(worker.free)
+            fitting = step.allocation.copies_in(worker.free)
             copies += min(fitting, step.per_worker) if step.per_worker else fitting
-            if copies >= ROOM_FACTOR * wanted:
+            if copies >= FREE_CAPACITY_FACTOR * wanted:
                 break
-        return has_room(use, copies, wanted)
+        return has_free_capacity(use, copies, wanted)
 
 
 class _Sweep:
@@ -122,7 +127,7 @@
         self._scene = scene
         self._troubles = troubles
         self._pool = _Pool()
-        self._watch = StillWatch()
+        self._watch = StallDetector()
         self._turns: dict[str, list[Turn]] = defaultdict(list)
         self._running: Counter[str] = Counter()
         self._idle: set[str] = set()
@@ -207,7 +212,7 @@
         request = self._scene.requests.get(run.task.job_id)
         if request is None:
             return Resources(0, 0, run.accelerators)
-        room = request.steps[run.task.step].room
+        room = request.steps[run.task.step].allocation
         return Resources(room.cpu, room.memory_mb, run.accelerators)
 
     def _open_turn(self, turn: Turn) -> None:
@@ -237,7 +242,7 @@
     def _look(self, at_s: float) -> None:
         """Note who has stood for too long by now, and who stands no more."""
         self._close([job_id for job_id in self._open if job_id not in self._standing], at_s)
-        for each in self._watch.look(self._standing, at_s):
+        for each in self._watch.update(self._standing, at_s):
             self._open[each.job_id] = Stood(each.job_id, each.since_s, math.inf, self._pool.use)
 
     def _close(self, jobs: Iterable[str], at_s: float) -> None:
--- a/src/saddlestack/work.py
+++ b/src/saddlestack/work.py
@@ -116,7 +116,7 @@
     once: bool = False
 
     @property
-    def room(self) -> Resources:
+    def allocation(self) -> Resources:
         """What a task takes of a worker's room."""
         if not self.fills:
             return self.needs
--- a/tests/simulation/standstills.py
+++ b/tests/simulation/standstills.py
@@ -14,7 +14,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from saddlestack.policy.standstill import PoolUse, StillWatch, has_room
+from saddlestack.policy.stall import PoolUsage, StallDetector, has_free_capacity
 from saddlestack.standins.loop import WALL_EPOCH_S
 from saddlestack.work import FINAL_STATES, JobRequest, Step
 from tests.simulation.demand import startable
@@ -71,16 +71,16 @@
     def __init__(self, counted: list[SimWorker], workers: list[SimWorker]) -> None:
         total = sum(worker.room for worker in counted)
         free = sum(worker.free for worker in counted)
-        self.use = PoolUse(total - free, total)
+        self.use = PoolUsage(total - free, total)
         self._racks: dict[str, list[SimWorker]] = {}
         for worker in workers:
             self._racks.setdefault(worker.rack, []).append(worker)
 
-    def has_room(self, step: Step) -> bool:
+    def has_free_capacity(self, step: Step) -> bool:
         """Whether a step of which nothing runs has room enough to start."""
         wanted = step.count if step.gang else 1
         racks = [_copies(step, workers) for workers in self._racks.values()]
-        if not has_room(self.use, sum(racks), wanted):
+        if not has_free_capacity(self.use, sum(racks), wanted):
             return False
         if not (step.gang and step.same_rack):
             return True
@@ -106,8 +106,8 @@
         # A loop of its own: timers that are due at one moment go on in the order that they had.
         self._loop = site.timeline.loop("judge", random.Random(0))
         self._over: set[str] = set()
-        self._all = StillWatch()
-        self._plain = StillWatch()
+        self._all = StallDetector()
+        self._plain = StallDetector()
         self._rules: dict[str, set[Rule]] = {}
         self._open: dict[str, FoundStandstill] = {}
         self._leader: Vm | None = None
@@ -180,7 +180,7 @@
         wall_ms = (WALL_EPOCH_S + now) * 1000
         request = self._jobs[job_id][1]
         steps = startable(job_id, request, wall_ms, self._site.workers.history)
-        return next((step for step in steps if pool.has_room(step)), None)
+        return next((step for step in steps if pool.has_free_capacity(step)), None)
 
     def _note_rules(self, rules: Mapping[str, set[Rule]]) -> None:
         self._rules = {
@@ -188,7 +188,7 @@
         }
 
     def _tell_plain(self, plain: Mapping[str, Step], now: float) -> None:
-        for each in self._plain.look(plain, now):
+        for each in self._plain.update(plain, now):
             text = self._text(each.job_id, plain[each.job_id])
             self._open[each.job_id] = FoundStandstill(each.job_id, each.since_s, now, text)
             self.found.unexplained.append(self._open[each.job_id])
@@ -200,7 +200,7 @@
         if self._leader is None:
             # Nobody tells which jobs are over; those that are count as moved once somebody does.
             return
-        for each in self._all.look(standing, now):
+        for each in self._all.update(standing, now):
             self.found.explained.update(rule.value for rule in self._rules[each.job_id])
 
     def _text(self, job_id: str, step: Step) -> str:
--- a/tests/simulation/troubles.py
+++ b/tests/simulation/troubles.py
@@ -41,7 +41,7 @@
 from saddlestack.platform.kv import CALL_TIMEOUT_S
 from saddlestack.policy.cluster.records import OccurrenceRecord, TaskStatus
 from saddlestack.policy.cluster.workers import LONGEST_QUARANTINE_S
-from saddlestack.policy.standstill import PoolUse
+from saddlestack.policy.stall import PoolUsage
 from tests.simulation.deployment import Deployment, Vm
 from tests.simulation.ways import ANY, STORE, TRIP_S, Fault
 from tests.simulation.workers import HOLD_S, SimWorker
@@ -130,10 +130,10 @@
         name = worker.worker_id
         return self._has_fault({name, *(name + kind for kind in kinds)}, LOOK_NOW_TIMEOUT_S)
 
-    def _whole_pool(self) -> PoolUse:
+    def _whole_pool(self) -> PoolUsage:
         alive = [worker for worker in self.site.workers.lives.values() if worker.up]
         total = sum(worker.room for worker in alive)
-        return PoolUse(total - sum(worker.free for worker in alive), total)
+        return PoolUsage(total - sum(worker.free for worker in alive), total)
 
     def _in_doubt(self, job_id: str) -> Iterator[bool]:
         last_s = self.term_began_s + INHERITED_S
--- a/tests/test_board.py
+++ b/tests/test_board.py
@@ -19,7 +19,7 @@
 from saddlestack.policy.cluster.shapes import FailedShapes
 from saddlestack.policy.cluster.state import ClusterState
 from saddlestack.policy.cluster.workers import PROBATION_S
-from saddlestack.policy.retry import pause
+from saddlestack.policy.retry import backoff_delay
 from saddlestack.policy.upkeep import MachineStatus, WaveState
 from saddlestack.work import AcceptedJob, JobRequest, JobState, Resources, Step, TaskName
 
@@ -720,7 +720,7 @@
         self.assertEqual(len(due), 2)
         self.assertEqual(state.prepare(workers, 1.0), [])
         self.assertEqual(state.due(workers, 1.0), due, "an order without answer is repeated")
-        state.went_down(due[0])
+        state.mark_down(due[0])
         self.assertEqual(state.prepare(workers, 1.5), [])
         lives = dict(workers)
         self.cluster_state.set_worker(record("new"), 2.0)
@@ -728,7 +728,7 @@
         self.assertEqual(len(state.prepare(lives, 2.0)), 1)
         self.assertFalse(state.finished)
         for name in state.machines:
-            state.went_down(name)
+            state.mark_down(name)
         self.assertTrue(state.finished)
 
     def test_a_busy_machine_goes_down_when_its_time_has_come(self) -> None:
@@ -758,7 +758,7 @@
         self.assertEqual(state.due({machine: again}, 1.1), [machine])
         once_more = self.cluster_state.set_worker(record("once more"), 1.2)
         self.assertEqual(state.due({machine: once_more}, 1.2), [machine])
-        state.went_down(machine)
+        state.mark_down(machine)
         state.prepare({machine: once_more}, 1.3)
         self.assertIs(state.machines[machine].status, MachineStatus.DOWN)
         returned = self.cluster_state.set_worker(record("returned"), 4.0)
@@ -772,7 +772,7 @@
         for failures in range(1, 40):
             most = min(1.0, 0.1 * 2**failures)
             for _ in range(20):
-                self.assertTrue(most / 2 <= pause(failures, 0.1, 1.0, rng) <= most)
+                self.assertTrue(most / 2 <= backoff_delay(failures, 0.1, 1.0, rng) <= most)
 
 
 if __name__ == "__main__":
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -206,7 +206,7 @@
             operator = cluster.operator()
             intent = Intent(drain=("ulemiste-entry-2",))
             await operator.confirm(await operator.plan(intent), wait=5)
-            left = {n: e.daemon.asked_to_leave.is_set() for n, e in cluster.entries.items()}
+            left = {n: e.daemon.stop_requested.is_set() for n, e in cluster.entries.items()}
             self.assertEqual(left, {"ulemiste-entry-1": False, "ulemiste-entry-2": True})
 
         self.with_cluster(body)
--- a/tests/test_diagnosis.py
+++ b/tests/test_diagnosis.py
@@ -20,7 +20,7 @@
 from saddlestack.policy.cluster.reasons import Reason
 from saddlestack.policy.cluster.reservations import RESERVATION_TIMEOUT_S
 from saddlestack.policy.cluster.state import ClusterState
-from saddlestack.policy.standstill import STILL_S, StillWatch
+from saddlestack.policy.stall import STALL_S, StallDetector
 from saddlestack.work import AcceptedJob, JobRequest, Step
 from tests.test_board import BULK, NORMAL, PATIENT, SERVICE, URGENT, ClusterCase, record, step
 
@@ -405,7 +405,7 @@
         for worker in self.cluster_state.workers.values():
             worker.quarantine_s = PATIENT
         job = self.add(step(2, 8, gang=True), priority=BULK)
-        watch = StillWatch()
+        watch = StallDetector()
         found = []
         for number in range(20):
             now = number * 0.5
@@ -418,7 +418,7 @@
         self.add(step(1, 8))
         self.plan()
         self.add(step(1, 1), priority=BULK)
-        self.assertFalse(any(wait.beside_room for wait in self.look(STILL_S).values()))
+        self.assertFalse(any(wait.beside_room for wait in self.look(STALL_S).values()))
 
     def test_a_gang_of_one_rack_has_room_where_whole_gangs_fit(self) -> None:
         self.workers(racks=2, each=3)
--- a/tests/test_guarantees.py
+++ b/tests/test_guarantees.py
@@ -8,8 +8,8 @@
 from saddlestack.models import Adjacency, Assignment, JobClass, JobSpec, Shape, Weights
 from saddlestack.policy.cell import Cell
 from saddlestack.policy.gang import Start
-from saddlestack.policy.packing import PLANNER_BUDGET, Space, Want, pack
-from saddlestack.policy.room import WorkerInfo
+from saddlestack.policy.packing import PLANNER_BUDGET, ShapeRequest, Space, pack
+from saddlestack.policy.resources import WorkerInfo
 
 Shares = tuple[tuple[int, int], ...]
 
@@ -68,7 +68,7 @@
             racks.append(list(range(start, start + len(rack))))
             start += len(rack)
         space = Space(left, [8] * len(left), racks)
-        places = pack(space, [Want(shape) for shape in shapes], PLANNER_BUDGET)
+        places = pack(space, [ShapeRequest(shape) for shape in shapes], PLANNER_BUDGET)
         possible = brute_force_packs(tuple(left), racks, shapes)
         if places is not None:
             self.assertTrue(possible)
@@ -83,8 +83,11 @@
 
     def test_slots_bind_as_well_as_accelerators(self) -> None:
         space = Space([8], [1], [[0]])
-        wants = [Want(Shape(2, Adjacency.WORKER)), Want(Shape(2, Adjacency.WORKER))]
-        self.assertIsNone(pack(space, wants, PLANNER_BUDGET))
+        requests = [
+            ShapeRequest(Shape(2, Adjacency.WORKER)),
+            ShapeRequest(Shape(2, Adjacency.WORKER)),
+        ]
+        self.assertIsNone(pack(space, requests, PLANNER_BUDGET))
 
 
 step_strategy = st.tuples(
@@ -116,8 +119,8 @@
         self.now = 0.0
 
     def check(self, closed: bool) -> None:
-        room, guarantees = self.cell.room, self.cell.guarantees
-        taken = list(room.pinned)
+        resources, guarantees = self.cell.resources, self.cell.guarantees
+        taken = list(resources.pinned)
         for unit in guarantees.units:
             if not unit.left:
                 continue
@@ -126,13 +129,13 @@
                 continue
             self.assertEqual(sum(count for _, count in unit.witness), unit.left)
             for worker, count in unit.witness:
-                self.assertTrue(room.open(worker))
+                self.assertTrue(resources.open(worker))
                 taken[worker] += count
-        for worker, total in enumerate(room.total):
-            if room.open(worker):
+        for worker, total in enumerate(resources.total):
+            if resources.open(worker):
                 self.assertLessEqual(taken[worker], total)
-            self.assertLessEqual(room.held[worker], total)
-            self.assertGreaterEqual(room.held[worker], 0)
+            self.assertLessEqual(resources.held[worker], total)
+            self.assertGreaterEqual(resources.held[worker], 0)
         for gang in self.cell.running.values():
             self.assertEqual(sum(count for _, count in gang.shares), gang.spec.accelerators)
 
@@ -147,7 +150,7 @@
         for i, (what, pick, account, size, adjacent, kind, once, checkpoint) in enumerate(steps):
             self.now += 1.0 + pick % 7
             running = sorted(self.cell.running)
-            names = [worker.name for worker in self.cell.room.workers]
+            names = [worker.name for worker in self.cell.resources.workers]
             if what == "submit":
                 spec = JobSpec(
                     account=account,
@@ -183,7 +186,7 @@
         for i in range(24):
             self.submit("c", f"fill{i}", 1, Adjacency.WORKER, JobClass.BULK)
         self.cell.decide(1.0)
-        self.assertEqual(sum(self.cell.room.free), 0)
+        self.assertEqual(sum(self.cell.resources.free), 0)
         self.submit("a", "want", 6, Adjacency.RACK, JobClass.URGENT)
         decisions = self.cell.decide(2.0)
         starts = [d.job_id for d in decisions if isinstance(d, Start)]
--- a/tests/test_index.py
+++ b/tests/test_index.py
@@ -156,7 +156,7 @@
         rng: random.Random,
         now: float,
     ) -> None:
-        fit = FitKey(SERVICE, step.step.room, step.step.label, proven=rng.random() < 0.5)
+        fit = FitKey(SERVICE, step.step.allocation, step.step.label, proven=rng.random() < 0.5)
         eligible = [
             worker
             for worker in cluster_state.workers.values()
@@ -247,7 +247,7 @@
         step = job.occurrences[0].steps[0]
         self.cluster_state._index.begin_round(0.0)
         fits = FitCache(self.cluster_state._index).of(
-            FitKey(SERVICE, step.step.room, "", proven=True)
+            FitKey(SERVICE, step.step.allocation, "", proven=True)
         )
         return IndexedPlaces(step, fits, None)
 
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -69,14 +69,14 @@
         handler.setFormatter(JsonFormatter("%(message)s"))
         for number in range(1000):
             handler.emit(line_at(100.0, number))
-        self.assertEqual(handler.left_out, 950)
+        self.assertEqual(handler.dropped, 950)
         for number in range(1000):
             handler.emit(line_at(101.0, number))
         handler.close()
         lines = [json.loads(line) for line in stream.getvalue().splitlines()]
         self.assertEqual([line["lines"] for line in lines if "lines" in line], [950])
         self.assertEqual(sum(1 for line in lines if "number" in line), 100)
-        self.assertEqual(handler.left_out, 950)
+        self.assertEqual(handler.dropped, 950)
 
 
 def line_at(created: float, number: int) -> logging.LogRecord:
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -94,7 +94,9 @@
         for worker in workers:
             index.add(worker)
         index.begin_round(0.0)
-        fits = FitCache(index).of(FitKey(SERVICE, gang.step.room, gang.step.label, proven=True))
+        fits = FitCache(index).of(
+            FitKey(SERVICE, gang.step.allocation, gang.step.label, proven=True)
+        )
         found = []
         for places in (ListedPlaces(gang, workers), IndexedPlaces(gang, fits, None)):
             backfill = Backfill()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from saddlestack.codec import parse_commented
+from saddlestack.codec import parse_json_with_comments
 from saddlestack.control.entry import METRICS_PATH
 from saddlestack.control.settings import EntrySettings, check, parse_address
 from saddlestack.errors import ErrorKind, SaddlestackError
@@ -765,7 +765,7 @@
         return re.sub(r"\{\{([a-z._-]+)(\|json)?\}\}", value, template)
 
     def test_the_template_makes_good_settings(self) -> None:
-        settings = parse_commented(self.fill(self.FIELDS), EntrySettings, "settings")
+        settings = parse_json_with_comments(self.fill(self.FIELDS), EntrySettings, "settings")
         self.assertEqual(check(settings), [])
         self.assertEqual(settings.peer_ports, (7000, 7015))
         self.assertEqual(settings.timings.upkeep_s, 1.5)
@@ -775,7 +775,7 @@
 
     def test_what_a_deployment_lacks_is_left_out(self) -> None:
         fields = {**self.FIELDS, "advice": "", "cloud.address": "", "limits.link-mbps": ""}
-        settings = parse_commented(self.fill(fields), EntrySettings, "settings")
+        settings = parse_json_with_comments(self.fill(fields), EntrySettings, "settings")
         self.assertIsNone(settings.adviser)
         self.assertIsNone(settings.machines)
         self.assertGreaterEqual(settings.strength, 1.0)
@@ -788,12 +788,12 @@
         self.assertLessEqual(set(built), set((ROOT / "constraints.txt").read_text().split()))
         role = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())["roles"]["entry"]
         self.assertTrue((ROOT / role["template"]).is_file())
-        settings = parse_commented(self.fill(self.FIELDS), EntrySettings, "settings")
+        settings = parse_json_with_comments(self.fill(self.FIELDS), EntrySettings, "settings")
         self.assertEqual(role["metrics"], f"{settings.metrics_address.port}{METRICS_PATH}")
 
     def test_every_fault_is_named(self) -> None:
         fields = {**self.FIELDS, "listen.front": "nowhere", "port-range": "9,7", "node": " "}
-        settings = parse_commented(self.fill(fields), EntrySettings, "settings")
+        settings = parse_json_with_comments(self.fill(fields), EntrySettings, "settings")
         faults = "; ".join(check(settings))
         for place in ("vm", "clients", "peer_ports"):
             self.assertIn(place, faults)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -26,9 +26,9 @@
 from saddlestack.policy.limits import TokenBucket
 from saddlestack.policy.planner import Planner, cells_of, narrowest
 from saddlestack.policy.queue import Estimator
-from saddlestack.policy.retry import LAST_DELAY_S, Breaker, BreakerState, RetryBudget, delay
-from saddlestack.policy.room import workers_of
-from saddlestack.policy.router import CellSummary, SentSince, choose
+from saddlestack.policy.resources import workers_of
+from saddlestack.policy.retry import MAX_DELAY_S, Breaker, BreakerState, RetryBudget, retry_delay
+from saddlestack.policy.router import CellSummary, RoutedSinceSummary, choose_cell
 
 RACKS = (Rack(name="r1", workers=4, accelerators=8), Rack(name="r2", workers=4, accelerators=8))
 HALL = DataHall(name="hall", racks=RACKS)
@@ -116,7 +116,7 @@
     def test_estimates_far_off_are_corrected(self) -> None:
         estimator = Estimator()
         for _ in range(40):
-            estimator.learn(job("x", estimate=10.0), 40.0)
+            estimator.record(job("x", estimate=10.0), 40.0)
         self.assertGreater(estimator.expected(job("y", estimate=10.0)), 35.0)
 
     def test_work_that_can_never_be_pinned_is_refused(self) -> None:
@@ -135,7 +135,7 @@
         assert isinstance(start, Start)
         (loss,) = cell.vm_lost(start.parts[0].vm, 5.0)
         self.assertEqual((loss.job_id, loss.state.value), ("acct/g", "queued"))
-        self.assertEqual(sum(cell.room.held), 0)
+        self.assertEqual(sum(cell.resources.held), 0)
 
     def test_run_once_work_on_a_lost_worker_is_unknown_and_never_starts_again(self) -> None:
         cell = new_cell()
@@ -149,7 +149,7 @@
 
     def test_a_leaving_worker_gets_nothing_new(self) -> None:
         cell = new_cell()
-        for worker in cell.room.workers[:7]:
+        for worker in cell.resources.workers[:7]:
             cell.vm_leaving(worker.name)
         cell.submit(job("a", 8), 0.0)
         cell.submit(job("b", 8), 0.0)
@@ -325,25 +325,25 @@
 
     def test_free_room_comes_before_a_guarantee_that_has_to_be_taken_back(self) -> None:
         cells = [self.summary("mine", 0), self.summary("other", 16)]
-        self.assertEqual(choose(job("x", 8), cells, ["mine"]), "other")
-        self.assertEqual(choose(job("x", 8, run_once=True), cells, ["mine"]), "mine")
+        self.assertEqual(choose_cell(job("x", 8), cells, ["mine"]), "other")
+        self.assertEqual(choose_cell(job("x", 8, run_once=True), cells, ["mine"]), "mine")
 
     def test_urgent_work_avoids_a_cell_that_is_full_of_urgent_work(self) -> None:
         cells = [self.summary("mine", 0), self.summary("other", 0, lent=16)]
         urgent = job("x", 2, job_class=JobClass.URGENT)
-        self.assertEqual(choose(urgent, cells, ["mine"]), "other")
+        self.assertEqual(choose_cell(urgent, cells, ["mine"]), "other")
 
     def test_the_fullest_cell_that_fits_is_filled_first(self) -> None:
         cells = [self.summary("empty", 64), self.summary("fuller", 16)]
-        self.assertEqual(choose(job("x", 8), cells, []), "fuller")
+        self.assertEqual(choose_cell(job("x", 8), cells, []), "fuller")
 
     def test_no_cell_that_could_never_hold_the_job_is_chosen(self) -> None:
-        self.assertIsNone(choose(job("x", 16), [self.summary("a", 64)], []))
+        self.assertIsNone(choose_cell(job("x", 16), [self.summary("a", 64)], []))
         cells = [self.summary("a", 64, pinnable=4), self.summary("b", 0)]
-        self.assertEqual(choose(job("x", 8, run_once=True), cells, []), "b")
+        self.assertEqual(choose_cell(job("x", 8, run_once=True), cells, []), "b")
 
     def test_what_was_sent_counts_until_the_cell_announces_itself(self) -> None:
-        sent = SentSince()
+        sent = RoutedSinceSummary()
         cell = self.summary("a", 16)
         self.assertEqual(sent.adjusted(cell).free[2], 16)
         sent.note("a", job("x", 8))
@@ -370,12 +370,12 @@
 
     def test_delays_grow_and_are_bounded(self) -> None:
         rng = random.Random(1)
-        self.assertTrue(all(0 <= delay(i, rng) <= LAST_DELAY_S for i in range(50)))
+        self.assertTrue(all(0 <= retry_delay(i, rng) <= MAX_DELAY_S for i in range(50)))
 
     def test_retries_stay_a_share_of_first_tries(self) -> None:
         budget = RetryBudget(share=0.2, burst=2.0, per_second=0.0)
         for _ in range(100):
-            budget.first_try()
+            budget.record_first_try()
         self.assertEqual(sum(budget.retry(0.0) for _ in range(100)), 2)
 
     def test_a_quiet_vm_may_still_retry(self) -> None:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -5,7 +5,7 @@
 from click.testing import CliRunner
 
 from saddlestack.cli.main import main
-from saddlestack.codec import parse_commented
+from saddlestack.codec import parse_json_with_comments
 from saddlestack.control.settings import MACHINE_KEYS, EntrySettings, Timings
 from saddlestack.control.settings import check as check_entry
 from saddlestack.errors import SaddlestackError
@@ -24,7 +24,7 @@
 
     def test_the_example_is_complete_and_good(self) -> None:
         printed = CliRunner().invoke(main, ["settings", "example"]).output
-        settings = parse_commented(printed, Settings, "example")
+        settings = parse_json_with_comments(printed, Settings, "example")
         self.assertEqual(check(settings), [])
         for field in Settings.__struct_fields__:
             self.assertIn(f'"{field}"', printed)
--- a/tests/test_soak_standstills.py
+++ b/tests/test_soak_standstills.py
@@ -8,7 +8,7 @@
 from dataclasses import replace
 from pathlib import Path
 
-from saddlestack.policy.standstill import STILL_S, PoolUse
+from saddlestack.policy.stall import STALL_S, PoolUsage
 from saddlestack.soak.excuses import (
     SLACK_S,
     Excuse,
@@ -81,20 +81,20 @@
         self.fill("bbb", 2.0, 6.0, room=2)
         self.story.begin("c", 5.4, job=OTHER, index=5)
         self.done(5.5, 9.0)
-        self.assertEqual(self.found(), [Stood(JOB, 1.0, 5.5, PoolUse(6, 32), 3)])
+        self.assertEqual(self.found(), [Stood(JOB, 1.0, 5.5, PoolUsage(6, 32), 3)])
 
     def test_nearly_too_long_is_none(self) -> None:
-        self.done(1.0 + STILL_S - 0.01, 9.0)
+        self.done(1.0 + STALL_S - 0.01, 9.0)
         self.assertEqual(self.found(), [])
 
     def test_a_job_that_never_starts_stands_to_the_end(self) -> None:
-        self.assertEqual(self.found(), [Stood(JOB, 1.0, END_S, PoolUse(0, 32))])
+        self.assertEqual(self.found(), [Stood(JOB, 1.0, END_S, PoolUsage(0, 32))])
 
     def test_it_stands_again_between_two_runs(self) -> None:
         self.story.begin("a", 1.0)
         self.story.end("a", 3.0, "failed", noted_s=3.0)
         self.done_again(7.0, 8.0)
-        self.assertEqual(self.found(work(attempts=4)), [Stood(JOB, 3.0, 7.0, PoolUse(0, 32))])
+        self.assertEqual(self.found(work(attempts=4)), [Stood(JOB, 3.0, 7.0, PoolUsage(0, 32))])
 
     def done_again(self, began_s: float, ended_s: float) -> None:
         for index in range(2):
@@ -145,7 +145,7 @@
         self.story.begin("a", 1.0)
         self.story.gone("a", 4.0, crashed=True)
         self.done_again(8.0, 9.0)
-        self.assertEqual(self.found(), [Stood(JOB, 4.0, 8.0, PoolUse(0, 24))])
+        self.assertEqual(self.found(), [Stood(JOB, 4.0, 8.0, PoolUsage(0, 24))])
 
 
 class TurnTest(StoryTest):
@@ -260,16 +260,16 @@
             self.assertEqual(self.judged(Fault(kind, 1.0, 99.0, 101.0)).excuses, (Excuse.ALL,))
 
     def test_a_fault_reaches_one_lease_and_some_more(self) -> None:
-        ended_s = LATE_S + STILL_S - REACH_S
+        ended_s = LATE_S + STALL_S - REACH_S
         near = Fault(FaultKind.STORE_AWAY, 1.0, 80.0, ended_s + 0.1)
         self.assertEqual(self.judged(near).excuses, (Excuse.ALL,))
         far = Fault(FaultKind.STORE_AWAY, 1.0, 80.0, ended_s - 0.1)
         self.assertEqual(self.judged(far).excuses, ())
 
     def test_a_fault_that_came_too_late_explains_nothing(self) -> None:
-        late = Fault(FaultKind.STORE_AWAY, 1.0, LATE_S + STILL_S, 105.0)
+        late = Fault(FaultKind.STORE_AWAY, 1.0, LATE_S + STALL_S, 105.0)
         self.assertEqual(self.judged(late).excuses, ())
-        early = replace_began(late, LATE_S + STILL_S - 0.1)
+        early = replace_began(late, LATE_S + STALL_S - 0.1)
         self.assertEqual(self.judged(early).excuses, (Excuse.ALL,))
 
     def test_a_fault_of_a_worker_that_it_was_on_explains(self) -> None:
--- a/tests/test_standstills.py
+++ b/tests/test_standstills.py
@@ -16,7 +16,7 @@
 from saddlestack.interfaces.workers import EndKind
 from saddlestack.policy.cluster.jobs import StepState
 from saddlestack.policy.cluster.planner import Planner
-from saddlestack.policy.standstill import STILL_S
+from saddlestack.policy.stall import STALL_S
 from saddlestack.standins.loop import WALL_EPOCH_S
 from saddlestack.work import JobRequest, Step, TaskName
 from tests.simulation.day import Day, day_of
@@ -93,7 +93,7 @@
         self.assertEqual((found.unexplained, found.explained.total()), ([], 0))
 
     def test_a_job_that_is_passed_over_for_less_is_none(self) -> None:
-        found = self.held_up(job(tasks(4)), STILL_S - 2 * LOOK_S)
+        found = self.held_up(job(tasks(4)), STALL_S - 2 * LOOK_S)
         self.assertEqual(found.unexplained, [])
 
     def test_beside_a_pool_that_is_half_used_none_is_found(self) -> None:
@@ -132,10 +132,10 @@
     def test_a_run_that_is_shorter_than_the_gap_between_looks_counts(self) -> None:
         steps = tuple(tasks(1) if not n else after(tasks(1), n - 1) for n in range(3))
         request = msgspec.structs.replace(job(steps[0], work_s=0.02), steps=steps)
-        with passed_over(JOB, self.now + STILL_S - 2 * LOOK_S):
+        with passed_over(JOB, self.now + STALL_S - 2 * LOOK_S):
             self.hand_in(request)
-            self.after(STILL_S - 2 * LOOK_S)
-        with passed_over_step(1, self.now + STILL_S - 2 * LOOK_S):
+            self.after(STALL_S - 2 * LOOK_S)
+        with passed_over_step(1, self.now + STALL_S - 2 * LOOK_S):
             found = self.after(SKIPPED_S)
         self.assertEqual(len(self.site.workers.begun), 3)
         self.assertEqual(found.unexplained, [])
@@ -185,7 +185,7 @@
         self.hand_in(job(tasks(1), work_s=60.0))
         self.after(2.0)
         self.crash_worker_of(JOB)
-        found = self.after(DOUBT_S + STILL_S)
+        found = self.after(DOUBT_S + STALL_S)
         self.assertEqual(found.unexplained, [])
         self.assertEqual(found.explained, {Rule.DOUBT.value: 1})
 
@@ -239,29 +239,29 @@
 
     def test_a_gang_of_one_rack_needs_its_room_in_one(self) -> None:
         split = [worker(f"r{number}-1", used=3) for number in range(4)]
-        self.assertFalse(pool(*split).has_room(tasks(2, 4, gang=True, same_rack=True)))
-        self.assertTrue(pool(*split).has_room(tasks(2, 4, gang=True)))
+        self.assertFalse(pool(*split).has_free_capacity(tasks(2, 4, gang=True, same_rack=True)))
+        self.assertTrue(pool(*split).has_free_capacity(tasks(2, 4, gang=True)))
 
     def test_a_gang_of_one_rack_needs_its_room_twice_over_in_the_pool(self) -> None:
         racks = [worker("r1-1"), worker("r1-1"), worker("r2-1")]
         gang = tasks(2, ROOM, gang=True, same_rack=True)
-        self.assertFalse(pool(*racks).has_room(gang))
-        self.assertTrue(pool(*racks, worker("r3-1")).has_room(gang))
+        self.assertFalse(pool(*racks).has_free_capacity(gang))
+        self.assertTrue(pool(*racks, worker("r3-1")).has_free_capacity(gang))
 
     def test_no_more_tasks_fit_on_a_worker_than_its_step_allows(self) -> None:
         step = msgspec.structs.replace(tasks(4), per_worker=1)
-        self.assertFalse(pool(worker("r1-1")).has_room(step))
-        self.assertTrue(pool(worker("r1-1"), worker("r1-1")).has_room(step))
+        self.assertFalse(pool(worker("r1-1")).has_free_capacity(step))
+        self.assertTrue(pool(worker("r1-1"), worker("r1-1")).has_free_capacity(step))
 
     def test_a_worker_that_no_start_reaches_is_used_as_far_as_it_is_and_has_no_room(self) -> None:
         reached, cut_off = [worker("r1-1")], [worker("r2-1")]
-        self.assertFalse(PoolView([*reached, *cut_off], reached).has_room(tasks(1, ROOM)))
-        self.assertTrue(PoolView([*reached, *cut_off], reached).has_room(tasks(1)))
+        self.assertFalse(PoolView([*reached, *cut_off], reached).has_free_capacity(tasks(1, ROOM)))
+        self.assertTrue(PoolView([*reached, *cut_off], reached).has_free_capacity(tasks(1)))
         held = [worker("r2-1", ROOM)]
-        self.assertFalse(PoolView([*reached, *held], reached).has_room(tasks(1)))
+        self.assertFalse(PoolView([*reached, *held], reached).has_free_capacity(tasks(1)))
 
     def test_a_pool_without_workers_has_none(self) -> None:
-        self.assertFalse(pool().has_room(tasks(1)))
+        self.assertFalse(pool().has_free_capacity(tasks(1)))
 
 
 def pool(*workers: SimWorker) -> PoolView:
--- a/tests/test_standstills_command.py
+++ b/tests/test_standstills_command.py
@@ -14,7 +14,7 @@
 from saddlestack.cli.main import main
 from saddlestack.cli.standstills import described
 from saddlestack.cli.stillness import Stillness, stillness
-from saddlestack.policy.standstill import STILL_S
+from saddlestack.policy.stall import STALL_S
 from saddlestack.work import Resources
 
 JOB = "00000000000000aa"
@@ -66,7 +66,7 @@
 
 class StillnessTest(unittest.TestCase):
     def test_a_job_that_starts_soon_is_none(self) -> None:
-        self.assertEqual(spans(accepted(1.0), start(1.0 + STILL_S - 0.1), end(9.0)), [])
+        self.assertEqual(spans(accepted(1.0), start(1.0 + STALL_S - 0.1), end(9.0)), [])
 
     def test_a_job_that_stood_before_its_first_start(self) -> None:
         other = [accepted(2.0, job=WIDE), start(2.1, "b", task=name(WIDE))]
@@ -146,7 +146,7 @@
 
     def test_workers_that_no_line_names_any_more_are_no_room(self) -> None:
         self.assertEqual(spans(accepted(1.0), line(90.0, "job", job="x"), pool_until_s=0.5), [])
-        self.assertEqual(len(spans(accepted(1.0), pool_until_s=0.5 + 1.0 + STILL_S)), 1)
+        self.assertEqual(len(spans(accepted(1.0), pool_until_s=0.5 + 1.0 + STALL_S)), 1)
 
     def test_workers_stay_where_no_line_tells_of_one_that_went(self) -> None:
         lines = [each for each in pool() if each.event != "lease_wait"]
--- a/tests/test_still_steps.py
+++ b/tests/test_still_steps.py
@@ -11,7 +11,7 @@
 
 import unittest
 
-from saddlestack.policy.standstill import STILL_S
+from saddlestack.policy.stall import STALL_S
 from tests.test_board import BULK, NORMAL, URGENT, ClusterCase, record, step
 
 TICK_S = 0.5
@@ -36,7 +36,7 @@
                 self.add(step(2, 8, label="r1"))
                 self.plan()
                 job = self.add(step(4, 1, data_rack="r1"), priority=priority)
-                self.assertTrue(self.started_within(job, STILL_S - TICK_S))
+                self.assertTrue(self.started_within(job, STALL_S - TICK_S))
 
     def test_a_gang_that_its_near_rack_never_holds_goes_elsewhere_at_once(self) -> None:
         for priority in (URGENT, NORMAL, BULK):
@@ -51,7 +51,7 @@
         self.add(step(2, 8, label="r1"))
         self.plan()
         job = self.add(step(2, 4, gang=True, data_rack="r1"), priority=NORMAL)
-        self.assertTrue(self.started_within(job, STILL_S - TICK_S))
+        self.assertTrue(self.started_within(job, STALL_S - TICK_S))
 
     def test_a_gang_of_one_rack_is_spread_where_no_rack_is_free_and_the_pool_is(self) -> None:
         self.workers(racks=4, each=2)
@@ -59,7 +59,7 @@
             self.add(step(1, 1, label=f"r{rack}"))
         self.plan()
         job = self.add(step(2, 8, gang=True, same_rack=True), priority=NORMAL)
-        self.assertTrue(self.started_within(job, STILL_S - TICK_S))
+        self.assertTrue(self.started_within(job, STALL_S - TICK_S))
 
     def test_bulk_work_opens_workers_kept_for_a_gang_while_a_hall_is_evacuated(self) -> None:
         """Halls that are being evacuated count as free room of the pool."""
@@ -71,7 +71,7 @@
         self.cluster_state.evacuate(frozenset({"other"}))
         self.add(step(3, 8, gang=True), priority=NORMAL)
         job = self.add(step(4, 1), priority=BULK)
-        self.assertTrue(self.started_within(job, STILL_S - TICK_S))
+        self.assertTrue(self.started_within(job, STALL_S - TICK_S))
 
     def test_workers_on_trial_hold_no_gang_up_in_a_free_pool(self) -> None:
         for same_rack in (True, False):
@@ -84,7 +84,7 @@
                     worker.probation_s = 60.0
                 gang = step(9, 2, gang=True, same_rack=same_rack)
                 job = self.add(gang, priority=NORMAL)
-                self.assertTrue(self.started_within(job, STILL_S - TICK_S))
+                self.assertTrue(self.started_within(job, STALL_S - TICK_S))
 
     def test_workers_in_quarantine_hold_no_work_up_for_long_in_a_free_pool(self) -> None:
         self.workers(racks=2, each=2)
@@ -92,7 +92,7 @@
             worker.strikes = 3
             worker.quarantine_s = 60.0
         job = self.add(step(4, 2), priority=BULK)
-        self.assertTrue(self.started_within(job, STILL_S - TICK_S))
+        self.assertTrue(self.started_within(job, STALL_S - TICK_S))
 
     def last_try(self, *, quarantine_s: float) -> str:
         """A job whose next failure is its last, beside workers that have all failed work."""
@@ -110,7 +110,7 @@
         self.assertFalse(self.started_within(self.last_try(quarantine_s=60.0), 59.0))
 
     def test_a_last_try_waits_for_no_probation_in_a_free_pool(self) -> None:
-        self.assertTrue(self.started_within(self.last_try(quarantine_s=0.0), STILL_S - TICK_S))
+        self.assertTrue(self.started_within(self.last_try(quarantine_s=0.0), STALL_S - TICK_S))
 
     def test_sound_workers_go_before_those_in_quarantine(self) -> None:
         self.workers(racks=2, each=4)
@@ -118,7 +118,7 @@
             self.cluster_state.workers[name].strikes = 1
             self.cluster_state.workers[name].quarantine_s = 60.0
         job = self.add(step(3, 8, gang=True), priority=NORMAL)
-        self.assertTrue(self.started_within(job, STILL_S - TICK_S))
+        self.assertTrue(self.started_within(job, STALL_S - TICK_S))
         tasks = self.cluster_state.jobs[job].occurrences[0].steps[0].tasks
         self.assertLessEqual({"w23", "w24"}, {task.record.worker for task in tasks})
 
@@ -132,7 +132,7 @@
         self.add(step(1, 1, label="r1"))
         self.plan()
         job = self.add(step(1, 1, data_rack="r1"), priority=NORMAL)
-        self.assertTrue(self.started_within(job, STILL_S - TICK_S))
+        self.assertTrue(self.started_within(job, STALL_S - TICK_S))
 
     def test_a_gang_behind_one_of_its_kind_that_has_waited_less_is_spread_as_well(self) -> None:
         """The first comes again after it was stopped, so it has stood for less time."""
@@ -144,7 +144,7 @@
         second = self.add(step(2, 8, gang=True, same_rack=True), priority=NORMAL)
         self.plan(0.0)
         self.cluster_state.jobs[first].occurrences[0].steps[0].stalled_since_s = 2.0
-        self.assertTrue(self.started_within(second, STILL_S - TICK_S))
+        self.assertTrue(self.started_within(second, STALL_S - TICK_S))
 
     def test_tasks_that_never_ran_go_past_one_that_avoids_what_is_free(self) -> None:
         self.workers(racks=1, each=4)
--- a/tests/test_told_waits.py
+++ b/tests/test_told_waits.py
@@ -14,7 +14,7 @@
 from saddlestack.kernel.clock import Clock
 from saddlestack.policy.cluster.diagnosis import Diagnosis
 from saddlestack.policy.cluster.reasons import Reason
-from saddlestack.policy.standstill import STILL_S
+from saddlestack.policy.stall import STALL_S
 from saddlestack.services.metrics import Metrics
 from saddlestack.standins.pool.cluster import PoolCluster, job
 from saddlestack.work import JobState
@@ -82,12 +82,12 @@
         self.workers(each=4)
         self.quarantine()
         job_id = self.add(step(2, 4, gang=True), priority=BULK, attempts=1)
-        self.play(3 * STILL_S)
+        self.play(3 * STALL_S)
         [line] = self.told("stands_still")
         self.assertEqual(line.job, job_id)
         self.assertEqual(line.reason, Reason.QUARANTINE.value)
-        self.assertEqual((line.stood_s, line.tasks), (STILL_S, 2))
-        self.assertEqual(line.ends_s, QUARANTINED_S - STILL_S)
+        self.assertEqual((line.stood_s, line.tasks), (STALL_S, 2))
+        self.assertEqual(line.ends_s, QUARANTINED_S - STALL_S)
         self.assertEqual(line.ends, Reason.QUARANTINE.ends)
         self.assertEqual(self.figure("standstills"), 1)
 
@@ -105,7 +105,7 @@
         self.workers(each=2)
         self.add(step(2, 8))
         self.add(step(1, 1))
-        self.play(3 * STILL_S)
+        self.play(3 * STALL_S)
         self.assertEqual(self.told("stands_still"), [])
         [line] = self.told("waits")
         self.assertEqual(line.reason, Reason.NO_ROOM.value)
@@ -113,7 +113,7 @@
     def test_a_job_that_is_too_wide_waits_and_does_not_stand_still(self) -> None:
         self.workers(each=9)
         self.add(step(13, 8, gang=True))
-        self.play(3 * STILL_S)
+        self.play(3 * STALL_S)
         self.assertEqual(self.told("stands_still"), [])
         [line] = self.told("waits")
         self.assertEqual(line.reason, Reason.TOO_WIDE.value)
@@ -158,7 +158,7 @@
             mock.patch.object(waits_module, "WAITS_A_TICK", 2),
             mock.patch.object(waits_module, "STANDSTILLS_A_TICK", 2),
         ):
-            self.play(STILL_S + LOOK_S)
+            self.play(STALL_S + LOOK_S)
         self.assertEqual(len(self.told("stands_still")), 2)
         self.assertEqual(len(self.told("waits")), 5)
         left_out = [(line.of, line.lines) for line in self.told("waits_left_out")]
--- a/tests/test_waits_reviewed.py
+++ b/tests/test_waits_reviewed.py
@@ -23,7 +23,7 @@
 from saddlestack.policy.cluster.places import IndexedPlaces
 from saddlestack.policy.cluster.reasons import Reason
 from saddlestack.policy.cluster.workers import Worker
-from saddlestack.policy.standstill import STILL_S
+from saddlestack.policy.stall import STALL_S
 from saddlestack.standins.loop import VirtualClock, run
 from saddlestack.work import Step
 from tests.simulation.scene import SceneTest, job, tasks
@@ -109,7 +109,7 @@
         for worker in self.cluster_state.workers.values():
             worker.failed(0.0, early=True)
         job = self.add(step(2, 8, gang=True), priority=NORMAL)
-        self.assertTrue(self.started_within(job, STILL_S + 1.0))
+        self.assertTrue(self.started_within(job, STALL_S + 1.0))
 
 
 class ToldTest(DiagnosisCase):
@@ -143,7 +143,7 @@
         self.workers(racks=10, each=5)
         self.add(*[step(39, 1, label="none") for _ in range(256)], priority=NORMAL)
         self.plan(0.1)
-        self.assertLessEqual(self.calls_of_a_round(STILL_S), 5 * self.calls_of_a_round(1.0))
+        self.assertLessEqual(self.calls_of_a_round(STALL_S), 5 * self.calls_of_a_round(1.0))
 
     def calls_of_a_round(self, now: float) -> int:
         """Calls of functions, and resumptions of generators, in a round."""
@@ -177,7 +177,7 @@
             return plain(worker, wanted)
 
         with unittest.mock.patch.object(Worker, "matches", matches):
-            self.plan(STILL_S)
+            self.plan(STALL_S)
         self.assertLessEqual(looks, 4 * len(self.cluster_state.workers))
 
     def test_gangs_wider_than_the_pool_cost_no_more_once_they_stand(self) -> None:
@@ -195,7 +195,7 @@
             return plain(places)
 
         with unittest.mock.patch.object(IndexedPlaces, "soonest", soonest):
-            self.plan(STILL_S)
+            self.plan(STALL_S)
         self.assertLessEqual(calls, 1)
 
 
@@ -237,7 +237,7 @@
         job = self.add(step(1, 1), priority=NORMAL)
         run = None
         now = 0.0
-        while run is None and now < STILL_S:
+        while run is None and now < STALL_S:
             now += 0.1
             self.cluster_state.plan(now, 0.0)
             run = next(iter(start.run for start in self.cluster_state.take_changes().starts), None)
