--- a/benchmarks/crashing.py
+++ b/benchmarks/crashing.py
@@ -20,7 +20,7 @@
 from tests.simulation.jobs import JobKinds
 
 from saddlestack.policy.cluster import crashes
-from saddlestack.policy.cluster.crashrule import (
+from saddlestack.policy.cluster.crash_rule import (
     LATER_STARTS,
     LEAST_CRASHES,
     CrashOdds,
--- a/benchmarks/faulty.py
+++ b/benchmarks/faulty.py
@@ -21,7 +21,7 @@
 from tests.simulation.workers import Plan, SimRun, SimWorker, Workers
 
 from saddlestack.interfaces.workers import EndKind
-from saddlestack.policy.cluster import blame
+from saddlestack.policy.cluster import fault_attribution
 from saddlestack.policy.standstill import StillWatch
 from saddlestack.work import JobRequest, JobState
 
@@ -42,18 +42,21 @@
     """A job that failed on more other workers than this tells nothing of one of them."""
     JOBS = 2
 
-    def is_at_fault(self, evidence: Sequence[blame.JobEvidence]) -> bool:
-        """See :meth:`saddlestack.policy.cluster.blame.FaultRule.is_at_fault`."""
+    def is_at_fault(self, evidence: Sequence[fault_attribution.JobEvidence]) -> bool:
+        """See :meth:`saddlestack.policy.cluster.fault_attribution.FaultRule.is_at_fault`."""
         credible = [each for each in evidence if each.failed_elsewhere <= self.MOST_ELSEWHERE]
         return len(credible) >= self.JOBS or any(self._is_enough(each) for each in credible)
 
-    def _is_enough(self, evidence: blame.JobEvidence) -> bool:
-        return evidence.kind is not blame.FailureKind.LATE or evidence.failed_elsewhere == 0
+    def _is_enough(self, evidence: fault_attribution.JobEvidence) -> bool:
+        return (
+            evidence.kind is not fault_attribution.FailureKind.LATE
+            or evidence.failed_elsewhere == 0
+        )
 
 
-RULES: dict[str, blame.FaultRule] = {
+RULES: dict[str, fault_attribution.FaultRule] = {
     "jobs": DistinctJobs(),
-    "ratio": blame.LikelihoodRatio(),
+    "ratio": fault_attribution.LikelihoodRatio(),
 }
 
 
@@ -256,7 +259,7 @@
     parser.add_argument("--rule", choices=RULES, default="", help="instead of the one in use")
     options = parser.parse_args()
     if options.rule:
-        blame.FAULT_RULE = RULES[options.rule]
+        fault_attribution.FAULT_RULE = RULES[options.rule]
     figures = Figures()
     for seed in range(options.first, options.first + options.count):
         with (
--- a/benchmarks/variants.py
+++ b/benchmarks/variants.py
@@ -135,12 +135,18 @@
     Variant(
         "stuck",
         "urgent work that stands still begins again elsewhere",
-        (Edit("policy/cluster/progress.py", "MOST_MOVES = 2", "MOST_MOVES = 0"),),
+        (Edit("policy/cluster/progress.py", "MAX_MOVES = 2", "MAX_MOVES = 0"),),
     ),
     Variant(
         "caution",
         "urgent work goes to healthy workers while faulty ones are noticed",
-        (Edit("policy/cluster/caution.py", "FAULTY_WORKERS = 2", "FAULTY_WORKERS = 1_000_000"),),
+        (
+            Edit(
+                "policy/cluster/worker_preferences.py",
+                "FAULTY_WORKERS = 2",
+                "FAULTY_WORKERS = 1_000_000",
+            ),
+        ),
     ),
     Variant(
         "quarantine",
--- a/benchmarks/waits.py
+++ b/benchmarks/waits.py
@@ -15,8 +15,8 @@
 import msgspec
 
 from benchmarks.board import ROUND_S, churn, loaded_cluster
-from saddlestack.policy.cluster.diagnosis import Circumstances, Diagnosis
-from saddlestack.policy.cluster.reasons import Reason
+from saddlestack.policy.cluster.diagnosis import Diagnosis, DiagnosisContext
+from saddlestack.policy.cluster.reasons import WaitReason
 from saddlestack.policy.cluster.state import ClusterState
 
 WORKERS = 3_000
@@ -43,26 +43,28 @@
             cluster_state.run_started(start.run, now)
 
 
-def looks(cluster_state: ClusterState, rng: random.Random) -> tuple[list[float], Counter[Reason]]:
+def looks(
+    cluster_state: ClusterState, rng: random.Random
+) -> tuple[list[float], Counter[WaitReason]]:
     """Milliseconds of each of some looks, rounds in between left out, and what the last found."""
     diagnosis = Diagnosis(cluster_state)
     number = len(cluster_state.jobs)
     times: list[float] = []
-    found: Counter[Reason] = Counter()
+    found: Counter[WaitReason] = Counter()
     for index in range(LOOKS):
         now = 1.0 + index * ROUND_S
         number += churn(cluster_state, rng, now, number)
         started(cluster_state, now)
         began = time.perf_counter()
-        looked = diagnosis.look(_circumstances(now))
+        looked = diagnosis.scan(_circumstances(now))
         times.append((time.perf_counter() - began) * 1000)
         found = Counter(wait.reason for wait in looked.waits)
-        found[Reason.LEFT_OUT] += looked.left_out
+        found[WaitReason.LEFT_OUT] += looked.left_out
     return times, found
 
 
-def _circumstances(now: float) -> Circumstances:
-    return Circumstances(
+def _circumstances(now: float) -> DiagnosisContext:
+    return DiagnosisContext(
         now=now,
         wall_ms=now * 1000,
         planned_s=now,
--- a/src/saddlestack/cli/explaining.py
+++ b/src/saddlestack/cli/explaining.py
@@ -10,7 +10,7 @@
 from saddlestack.cli.crashes import CLEARED, GIVEN_UP, SUSPECT, described
 from saddlestack.cli.loglines import LogLine, read
 from saddlestack.cli.output import errors_to_exit_codes, log_files
-from saddlestack.policy.cluster.reasons import Reason
+from saddlestack.policy.cluster.reasons import WaitReason
 
 EVACUATION = "evacuation"
 BEGUN = "begun"
@@ -123,7 +123,7 @@
 def _awaited(reason: str) -> str:
     """What a reason stands for; other releases may know other ones."""
     try:
-        return Reason(reason).awaited
+        return WaitReason(reason).awaited
     except ValueError:
         return "a reason that this release does not know"
 
--- a/src/saddlestack/control/contact.py
+++ b/src/saddlestack/control/contact.py
@@ -9,7 +9,7 @@
 from saddlestack.control.leases import CLOCK_DRIFT, Leases
 from saddlestack.control.owner import Owner
 from saddlestack.kernel.clock import Clock
-from saddlestack.policy.cluster.lifeend import LifeEnd
+from saddlestack.policy.cluster.incarnation_end import IncarnationEnd
 from saddlestack.policy.cluster.workers import Worker
 
 log = logging.getLogger("saddlestack.contact")
@@ -95,14 +95,14 @@
         """Whether every lease that was ever granted there is over."""
         return self._clock.now() >= self._leases.lasts_until(self._worker.worker_id)
 
-    def end(self, *, unheard: bool) -> LifeEnd:
+    def end(self, *, unheard: bool) -> IncarnationEnd:
         """What is known of when the worker's life has ended.
 
         :param unheard: only its silence tells that it has.
         """
-        silent_s = self._worker.silent_s
-        gone_s = self._clock.now() if silent_s is None else silent_s
-        return LifeEnd(self._heard_s, gone_s, unheard)
+        unreachable_since_s = self._worker.unreachable_since_s
+        gone_s = self._clock.now() if unreachable_since_s is None else unreachable_since_s
+        return IncarnationEnd(self._heard_s, gone_s, unheard)
 
     def deadline(self, now: float) -> int:
         """Until when all that runs there may run from now on, on the worker's clock.
@@ -143,8 +143,8 @@
         if self._heard_s > sent:
             return False
         self.misses += 1
-        if self._worker.silent_s is None:
-            self._worker.silent_s = self._clock.now()
+        if self._worker.unreachable_since_s is None:
+            self._worker.unreachable_since_s = self._clock.now()
         self._owner.missed(self._worker)
         if self.misses < SILENT_AFTER or not self._worker.reachable:
             return False
--- a/src/saddlestack/control/crashlog.py
+++ b/src/saddlestack/control/crashlog.py
@@ -5,7 +5,7 @@
 import logging
 from collections.abc import Sequence
 
-from saddlestack.policy.cluster.verdicts import Verdict, VerdictKind
+from saddlestack.policy.cluster.crash_findings import CrashFinding, CrashFindingKind
 from saddlestack.services.metrics import Metrics
 
 log = logging.getLogger("saddlestack.crashes")
@@ -21,12 +21,12 @@
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
 
-    def tell(self, verdicts: Sequence[Verdict]) -> None:
+    def tell(self, verdicts: Sequence[CrashFinding]) -> None:
         """Write a line for each verdict, and count it."""
         others = 0
         for verdict in verdicts:
             self._metrics.count(f"crash_{verdict.kind.value}")
-            if verdict.kind is not VerdictKind.GIVEN_UP:
+            if verdict.kind is not CrashFindingKind.GIVEN_UP:
                 others += 1
                 if others > SUSPECTS_AT_ONCE:
                     continue
@@ -37,8 +37,8 @@
                 extra={"event": "crash_left_out", "lines": others - SUSPECTS_AT_ONCE},
             )
 
-    def _tell_one(self, verdict: Verdict) -> None:
-        given_up = verdict.kind is VerdictKind.GIVEN_UP
+    def _tell_one(self, verdict: CrashFinding) -> None:
+        given_up = verdict.kind is CrashFindingKind.GIVEN_UP
         log.log(
             logging.WARNING if given_up else logging.INFO,
             "a task crashes its workers" if given_up else "a task may crash its workers, or not",
--- a/src/saddlestack/control/scheduler.py
+++ b/src/saddlestack/control/scheduler.py
@@ -39,7 +39,7 @@
 from saddlestack.interfaces.store import Item
 from saddlestack.kernel.service import TaskGroup
 from saddlestack.policy.cluster.changes import AdviceRequest, JobChanges
-from saddlestack.policy.cluster.lifeend import LifeEnd
+from saddlestack.policy.cluster.incarnation_end import IncarnationEnd
 from saddlestack.policy.cluster.state import ClusterState
 from saddlestack.policy.cluster.workers import Worker
 from saddlestack.policy.suspicion import Suspicion
@@ -326,7 +326,7 @@
             self._sessions.order_stop(stop)
         for pace in changes.paces:
             self._sessions.order_pace(pace)
-        self._crashing.tell(changes.verdicts)
+        self._crashing.tell(changes.findings)
         for question in changes.advice_requests:
             self._tasks.spawn(self._ask(question))
         by_job = changes.by_job()
@@ -382,7 +382,7 @@
             log.exception("advice failed", extra={"event": "advice_failed", "step": step.key})
             await asyncio.sleep(ADVICE_RETRY_S)
         else:
-            step.advice.told(question.workers, leaves, self._clock.now())
+            step.advice.record_answer(question.workers, leaves, self._clock.now())
         step.advice.asking = False
         self.changed()
 
@@ -434,7 +434,9 @@
             if now < self._leases.lasts_until(worker.worker_id):
                 continue
             log_over(worker.runs.values(), Proof.LAPSED, now - self._began_s)
-            self.cluster_state.worker_ended(worker.worker_id, LifeEnd(-math.inf, now, unheard=True))
+            self.cluster_state.worker_ended(
+                worker.worker_id, IncarnationEnd(-math.inf, now, unheard=True)
+            )
 
     def _ghosts(self) -> list[Worker]:
         """Lives that may run something and are reached nowhere, as far as is known."""
--- a/src/saddlestack/control/session.py
+++ b/src/saddlestack/control/session.py
@@ -30,8 +30,8 @@
 from saddlestack.kernel.service import TaskGroup
 from saddlestack.policy.cluster.changes import Start
 from saddlestack.policy.cluster.jobs import Run
-from saddlestack.policy.cluster.pacing import needs_watching
-from saddlestack.policy.cluster.progress import LOOK_S, needs_looks
+from saddlestack.policy.cluster.pacing import needs_latency_polls
+from saddlestack.policy.cluster.progress import PROGRESS_POLL_S, needs_progress_polls
 from saddlestack.policy.cluster.workers import RunKey, Worker
 from saddlestack.work import TaskName
 
@@ -182,7 +182,7 @@
                 self._missed(sent)
                 continue
             except WorkerBusy:
-                self.worker.refused(self._clock.now())
+                self.worker.record_refusal(self._clock.now())
                 reply = StartReply(None, Refusal.ROOM)
             except WorkerReplaced:
                 if clean:
@@ -203,7 +203,7 @@
             self._answered(run, key, reply, clean)
             return
         # The next start would most likely fare the same.
-        self.worker.refused(self._clock.now())
+        self.worker.record_refusal(self._clock.now())
         if clean:
             # No order left, or each was refused: there is nothing to wait for.
             self._never_began(run, key)
@@ -271,7 +271,7 @@
         it would only be in doubt, and wait for a lease that begins as it leaves.
         """
         wanted = run.task.run is run and not run.stopping
-        return wanted and self.worker.takes_decided(self._clock.now())
+        return wanted and self.worker.accepts_decided_start(self._clock.now())
 
     def _answered(self, run: Run, key: RunKey, reply: StartReply, clean: bool) -> None:
         now = self._clock.now()
@@ -297,9 +297,9 @@
             self._settle(key)
         elif clean:
             if reply.refusal is Refusal.TICKET:
-                run.task.step.advice.refused(self.worker.worker_id)
+                run.task.step.advice.discard_ticket(self.worker.worker_id)
             else:
-                self.worker.refused(now)
+                self.worker.record_refusal(now)
             self._never_began(run, key)
         else:
             self._tasks.spawn(self._stop(key, self._begins_until_s()))
@@ -338,7 +338,7 @@
             except WorkerUnreachable:
                 self._missed(sent)
             except WorkerBusy:
-                self.worker.refused(self._clock.now())
+                self.worker.record_refusal(self._clock.now())
             except Exception:
                 log.exception("stop failed", extra={"event": "stop_failed"})
             await asyncio.sleep(RETRY_S)
@@ -422,7 +422,7 @@
     def _turned_away(self) -> None:
         """The worker does nothing now: a start would grant a lease that it does not take."""
         self._contact.turned_away = True
-        self.worker.refused(self._clock.now())
+        self.worker.record_refusal(self._clock.now())
 
     def _over(self) -> None:
         """Nothing runs there any more: every lease has lapsed."""
@@ -436,15 +436,15 @@
 
     def _watch_progress(self) -> None:
         """Look often while urgent work runs; the look that waits for an end may take 2 s."""
-        if not self._watching and needs_looks(self.worker):
+        if not self._watching and needs_progress_polls(self.worker):
             self._watching = True
             self._tasks.spawn(self._look_often())
 
     async def _look_often(self) -> None:
         try:
-            while needs_looks(self.worker) and not self.over:
-                await asyncio.sleep(LOOK_S)
-                if self.worker.reachable and needs_looks(self.worker):
+            while needs_progress_polls(self.worker) and not self.over:
+                await asyncio.sleep(PROGRESS_POLL_S)
+                if self.worker.reachable and needs_progress_polls(self.worker):
                     await self._look_now()
         finally:
             self._watching = False
@@ -480,7 +480,7 @@
             return 0.0
         if any(run.stopping for run in self.worker.runs.values()):
             return STOPPING_WAIT_S
-        return WATCHED_WAIT_S if needs_watching(self.worker) else WAIT_S
+        return WATCHED_WAIT_S if needs_latency_polls(self.worker) else WAIT_S
 
     async def _take(self, report: WorkerReport, asked: float) -> None:
         if self._owner.cluster_state.workers.get(self.worker.worker_id) is not self.worker:
--- a/src/saddlestack/control/upkeep.py
+++ b/src/saddlestack/control/upkeep.py
@@ -166,7 +166,7 @@
             return
         for worker in self._cluster_state.workers.values():
             if worker.record.machine == machine:
-                worker.goes_on()
+                worker.cancel_upkeep()
 
     async def _read(self, wave: int) -> WaveRecord:
         while True:
--- a/src/saddlestack/control/waits.py
+++ b/src/saddlestack/control/waits.py
@@ -12,12 +12,12 @@
 from functools import partial
 
 from saddlestack.kernel.clock import Clock
-from saddlestack.policy.cluster.diagnosis import Circumstances, Diagnosis, Looked, Wait
+from saddlestack.policy.cluster.diagnosis import Diagnosis, DiagnosisContext, Wait, WaitReport
+from saddlestack.policy.cluster.feasibility import ServicePool, pools
 from saddlestack.policy.cluster.jobs import Job
-from saddlestack.policy.cluster.reasons import Reason
+from saddlestack.policy.cluster.reasons import WaitReason
 from saddlestack.policy.cluster.records import FailureCause
 from saddlestack.policy.cluster.state import ClusterState
-from saddlestack.policy.cluster.survey import ServicePool, pools
 from saddlestack.policy.standstill import Standstill, StillWatch
 from saddlestack.services.metrics import Metrics
 from saddlestack.work import JobState
@@ -44,18 +44,18 @@
     :param tasks: of the jobs that were looked at.
     """
 
-    jobs: Counter[Reason] = field(default_factory=Counter)
-    tasks: Counter[Reason] = field(default_factory=Counter)
+    jobs: Counter[WaitReason] = field(default_factory=Counter)
+    tasks: Counter[WaitReason] = field(default_factory=Counter)
 
     @classmethod
-    def of(cls, looked: Looked) -> WaitFigures:
+    def of(cls, looked: WaitReport) -> WaitFigures:
         """Counts what a look has found."""
         figures = cls()
-        figures.jobs[Reason.LEFT_OUT] = looked.left_out
+        figures.jobs[WaitReason.LEFT_OUT] = looked.left_out
         for wait in looked.waits:
             figures.jobs[wait.reason] += 1
             figures.tasks[wait.reason] += wait.tasks
-            figures.tasks[Reason.EARLIER_STEP] += wait.later_tasks
+            figures.tasks[WaitReason.EARLIER_STEP] += wait.later_tasks
         return figures
 
 
@@ -66,13 +66,13 @@
 
 def _show(
     metrics: Metrics,
-    jobs: Callable[[Reason], int],
-    tasks: Callable[[Reason], int],
+    jobs: Callable[[WaitReason], int],
+    tasks: Callable[[WaitReason], int],
     quarantined: Callable[[], int],
     on_probation: Callable[[], int],
     reserved_idle: Callable[[], int],
 ) -> None:
-    for reason in Reason:
+    for reason in WaitReason:
         metrics.gauge(f"waiting_jobs_{reason.value}", partial(jobs, reason))
         metrics.gauge(f"waiting_tasks_{reason.value}", partial(tasks, reason))
     metrics.gauge("pool_quarantine_percent", quarantined)
@@ -105,7 +105,7 @@
         self._late_s = 0.0
         self._round_full = False
         self._now: dict[str, Wait] = {}
-        self._told: dict[str, Reason] = {}
+        self._told: dict[str, WaitReason] = {}
         self._figures = WaitFigures()
 
     def show(self) -> None:
@@ -165,7 +165,7 @@
         now = self._clock.now()
         self._late_s = max(0.0, now - self._looked_s - LOOK_S)
         self._looked_s = now
-        looked = self._diagnosis.look(self._circumstances(round_due))
+        looked = self._diagnosis.scan(self._circumstances(round_due))
         self._now = {wait.job_id: wait for wait in looked.waits}
         self._figures = WaitFigures.of(looked)
         self._tell_standstills()
@@ -183,8 +183,8 @@
         reason = wait.reason
         return f"waits since {stood_s:.0f} s ({reason}): {reason.awaited}; ends with {reason.ends}"
 
-    def _circumstances(self, round_due: bool) -> Circumstances:
-        return Circumstances(
+    def _circumstances(self, round_due: bool) -> DiagnosisContext:
+        return DiagnosisContext(
             now=self._clock.now(),
             wall_ms=self._clock.wall() * 1000,
             planned_s=self._planned_s,
@@ -197,7 +197,7 @@
     # Telling
 
     def _tell_standstills(self) -> None:
-        standing = [wait.job_id for wait in self._now.values() if wait.beside_room]
+        standing = [wait.job_id for wait in self._now.values() if wait.could_start]
         found = self._watch.look(standing, self._clock.now())
         for standstill in found[:STANDSTILLS_A_TICK]:
             self._tell_standstill(standstill)
@@ -222,7 +222,7 @@
         self._tell_left_out("waits", len(due) - WAITS_A_TICK)
 
     def _is_to_tell(self, wait: Wait) -> bool:
-        if wait.reason is Reason.LEFT_OUT or self._told.get(wait.job_id) is wait.reason:
+        if wait.reason is WaitReason.LEFT_OUT or self._told.get(wait.job_id) is wait.reason:
             return False
         return self._clock.now() - wait.since_s >= TOLD_AFTER_S
 
--- a/src/saddlestack/policy/cluster/advice.py
+++ b/src/saddlestack/policy/cluster/advice.py
@@ -68,7 +68,7 @@
         )
         return tuple(worker.worker_id for worker in open_questions[:WORKERS_A_CALL])
 
-    def told(self, asked: Iterable[str], leaves: Iterable[Leave], now: float) -> None:
+    def record_answer(self, asked: Iterable[str], leaves: Iterable[Leave], now: float) -> None:
         """Note an answer; which workers are good for a step does not change."""
         good = {leave.worker_id: leave for leave in leaves}
         for worker_id in asked:
@@ -78,6 +78,6 @@
             else:
                 self._tickets[worker_id] = _Ticket(leave.ticket, now + leave.valid_s)
 
-    def refused(self, worker_id: str) -> None:
+    def discard_ticket(self, worker_id: str) -> None:
         """A worker did not take its ticket: it has to be asked for anew."""
         self._tickets.pop(worker_id, None)
--- a/src/saddlestack/policy/cluster/candidates.py
+++ b/src/saddlestack/policy/cluster/candidates.py
@@ -8,10 +8,10 @@
 from saddlestack.policy.cluster.fits import FitCache, FitKey
 from saddlestack.policy.cluster.index import CapacityIndex, ServiceCapacity
 from saddlestack.policy.cluster.jobs import StepState, Task
-from saddlestack.policy.cluster.patience import NEAR_PATIENCE_S
 from saddlestack.policy.cluster.placement import whole_racks
 from saddlestack.policy.cluster.places import IndexedPlaces, IsKept, ListedPlaces, Places
 from saddlestack.policy.cluster.planner_context import PlannerContext
+from saddlestack.policy.cluster.wait_limits import NEAR_DATA_WAIT_S
 from saddlestack.policy.cluster.workers import Worker
 
 
@@ -137,4 +137,4 @@
 
 def prefers_near(step: StepState, now: float) -> bool:
     """Whether a step still waits for a place near its data, if it has any."""
-    return step.waited_s(now) < NEAR_PATIENCE_S
+    return step.waited_s(now) < NEAR_DATA_WAIT_S
--- a/src/saddlestack/policy/cluster/changes.py
+++ b/src/saddlestack/policy/cluster/changes.py
@@ -5,10 +5,10 @@
 import enum
 from dataclasses import dataclass, field
 
+from saddlestack.policy.cluster.crash_findings import CrashFinding
 from saddlestack.policy.cluster.jobs import Job, Run, StepState
 from saddlestack.policy.cluster.pacing import Pace
 from saddlestack.policy.cluster.records import OccurrenceRecord
-from saddlestack.policy.cluster.verdicts import Verdict
 from saddlestack.work import JobState, TaskName
 
 
@@ -81,7 +81,7 @@
     :param paces: to be ordered at once.
     :param advice_requests: to be asked of the adviser.
     :param state_updates: jobs whose state may be shown after the records are written.
-    :param verdicts: on tasks under which workers crashed, to be told.
+    :param findings: on tasks under which workers crashed, to be told.
     """
 
     records: dict[str, OccurrenceRecord] = field(default_factory=dict)
@@ -90,7 +90,7 @@
     paces: list[Pace] = field(default_factory=list)
     advice_requests: list[AdviceRequest] = field(default_factory=list)
     state_updates: list[tuple[Job, JobState]] = field(default_factory=list)
-    verdicts: list[Verdict] = field(default_factory=list)
+    findings: list[CrashFinding] = field(default_factory=list)
 
     def by_job(self) -> list[JobChanges]:
         """What waits for records, for each job by itself."""
--- a/src/saddlestack/policy/cluster/verdicts.py
+++ b/src/saddlestack/policy/cluster/crash_findings.py
@@ -8,7 +8,7 @@
 from saddlestack.work import TaskName
 
 
-class VerdictKind(enum.StrEnum):
+class CrashFindingKind(enum.StrEnum):
     """What a task is taken for."""
 
     SUSPECT = "suspect"
@@ -20,7 +20,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Verdict:
+class CrashFinding:
     """What is decided about a task.
 
     :param worker_id: the life that crashed; empty where none did.
@@ -29,7 +29,7 @@
     :param beside: other runs that were lost with that worker.
     """
 
-    kind: VerdictKind
+    kind: CrashFindingKind
     task: TaskName
     worker_id: str = ""
     crashes: int = 0
--- a/src/saddlestack/policy/cluster/crashes.py
+++ b/src/saddlestack/policy/cluster/crashes.py
@@ -14,23 +14,23 @@
 import msgspec
 
 from saddlestack.interfaces.workers import EndKind
-from saddlestack.policy.cluster.crashrate import CrashRates
-from saddlestack.policy.cluster.crashrule import (
+from saddlestack.policy.cluster.crash_findings import CrashFinding, CrashFindingKind
+from saddlestack.policy.cluster.crash_rate import CrashRates
+from saddlestack.policy.cluster.crash_rule import (
     COUNTED_FROM,
     CRASH_RULE,
     CrashRule,
     Exposure,
 )
-from saddlestack.policy.cluster.jobs import Job, Run, StepState, Task
-from saddlestack.policy.cluster.lifeend import (
-    LifeEnd,
+from saddlestack.policy.cluster.incarnation_end import (
+    IncarnationEnd,
     is_announced,
     lived,
     may_have_begun,
     overlap,
 )
+from saddlestack.policy.cluster.jobs import Job, Run, StepState, Task
 from saddlestack.policy.cluster.records import CrashRecord, TaskStatus, clamp_log_odds
-from saddlestack.policy.cluster.verdicts import Verdict, VerdictKind
 from saddlestack.policy.cluster.workers import Worker
 
 CRASHES_KEPT = 64
@@ -75,7 +75,7 @@
     worker_id: str
     service: str
     rack: str
-    end: LifeEnd
+    end: IncarnationEnd
     jobs: frozenset[str]
     runs: int
     charges: list[_Charge] = field(default_factory=list)
@@ -83,19 +83,19 @@
 
 
 @dataclass(slots=True)
-class Judgement:
+class CrashAssessment:
     """What follows from a crash.
 
     :param touched: tasks whose records have changed.
     :param culprits: tasks to be given up.
     """
 
-    verdicts: list[Verdict] = field(default_factory=list)
+    findings: list[CrashFinding] = field(default_factory=list)
     touched: list[Task] = field(default_factory=list)
     culprits: list[Task] = field(default_factory=list)
 
 
-class Crashes:
+class CrashTracker:
     """Keeps for each task what crashes tell of it, in its step's record, where leaders find it.
 
     :param rule: decides for each task.
@@ -107,7 +107,7 @@
         self._rates = CrashRates()
         self._latest: deque[_Crash] = deque(maxlen=CRASHES_KEPT)
         self._judged: set[str] = set()
-        self._unsure: dict[str, tuple[list[Run], LifeEnd]] = {}
+        self._unsure: dict[str, tuple[list[Run], IncarnationEnd]] = {}
         self._likely: defaultdict[tuple[str, int], set[Task]] = defaultdict(set)
 
     # What the planner asks
@@ -131,7 +131,7 @@
             return self._is_kin(run.task.step)
         return self._rule.is_suspect(self._rule.survived(record, _age_s(run, now)))
 
-    def concerns(self, step: StepState) -> bool:
+    def may_have_suspects(self, step: StepState) -> bool:
         """Whether any task of a step may be a suspect."""
         return bool(step.record.crashes) or (bool(self._likely) and self._is_kin(step))
 
@@ -145,7 +145,7 @@
         """Time passes: workers that do not crash tell how rare that is."""
         self._rates.tick(now, self._workers.values())
 
-    def life_over(self, worker: Worker, end: LifeEnd) -> Judgement:
+    def incarnation_ended(self, worker: Worker, end: IncarnationEnd) -> CrashAssessment:
         """A worker's life has ended, or seems to have.
 
         An announced end tells of no task. A worker that is still in the platform's
@@ -153,23 +153,23 @@
         """
         runs = [run for run in worker.runs.values() if may_have_begun(run)]
         if not runs or is_announced(worker, end):
-            return Judgement()
+            return CrashAssessment()
         if end.unheard and worker.listed:
             self._unsure[worker.worker_id] = (runs, end)
-            return Judgement()
+            return CrashAssessment()
         return self._judge(worker, runs, end)
 
-    def unlisted(self, worker: Worker) -> Judgement:
+    def unlisted(self, worker: Worker) -> CrashAssessment:
         """A worker's record is gone: one that was unheard of before is taken as crashed."""
         unsure = self._unsure.pop(worker.worker_id, None)
         if unsure is None:
-            return Judgement()
+            return CrashAssessment()
         return self._judge(worker, *unsure)
 
-    def heard(self, worker_id: str) -> Judgement:
+    def heard(self, worker_id: str) -> CrashAssessment:
         """A life answers: it has not crashed."""
         self._unsure.pop(worker_id, None)
-        judgement = Judgement()
+        judgement = CrashAssessment()
         if worker_id not in self._judged:
             return judgement
         self._judged.discard(worker_id)
@@ -180,10 +180,10 @@
                 self._take_back(charge, judgement, counted=True)
         return judgement
 
-    def survived(self, run: Run, how: EndKind, now: float) -> Judgement:
+    def survived(self, run: Run, how: EndKind, now: float) -> CrashAssessment:
         """A run has ended, and its worker goes on; also where a gang ended with another member."""
         record = _record(run.task)
-        judgement = Judgement()
+        judgement = CrashAssessment()
         if record is None:
             return judgement
         if how is EndKind.DONE and not run.task.step.step.long_running:
@@ -206,24 +206,26 @@
         record = _record(task)
         return record is not None and record.crashes >= COUNTED_FROM
 
-    def is_spent(self, task: Task) -> bool:
+    def is_out_of_starts(self, task: Task) -> bool:
         """Whether a task that would have to be started again is given up instead."""
         record = _record(task)
         return record is not None and self._rule.is_culprit(record)
 
-    def verdict(self, task: Task) -> Verdict:
+    def verdict(self, task: Task) -> CrashFinding:
         """What is told of a task that is given up."""
         record = _record(task) or CrashRecord()
-        return Verdict(VerdictKind.GIVEN_UP, task.name, crashes=record.crashes, odds=record.odds)
+        return CrashFinding(
+            CrashFindingKind.GIVEN_UP, task.name, crashes=record.crashes, odds=record.odds
+        )
 
     def forget_job(self, job_id: str) -> None:
         """A job that is over, or known no longer."""
         for key in [key for key in self._likely if key[0] == job_id]:
             del self._likely[key]
 
-    def clear(self, job: Job) -> Judgement:
+    def clear(self, job: Job) -> CrashAssessment:
         """An operator holds the tasks of a job to be sound."""
-        judgement = Judgement()
+        judgement = CrashAssessment()
         for occurrence in job.occurrences:
             for step in occurrence.steps:
                 for index, record in list(step.record.crashes.items()):
@@ -240,7 +242,7 @@
 
     # Judging
 
-    def _judge(self, worker: Worker, runs: Sequence[Run], end: LifeEnd) -> Judgement:
+    def _judge(self, worker: Worker, runs: Sequence[Run], end: IncarnationEnd) -> CrashAssessment:
         service = worker.record.service or runs[0].task.step.occurrence.job.accepted.service
         usual_rate = self._rates.usual(service)
         more_rate = self._more_rate(worker, end)
@@ -254,7 +256,7 @@
             gang = run.task.step if run.task.step.step.gang else None
             exposed.append(Exposure(record, lived(run, end), rate, usual_rate, gang))
         charged = self._rule.charge(exposed)
-        judgement = Judgement()
+        judgement = CrashAssessment()
         crash = _Crash(
             worker.worker_id,
             service,
@@ -281,35 +283,35 @@
             self._clear_others(task, judgement)
         return judgement
 
-    def _sentence(self, task: Task, crash: _Crash, judgement: Judgement) -> None:
+    def _sentence(self, task: Task, crash: _Crash, judgement: CrashAssessment) -> None:
         """Tell what a task is taken for after a crash."""
         record = _record(task)
         if record is None or not self._rule.is_suspect(record):
             return
-        kind = VerdictKind.SUSPECT
+        kind = CrashFindingKind.SUSPECT
         if self._rule.is_culprit(record):
-            kind = VerdictKind.GIVEN_UP
+            kind = CrashFindingKind.GIVEN_UP
             judgement.culprits.append(task)
         beside = crash.runs - 1
-        judgement.verdicts.append(
-            Verdict(kind, task.name, crash.worker_id, record.crashes, record.odds, beside)
+        judgement.findings.append(
+            CrashFinding(kind, task.name, crash.worker_id, record.crashes, record.odds, beside)
         )
 
     def _log_odds(self, record: CrashRecord) -> float:
         return record.log_odds if record.crashes else self._rule.prior_log_odds
 
-    def _more_rate(self, worker: Worker, end: LifeEnd) -> float:
+    def _more_rate(self, worker: Worker, end: IncarnationEnd) -> float:
         """Ends a second of a worker, beyond the usual, by what is known of it and of its end."""
         rate = 0.0
         if not worker.listed and worker.outlived_record:
             rate += LEAVING_RATE
         if end.unheard:
             rate += UNHEARD_RATE
-        if end.heard_s == -math.inf:
+        if end.last_answer_s == -math.inf:
             rate += NEVER_HEARD_RATE
         return rate
 
-    def _fell_together(self, worker: Worker, end: LifeEnd) -> list[frozenset[str]]:
+    def _fell_together(self, worker: Worker, end: IncarnationEnd) -> list[frozenset[str]]:
         """The jobs of each other worker of a rack that fell silent with one; empty if few did."""
         rack = worker.record.rack
         fell = {
@@ -323,15 +325,15 @@
             if other is not worker and other.record.rack == rack and other.runs
         ]
         for other in others:
-            if other.silent_s is None:
+            if other.unreachable_since_s is None:
                 continue
-            if overlap(LifeEnd(other.heard_s, other.silent_s), end):
+            if overlap(IncarnationEnd(other.last_answer_s, other.unreachable_since_s), end):
                 fell[other.worker_id] = _jobs(other.runs.values())
         busy = len(fell) + sum(1 for other in others if other.worker_id not in fell)
         least = max(LEAST_TOGETHER, TOGETHER_SHARE * (busy + 1))
         return list(fell.values()) if len(fell) + 1 >= least else []
 
-    def _clear_others(self, culprit: Task, judgement: Judgement) -> None:
+    def _clear_others(self, culprit: Task, judgement: CrashAssessment) -> None:
         """A task is given up: crashes under it speak against no other any more.
 
         They still count for the others until a run of theirs has lived on: that bounds their starts
@@ -351,7 +353,7 @@
         self._rates.crashed(crash.service, -crash.unexplained)
         crash.unexplained = 0.0
 
-    def _take_back(self, charge: _Charge, judgement: Judgement, *, counted: bool) -> None:
+    def _take_back(self, charge: _Charge, judgement: CrashAssessment, *, counted: bool) -> None:
         """Take back what a crash added for a task.
 
         :param counted: it was none, and does not count either.
@@ -366,7 +368,7 @@
         self._keep(charge.task, rest, judgement, lost=not counted)
 
     def _keep(
-        self, task: Task, record: CrashRecord, judgement: Judgement, *, lost: bool = False
+        self, task: Task, record: CrashRecord, judgement: CrashAssessment, *, lost: bool = False
     ) -> None:
         """Keep what is known of a task.
 
@@ -383,7 +385,7 @@
         else:
             crashes.pop(index, None)
         if known and index not in crashes:
-            judgement.verdicts.append(Verdict(VerdictKind.CLEARED, task.name))
+            judgement.findings.append(CrashFinding(CrashFindingKind.CLEARED, task.name))
         if known or index in crashes:
             judgement.touched.append(task)
         self._note_likely(task, likely=index in crashes and self._rule.is_likely(record))
--- a/src/saddlestack/policy/cluster/diagnosis.py
+++ b/src/saddlestack/policy/cluster/diagnosis.py
@@ -11,35 +11,35 @@
 from dataclasses import dataclass, field
 from itertools import islice
 
+from saddlestack.policy.cluster.feasibility import Feasibility, FeasibilityCheck, ServicePool, pools
 from saddlestack.policy.cluster.jobs import Job, Occurrence, Run, StepState
-from saddlestack.policy.cluster.patience import (
-    HEADROOM_PATIENCE_S,
-    IDLE_PATIENCE_S,
-    NEAR_PATIENCE_S,
-)
-from saddlestack.policy.cluster.reasons import Reason
+from saddlestack.policy.cluster.reasons import WaitReason
 from saddlestack.policy.cluster.state import ClusterState
-from saddlestack.policy.cluster.survey import ServicePool, Survey, Surveyor, pools
+from saddlestack.policy.cluster.wait_limits import (
+    HEADROOM_WAIT_S,
+    IDLE_POOL_WAIT_S,
+    NEAR_DATA_WAIT_S,
+)
 from saddlestack.policy.cluster.waiting import may_start
 from saddlestack.policy.standstill import has_room
 from saddlestack.work import FINAL_STATES, Resources
 
-JOBS_A_LOOK = 128
+MAX_JOBS_PER_SCAN = 128
 """Jobs whose steps are looked at..."""
-WORKERS_A_LOOK = 3_000
+MAX_WORKERS_PER_SCAN = 3_000
 """...and workers after which no more are looked at: a pool counts once for each kind of step. So
 bounded a look takes 30 ms of a core in the median with 3,000 workers and 10,000 waiting jobs, 13 ms
 with 176 and 1,000 (`benchmarks.waits`, 40 looks each, on a busy machine). Where nothing waits only
 the runs are gone through: 1.1 ms with 3,000 workers and 5,300 runs."""
 PREFERENCES = frozenset(
     {
-        Reason.BACKFILL,
-        Reason.HEADROOM,
-        Reason.NEAR_DATA,
-        Reason.ONE_RACK,
-        Reason.PROBATION,
-        Reason.QUARANTINE,
-        Reason.TRIAL,
+        WaitReason.BACKFILL,
+        WaitReason.HEADROOM,
+        WaitReason.NEAR_DATA,
+        WaitReason.ONE_RACK,
+        WaitReason.PROBATION,
+        WaitReason.QUARANTINE,
+        WaitReason.TRIAL,
     }
 )
 """What a job that stands beside a pool that is mostly free gives up in time; quarantine only where
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Circumstances:
+class DiagnosisContext:
     """What the leader knows besides its board. Times are seconds on the board's clock.
 
     :param wall_ms: milliseconds since 1970.
@@ -77,21 +77,21 @@
     :param tasks: that wait for this reason.
     :param later_tasks: that wait for an earlier step besides.
     :param until_s: when the wait ends, or another reason takes over, where a time is known.
-    :param beside_room: a task of it could run, there is room for it twice over, and the pool is
+    :param could_start: a task of it could run, there is room for it twice over, and the pool is
         mostly free.
     """
 
     job_id: str
-    reason: Reason
+    reason: WaitReason
     since_s: float
     tasks: int = 0
     later_tasks: int = 0
     until_s: float | None = None
-    beside_room: bool = False
+    could_start: bool = False
 
 
 @dataclass(frozen=True, slots=True)
-class Looked:
+class WaitReport:
     """What a look has found.
 
     :param waits: of the jobs that have waited for the longest time.
@@ -161,15 +161,15 @@
         self._cluster_state = cluster_state
         self._since: dict[str, float] = {}
 
-    def look(self, circumstances: Circumstances) -> Looked:
+    def scan(self, circumstances: DiagnosisContext) -> WaitReport:
         """The jobs of which nothing runs, those first that have waited for the longest time."""
         in_hand = _in_hand(self._cluster_state)
         self._note(in_hand, circumstances.now)
         look = _Look(self._cluster_state, in_hand, circumstances)
-        longest = list(islice(self._since.items(), JOBS_A_LOOK))
+        longest = list(islice(self._since.items(), MAX_JOBS_PER_SCAN))
         jobs = [(self._cluster_state.jobs[job_id], since_s) for job_id, since_s in longest]
         waits = [look.at(job, since_s) for job, since_s in jobs if not job.over]
-        return Looked(waits, len(self._since) - len(longest))
+        return WaitReport(waits, len(self._since) - len(longest))
 
     def _note(self, in_hand: _InHand, now: float) -> None:
         """Keep since when each job waits; what waited first stays first."""
@@ -196,15 +196,15 @@
     """One look at a board."""
 
     def __init__(
-        self, cluster_state: ClusterState, in_hand: _InHand, circumstances: Circumstances
+        self, cluster_state: ClusterState, in_hand: _InHand, circumstances: DiagnosisContext
     ) -> None:
         self._cluster_state = cluster_state
         self._in_hand = in_hand
         self._circumstances = circumstances
         self._now = circumstances.now
-        self._left = WORKERS_A_LOOK
+        self._left = MAX_WORKERS_PER_SCAN
         self._pools: dict[str, ServicePool] | None = None
-        self._known: dict[_Kind, Survey] = {}
+        self._known: dict[_Kind, Feasibility] = {}
 
     def at(self, job: Job, since_s: float) -> Wait:
         """Why nothing of a job runs."""
@@ -229,7 +229,7 @@
         tasks = sum(len(step.tasks) for each in to_come[:1] for step in each.steps)
         due_ms = min((each.due_ms for each in to_come), default=0)
         until_s = self._now + (due_ms - self._circumstances.wall_ms) / 1000
-        return Wait(job.job_id, Reason.NOT_DUE, since_s, tasks, until_s=until_s)
+        return Wait(job.job_id, WaitReason.NOT_DUE, since_s, tasks, until_s=until_s)
 
     # Runs
 
@@ -239,18 +239,18 @@
         until_s = None
         if job_id in self._in_hand.lost:
             runs = self._in_hand.lost[job_id]
-            reason = Reason.LEASE
+            reason = WaitReason.LEASE
             until_s = max(self._circumstances.lease_until_s(run.worker_id) for run in runs)
         elif job_id in self._in_hand.stopping:
             runs = self._in_hand.stopping[job_id]
-            reason = Reason.STOPPING
+            reason = WaitReason.STOPPING
         elif job_id in self._in_hand.unconfirmed:
             runs = self._in_hand.unconfirmed[job_id]
-            reason = Reason.STARTING
+            reason = WaitReason.STARTING
             if self._circumstances.is_writing(job_id) and not runs[0].inherited:
-                reason = Reason.WRITE
+                reason = WaitReason.WRITE
         else:
-            return Wait(job_id, Reason.EARLIER_STEP, since_s, 0, later)
+            return Wait(job_id, WaitReason.EARLIER_STEP, since_s, 0, later)
         step = runs[0].task.step
         tasks = len(step.tasks) - step.done if step.step.gang else len(runs)
         return Wait(job_id, reason, since_s, tasks, later, until_s, self._is_beside_room(step))
@@ -265,37 +265,37 @@
     def _for_room(self, job: Job, step: StepState, since_s: float, tasks: int, later: int) -> Wait:
         survey = self._survey(step)
         if survey is None:
-            return Wait(job.job_id, Reason.LEFT_OUT, since_s, tasks, later)
+            return Wait(job.job_id, WaitReason.LEFT_OUT, since_s, tasks, later)
         if self._cluster_state.planner.awaits_isolation(step):
             beside = self._has_room(step, survey)
-            return Wait(job.job_id, Reason.ISOLATION, since_s, tasks, later, beside_room=beside)
+            return Wait(job.job_id, WaitReason.ISOLATION, since_s, tasks, later, could_start=beside)
         reason, until_s = self._why(step, survey)
         room = self._has_room(step, survey)
         if room:
             until_s = self._until_s(step, reason, until_s)
         return Wait(job.job_id, reason, since_s, tasks, later, until_s, room)
 
-    def _why(self, step: StepState, survey: Survey) -> tuple[Reason, float | None]:
+    def _why(self, step: StepState, survey: Feasibility) -> tuple[WaitReason, float | None]:
         """The reason, and when it ends where a time is known."""
         waiting_since_s = self._now if step.waiting_since_s is None else step.waiting_since_s
         if survey.reason is None:
             if self._cluster_state.planner.may_open(step, list(survey.places), self._now):
                 return self._for_round(), None
-            return Reason.HEADROOM, waiting_since_s + HEADROOM_PATIENCE_S
+            return WaitReason.HEADROOM, waiting_since_s + HEADROOM_WAIT_S
         reserved_until_s = self._cluster_state.planner.reserved_until(step)
         if reserved_until_s is not None:
-            return Reason.MAKING_ROOM, reserved_until_s
-        if survey.reason is Reason.NEAR_DATA:
-            return Reason.NEAR_DATA, waiting_since_s + NEAR_PATIENCE_S
+            return WaitReason.MAKING_ROOM, reserved_until_s
+        if survey.reason is WaitReason.NEAR_DATA:
+            return WaitReason.NEAR_DATA, waiting_since_s + NEAR_DATA_WAIT_S
         return survey.reason, survey.until_s
 
-    def _until_s(self, step: StepState, reason: Reason, until_s: float | None) -> float | None:
+    def _until_s(self, step: StepState, reason: WaitReason, until_s: float | None) -> float | None:
         """When a wait ends at the latest: beside a free pool preferences are given up sooner."""
         if reason not in PREFERENCES or step.stalled_since_s is None:
             return until_s
-        if reason is Reason.QUARANTINE and step.next_failure_is_final:
+        if reason is WaitReason.QUARANTINE and step.next_failure_is_final:
             return until_s
-        impatient_s = step.stalled_since_s + IDLE_PATIENCE_S
+        impatient_s = step.stalled_since_s + IDLE_POOL_WAIT_S
         return impatient_s if until_s is None else min(until_s, impatient_s)
 
     def _waiting(self, step: StepState) -> int:
@@ -304,17 +304,17 @@
         given = sum(1 for run in runs if run.task.step is step)
         return len(step.tasks) - step.done - given
 
-    def _for_round(self) -> Reason:
+    def _for_round(self) -> WaitReason:
         circumstances = self._circumstances
         if circumstances.round_due and self._now - circumstances.planned_s > HELD_S:
-            return Reason.ROUND_HELD
-        return Reason.ROUND_FULL if circumstances.round_full else Reason.NEXT_ROUND
+            return WaitReason.ROUND_HELD
+        return WaitReason.ROUND_FULL if circumstances.round_full else WaitReason.NEXT_ROUND
 
-    def _has_room(self, step: StepState, survey: Survey) -> bool:
+    def _has_room(self, step: StepState, survey: Feasibility) -> bool:
         wanted = step.step.count if step.step.gang else 1
         return has_room(self._pool(step).use, survey.copies, wanted)
 
-    def _survey(self, step: StepState) -> Survey | None:
+    def _survey(self, step: StepState) -> Feasibility | None:
         """What a step finds in its pool; ``None`` where that would cost too much."""
         kind = self._kind(step)
         known = None if kind is None else self._known.get(kind)
@@ -324,7 +324,7 @@
         if self._left <= 0:
             return None
         self._left -= len(pool.workers)
-        found = Surveyor(
+        found = FeasibilityCheck(
             step,
             pool,
             self._cluster_state.planner.kept_from(step),
--- a/src/saddlestack/policy/cluster/departure.py
+++ b/src/saddlestack/policy/cluster/draining.py
@@ -24,7 +24,7 @@
 that has done its own part waits, and looks as if it were about to end."""
 
 
-def leaving(workers: Iterable[Worker], members: Members, now: float) -> list[Run]:
+def runs_to_stop(workers: Iterable[Worker], members: Members, now: float) -> list[Run]:
     """Runs to be stopped since their worker leaves before they end.
 
     One that saves nothing is stopped as soon as that is clear, so that it begins again elsewhere;
--- a/src/saddlestack/policy/cluster/blame.py
+++ b/src/saddlestack/policy/cluster/fault_attribution.py
@@ -44,12 +44,12 @@
 
     :param kind: how it failed there.
     :param failed_elsewhere: other workers on which it failed as well.
-    :param well_elsewhere: runs of it that got further elsewhere than the one that failed.
+    :param succeeded_elsewhere: runs of it that got further elsewhere than the one that failed.
     """
 
     kind: FailureKind
     failed_elsewhere: int
-    well_elsewhere: int
+    succeeded_elsewhere: int
 
 
 class FaultRule(Protocol):
@@ -97,10 +97,10 @@
         failed: float = evidence.failed_elsewhere
         share = self.LATE_SHARE
         if evidence.kind is not FailureKind.LATE:
-            met = failed + evidence.well_elsewhere
+            met = failed + evidence.succeeded_elsewhere
             failed = max(0.0, failed - self.FAULTY_MET - self.FAULTY_SHARE * met)
             share = self.EARLY_SHARE
-        known = failed + evidence.well_elsewhere
+        known = failed + evidence.succeeded_elsewhere
         expected = (share * self.JOB_RUNS + failed) / (self.JOB_RUNS + known)
         return max(1.0, self.FAILS_ALL / expected)
 
@@ -149,7 +149,7 @@
     kind: FailureKind
 
 
-class Blame:
+class FaultAttribution:
     """Charges workers with failures, and takes a charge back that turns out to be the job's.
 
     A new leader knows nothing of workers: they may be well by now, and those that are not are found
@@ -185,7 +185,7 @@
             self._clear_others(worker, failures, now)
         at_fault = self._is_at_fault(worker.worker_id, now)
         if at_fault:
-            worker.failed(now, early=kind is not FailureKind.LATE)
+            worker.record_failure(now, early=kind is not FailureKind.LATE)
         return at_fault
 
     def ended_well(self, worker_id: str) -> None:
@@ -217,7 +217,7 @@
             if other is None or other is worker or not other.strikes:
                 continue
             if not self._is_at_fault(worker_id, now):
-                other.cleared()
+                other.clear_failures()
 
     def _is_at_fault(self, worker_id: str, now: float) -> bool:
         failed = self._on_worker.get(worker_id, {})
--- a/src/saddlestack/policy/cluster/survey.py
+++ b/src/saddlestack/policy/cluster/feasibility.py
@@ -13,24 +13,24 @@
 from saddlestack.policy.cluster.exclusion import Exclusion, exclusion_of
 from saddlestack.policy.cluster.jobs import StepState
 from saddlestack.policy.cluster.places import IsKept, ListedPlaces
-from saddlestack.policy.cluster.reasons import Reason
+from saddlestack.policy.cluster.reasons import WaitReason
 from saddlestack.policy.cluster.waiting import is_waiting
 from saddlestack.policy.cluster.workers import Worker
 from saddlestack.policy.standstill import PoolUse
 from saddlestack.work import Resources
 
 _LEFT_OUT = (
-    Reason.NEAR_DATA,
-    Reason.FAILED_THERE,
-    Reason.ADVISER,
-    Reason.BACKFILL,
-    Reason.RESERVED,
-    Reason.ISOLATED,
-    Reason.TRIAL,
-    Reason.PROBATION,
-    Reason.QUARANTINE,
-    Reason.SILENT,
-    Reason.LEAVING,
+    WaitReason.NEAR_DATA,
+    WaitReason.FAILED_THERE,
+    WaitReason.ADVISER,
+    WaitReason.BACKFILL,
+    WaitReason.RESERVED,
+    WaitReason.ISOLATED,
+    WaitReason.TRIAL,
+    WaitReason.PROBATION,
+    WaitReason.QUARANTINE,
+    WaitReason.SILENT,
+    WaitReason.LEAVING,
 )
 """The constraints in the order in which they are left out: first those that are about the step,
 then those that keep room for others, then those that are about the worker."""
@@ -39,8 +39,8 @@
 _OPEN = 0
 """The level of workers that nothing holds back."""
 _LEVELS = len(_LEFT_OUT) + 1
-_LAST_STAYING = _LEVEL[Reason.SILENT]
-_LAST_ANSWERING = _LEVEL[Reason.QUARANTINE]
+_LAST_STAYING = _LEVEL[WaitReason.SILENT]
+_LAST_ANSWERING = _LEVEL[WaitReason.QUARANTINE]
 _NOTHING = Resources()
 
 
@@ -108,23 +108,23 @@
 
 
 def _level(worker: Worker, exclusion: Exclusion, *, proven: bool) -> int:
-    if not worker.stays:
-        return _LEVEL[Reason.LEAVING]
+    if not worker.is_schedulable:
+        return _LEVEL[WaitReason.LEAVING]
     if not worker.reachable or worker.suspected:
-        return _LEVEL[Reason.SILENT]
+        return _LEVEL[WaitReason.SILENT]
     if (
         proven
         and exclusion.probation_s is not None
         and exclusion.proven_s() == exclusion.probation_s
     ):
-        return _LEVEL[Reason.PROBATION]
+        return _LEVEL[WaitReason.PROBATION]
     if exclusion.quarantine_s is not None:
-        return _LEVEL[Reason.QUARANTINE]
-    return _LEVEL[Reason.ISOLATED] if worker.isolating else _OPEN
+        return _LEVEL[WaitReason.QUARANTINE]
+    return _LEVEL[WaitReason.ISOLATED] if worker.isolating else _OPEN
 
 
 @dataclass(frozen=True, slots=True)
-class Survey:
+class Feasibility:
     """What a step finds in its pool.
 
     :param reason: what it waits for; ``None`` where it fits.
@@ -134,7 +134,7 @@
         gangs where they need one rack.
     """
 
-    reason: Reason | None
+    reason: WaitReason | None
     until_s: float | None = None
     places: tuple[Worker, ...] = ()
     copies: int = 0
@@ -156,7 +156,7 @@
         return _Sums(list(accumulate(self.copies)), list(accumulate(self.most)))
 
 
-class Surveyor:
+class FeasibilityCheck:
     """Looks at all workers of a service for one step.
 
     :param kept: tells workers that are kept for waiting gangs; ``None`` where none are.
@@ -189,11 +189,11 @@
         self._sums: dict[str, _Sums] = {}
         self._all = _Sums()
 
-    def survey(self) -> Survey:
+    def survey(self) -> Feasibility:
         """Tell what the step waits for."""
         self._take_labelled()
         if not self._workers:
-            return Survey(self._reason_without_worker())
+            return Feasibility(self._reason_without_worker())
         self._leave_for_near_data()
         self._leave_where_it_failed()
         for number in range(len(self._workers)):
@@ -204,10 +204,10 @@
         for level in range(_LEVELS):
             if self._fits(level):
                 return self._found(level, copies)
-        return Survey(self._reason_at_last(), copies=copies)
+        return Feasibility(self._reason_at_last(), copies=copies)
 
-    def _reason_without_worker(self) -> Reason:
-        return Reason.NO_LABEL if self._step.step.label else Reason.TOO_WIDE
+    def _reason_without_worker(self) -> WaitReason:
+        return WaitReason.NO_LABEL if self._step.step.label else WaitReason.TOO_WIDE
 
     # Workers
 
@@ -232,12 +232,12 @@
     def _with_leave(self, worker: Worker, level: int) -> int:
         if not self._advised or self._step.advice.ticket(worker.worker_id, self._now) is not None:
             return level
-        return max(level, _LEVEL[Reason.ADVISER])
+        return max(level, _LEVEL[WaitReason.ADVISER])
 
     def _with_kept(self, worker: Worker, level: int) -> int:
         if self._kept is None or not self._kept(worker):
             return level
-        return max(level, _LEVEL[Reason.BACKFILL])
+        return max(level, _LEVEL[WaitReason.BACKFILL])
 
     def _leave_for_near_data(self) -> None:
         """While a worker near the data takes work, the step waits for room there."""
@@ -248,8 +248,8 @@
         if not any(level == _OPEN for level, is_near in self._levels_with(near) if is_near):
             return
         away = [not is_near for is_near in near]
-        self._levels = _raised(self._levels, away, Reason.NEAR_DATA)
-        self._counted = _raised(self._counted, away, Reason.NEAR_DATA)
+        self._levels = _raised(self._levels, away, WaitReason.NEAR_DATA)
+        self._counted = _raised(self._counted, away, WaitReason.NEAR_DATA)
 
     def _leave_where_it_failed(self) -> None:
         """A task goes where it failed only while no other worker takes work."""
@@ -258,7 +258,7 @@
             return
         failed = [worker.worker_id in avoid for worker in self._workers]
         if any(level == _OPEN for level, has_failed in self._levels_with(failed) if not has_failed):
-            self._levels = _raised(self._levels, failed, Reason.FAILED_THERE)
+            self._levels = _raised(self._levels, failed, WaitReason.FAILED_THERE)
 
     def _levels_with(self, marks: list[bool]) -> Iterator[tuple[int, bool]]:
         return zip(self._levels, marks, strict=True)
@@ -279,11 +279,11 @@
             each.most[self._counted[number]] += worker.most(self._step.step)
         if worker.reserved != _NOTHING:
             whole = worker.copies(self._step, worker.free + worker.reserved)
-            self._add(worker, max(level, _LEVEL[Reason.RESERVED]), whole - free)
+            self._add(worker, max(level, _LEVEL[WaitReason.RESERVED]), whole - free)
             free = whole
         if self._trials[number]:
             whole = self._without_trial(worker)
-            self._add(worker, max(level, _LEVEL[Reason.TRIAL]), whole - free)
+            self._add(worker, max(level, _LEVEL[WaitReason.TRIAL]), whole - free)
 
     def _add(self, worker: Worker, level: int, copies: int) -> None:
         for each in self._sums_of(worker):
@@ -319,11 +319,11 @@
 
     # What is told
 
-    def _found(self, level: int, copies: int) -> Survey:
+    def _found(self, level: int, copies: int) -> Feasibility:
         if level == _OPEN:
-            return Survey(None, places=self._places(), copies=copies)
+            return Feasibility(None, places=self._places(), copies=copies)
         reason = _LEFT_OUT[level - 1]
-        return Survey(reason, self._until_s(reason), copies=copies)
+        return Feasibility(reason, self._until_s(reason), copies=copies)
 
     def _places(self) -> tuple[Worker, ...]:
         levels = zip(self._workers, self._levels, strict=True)
@@ -334,9 +334,9 @@
         worker = places.choose_worker(self._avoided())
         return () if worker is None else (worker,)
 
-    def _until_s(self, reason: Reason) -> float | None:
+    def _until_s(self, reason: WaitReason) -> float | None:
         """When enough of the workers that quarantine or probation holds back are free of it."""
-        if reason not in {Reason.QUARANTINE, Reason.PROBATION}:
+        if reason not in {WaitReason.QUARANTINE, WaitReason.PROBATION}:
             return None
         levels = zip(self._workers, self._levels, strict=True)
         held = [worker for worker, level in levels if level == _LEVEL[reason]]
@@ -353,24 +353,24 @@
                 return self._end_s(worker, reason)
         return self._end_s(held[-1], reason) if held else None
 
-    def _end_s(self, worker: Worker, reason: Reason) -> float:
+    def _end_s(self, worker: Worker, reason: WaitReason) -> float:
         """When quarantine or probation lets go of a worker."""
         exclusion = exclusion_of(worker, self._now)
-        end_s = exclusion.quarantine_s if reason is Reason.QUARANTINE else exclusion.probation_s
+        end_s = exclusion.quarantine_s if reason is WaitReason.QUARANTINE else exclusion.probation_s
         return self._now if end_s is None else end_s
 
-    def _reason_at_last(self) -> Reason:
+    def _reason_at_last(self) -> WaitReason:
         """The step fits in no free room: what of the pool would have to be another."""
         if self._all.copies[_OPEN] >= self._wanted:
-            return Reason.ONE_RACK
+            return WaitReason.ONE_RACK
         if self._all.most[_LAST_STAYING] >= self._wanted:
-            return Reason.NO_ROOM
+            return WaitReason.NO_ROOM
         if self._all.most[-1] >= self._wanted:
-            return Reason.LEAVING
-        return Reason.TOO_WIDE
+            return WaitReason.LEAVING
+        return WaitReason.TOO_WIDE
 
 
-def _raised(levels: list[int], marks: list[bool], reason: Reason) -> list[int]:
+def _raised(levels: list[int], marks: list[bool], reason: WaitReason) -> list[int]:
     """Some levels, those marked at least that of a constraint."""
     least = _LEVEL[reason]
     return [
--- a/src/saddlestack/policy/cluster/fits.py
+++ b/src/saddlestack/policy/cluster/fits.py
@@ -120,7 +120,7 @@
         new = RackFit()
         for worker in self.workers(rack):
             free = worker.free
-            new.copies += worker.fitting(self.fit.room, free)
+            new.copies += worker.count_fitting(self.fit.room, free)
             new.most += self.fit.room.copies_in(worker.record.capacity)
             new.free += free.accelerators
         self.racks[rack.number] = new
@@ -134,8 +134,8 @@
 
     def _releasable(self, rack: Rack, priority: int) -> Iterator[ReleasableWorker]:
         for worker in self.workers(rack):
-            lower = worker.lower_work(priority)
-            copies = worker.fitting(self.fit.room, worker.free + lower)
+            lower = worker.lower_priority_room(priority)
+            copies = worker.count_fitting(self.fit.room, worker.free + lower)
             if copies > 0:
                 yield ReleasableWorker.of(worker, lower, copies)
 
--- a/src/saddlestack/policy/cluster/headroom.py
+++ b/src/saddlestack/policy/cluster/headroom.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 
 from saddlestack.policy.cluster.index import ServiceCapacity
-from saddlestack.policy.cluster.patience import HEADROOM_PATIENCE_S, is_impatient
+from saddlestack.policy.cluster.wait_limits import HEADROOM_WAIT_S, may_drop_preferences
 from saddlestack.policy.cluster.workers import Worker
 
 HEADROOM_SHARE = 0.25
@@ -40,6 +40,6 @@
         and service_capacity.largest_empty_rack(opened) >= in_one
     ):
         return True
-    if not service_capacity.open.is_half_used or waited_s > HEADROOM_PATIENCE_S:
+    if not service_capacity.open.is_half_used or waited_s > HEADROOM_WAIT_S:
         return True
-    return left >= taken and is_impatient(service_capacity, waited_s)
+    return left >= taken and may_drop_preferences(service_capacity, waited_s)
--- a/src/saddlestack/policy/cluster/lifeend.py
+++ b/src/saddlestack/policy/cluster/incarnation_end.py
@@ -4,7 +4,7 @@
 
 from dataclasses import dataclass
 
-from saddlestack.policy.cluster.crashrule import Lived
+from saddlestack.policy.cluster.crash_rule import Lived
 from saddlestack.policy.cluster.jobs import Run
 from saddlestack.policy.cluster.workers import Worker
 
@@ -15,29 +15,29 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LifeEnd:
+class IncarnationEnd:
     """What is known of the end of a worker's life that its worker had not announced.
 
-    :param heard_s: when it last answered, on the board's clock; ``-inf`` for never in this term.
-    :param gone_s: when it was first noticed that it does not answer.
+    :param last_answer_s: when it last answered; ``-inf`` for never in this term.
+    :param noticed_s: when it was first noticed that it does not answer.
     :param unheard: only its silence tells of the end, for longer than any lease of it lasts.
     """
 
-    heard_s: float
-    gone_s: float
+    last_answer_s: float
+    noticed_s: float
     unheard: bool = False
 
 
-def is_announced(worker: Worker, end: LifeEnd) -> bool:
+def is_announced(worker: Worker, end: IncarnationEnd) -> bool:
     """Whether a life ended as it had been told that it would."""
     if worker.closing:
         return True
-    return worker.leaves_s is not None and end.gone_s >= worker.leaves_s - EARLY_S
+    return worker.leaves_s is not None and end.noticed_s >= worker.leaves_s - EARLY_S
 
 
-def overlap(first: LifeEnd, second: LifeEnd) -> bool:
+def overlap(first: IncarnationEnd, second: IncarnationEnd) -> bool:
     """Whether two lives may have ended at the same moment."""
-    return max(first.heard_s, second.heard_s) <= min(first.gone_s, second.gone_s)
+    return max(first.last_answer_s, second.last_answer_s) <= min(first.noticed_s, second.noticed_s)
 
 
 def may_have_begun(run: Run) -> bool:
@@ -45,15 +45,15 @@
     return run.inherited or run.ordered_s is not None or run.started_s is not None
 
 
-def lived(run: Run, end: LifeEnd) -> Lived:
+def lived(run: Run, end: IncarnationEnd) -> Lived:
     """How long a run was at its worker when that crashed, as far as is known."""
     ordered_s = run.ordered_s if run.ordered_s is not None else run.started_s
     if ordered_s is None:
         return Lived(0.0, UNKNOWN_AGE_S)
     known_s = ordered_s if run.started_s is None else run.started_s
-    least_s = max(0.0, end.heard_s - known_s)
-    most_s = max(least_s, end.gone_s - ordered_s)
+    least_s = max(0.0, end.last_answer_s - known_s)
+    most_s = max(least_s, end.noticed_s - ordered_s)
     if run.inherited:
         return Lived(least_s, most_s + UNKNOWN_AGE_S)
-    window_s = end.gone_s - max(end.heard_s, ordered_s - UNKNOWN_AGE_S)
+    window_s = end.noticed_s - max(end.last_answer_s, ordered_s - UNKNOWN_AGE_S)
     return Lived(least_s, most_s, window_s, confirmed=run.started_s is not None)
--- a/src/saddlestack/policy/cluster/index.py
+++ b/src/saddlestack/policy/cluster/index.py
@@ -265,7 +265,7 @@
             worker = heapq.heappop(self._asleep)[2]
             self._wakes.pop(worker, None)
             if worker in self._numbers:
-                worker.see_trial(now)
+                worker.expire_trial(now)
                 self._changed[worker] = None
         self._refresh()
 
@@ -309,13 +309,13 @@
 
 def _standing(worker: Worker, now: float) -> _Standing:
     record = worker.record
-    takes_work = worker.takes_work(now)
+    accepts_work = worker.accepts_work(now)
     free = worker.free
     return _Standing(
         service=record.service,
         rack=record.rack,
-        eligible=takes_work and not worker.suspected,
-        empty=record.capacity.accelerators if takes_work and not worker.runs else 0,
+        eligible=accepts_work and not worker.suspected,
+        empty=record.capacity.accelerators if accepts_work and not worker.runs else 0,
         evacuated=worker.evacuated,
         present=worker.listed and worker.reachable,
         accelerators=record.capacity.accelerators,
--- a/src/saddlestack/policy/cluster/isolation.py
+++ b/src/saddlestack/policy/cluster/isolation.py
@@ -11,7 +11,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from saddlestack.policy.cluster.crashes import Crashes
+from saddlestack.policy.cluster.crashes import CrashTracker
 from saddlestack.policy.cluster.jobs import Run, StepState, Task
 from saddlestack.policy.cluster.places import ListedPlaces
 from saddlestack.policy.cluster.progress import remaining_s
@@ -19,21 +19,21 @@
 from saddlestack.policy.cluster.workers import Worker
 from saddlestack.work import Resources
 
-SHARE = 8
+ISOLATION_SHARE = 8
 """One of so many workers of a service may serve for isolated runs at a time, and at least one;
 those that such a run fills keep no room from others, and do not count..."""
 IDLE_SHARE = 3
 """...and one of so many while the pool is mostly free."""
-PATIENCE_S = 8.0
+MAX_WAIT_S = 8.0
 """So long a suspect waits for an empty worker..."""
-IDLE_PATIENCE_S = 2.0
+IDLE_POOL_MAX_WAIT_S = 2.0
 """...and so long while the pool is mostly free, where no accepted work may stand for 3 s."""
 KEPT_S = 10.0
 """A worker is kept for so long until it is empty."""
 
 
 @dataclass(frozen=True, slots=True)
-class Isolated:
+class IsolatedPlacement:
     """What is to be started alone.
 
     :param places: a worker for each of the tasks; empty where there is none yet.
@@ -43,11 +43,11 @@
 
     places: Sequence[Worker] = ()
     alone: bool = True
-    keeps: bool = True
+    must_wait: bool = True
 
 
 @dataclass(frozen=True, slots=True)
-class ServicePool:
+class IsolationPool:
     """The workers of a service, as far as they matter here.
 
     :param workers: so many.
@@ -59,7 +59,7 @@
     service: str
     workers: int
     idle: bool
-    keeps: bool
+    may_reserve: bool
 
 
 class Isolation:
@@ -68,7 +68,7 @@
     :param crashes: tells which tasks may crash their workers.
     """
 
-    def __init__(self, crashes: Crashes) -> None:
+    def __init__(self, crashes: CrashTracker) -> None:
         self._crashes = crashes
         self._serving: dict[Worker, float] = {}
         self._waits_since: dict[Task, float] = {}
@@ -85,7 +85,7 @@
         isolated = [run for run in worker.runs.values() if run.isolated]
         if isolated:
             return any(self._crashes.may_crash(run, now) for run in isolated)
-        return bool(self._waits_since) and worker.answers and now - since_s < KEPT_S
+        return bool(self._waits_since) and worker.is_available and now - since_s < KEPT_S
 
     def _open(self, worker: Worker) -> None:
         worker.isolating = False
@@ -95,7 +95,7 @@
 
     def suspects(self, step: StepState) -> list[Task]:
         """The tasks of a step that are to be started alone; of a gang all."""
-        if not self._crashes.concerns(step):
+        if not self._crashes.may_have_suspects(step):
             return []
         if step.step.gang:
             return step.tasks if any(map(self._crashes.is_suspect, step.tasks)) else []
@@ -103,15 +103,15 @@
 
     def is_counted(self, run: Run) -> bool:
         """Whether a run is of a task that may be started few times more."""
-        return self._crashes.concerns(run.task.step) and self._crashes.is_counted(run.task)
+        return self._crashes.may_have_suspects(run.task.step) and self._crashes.is_counted(run.task)
 
     def is_waited_for(self, step: StepState) -> bool:
         """Whether a step has tasks that wait to be started alone."""
         return any(task.step is step for task in self._waits_since)
 
     def find(
-        self, tasks: Sequence[Task], eligible: Sequence[Worker], pool: ServicePool, now: float
-    ) -> Isolated:
+        self, tasks: Sequence[Task], eligible: Sequence[Worker], pool: IsolationPool, now: float
+    ) -> IsolatedPlacement:
         """Where a task, or a whole gang, may be started alone.
 
         :param eligible: workers that take the step's work; those that are kept are added, and those
@@ -121,9 +121,11 @@
         step = first.step
         since_s = self._waits_since.setdefault(first, now)
         serving = [worker for worker in self._serving if worker.record.service == pool.service]
-        kept = [worker for worker in serving if pool.keeps and self._may_use(worker, step, now)]
+        kept = [
+            worker for worker in serving if pool.may_reserve and self._may_use(worker, step, now)
+        ]
         kept = _on_other_machines(tasks, kept)
-        most = math.ceil(pool.workers / (IDLE_SHARE if pool.idle else SHARE))
+        most = math.ceil(pool.workers / (IDLE_SHARE if pool.idle else ISOLATION_SHARE))
         left = most - sum(1 for worker in serving if not _is_filled(worker))
         eligible = _on_other_machines(
             tasks, [each for each in eligible if each.reserved == Resources()]
@@ -131,24 +133,24 @@
         empty = [worker for worker in eligible if not worker.runs]
         likely = any(map(self._crashes.is_likely, tasks))
         if likely and self._is_running(step):
-            return Isolated()
+            return IsolatedPlacement()
         found = self._places(tasks, [*kept, *empty], len(kept) + max(0, left))
         if found:
             return self._take(first, found, now)
-        if now - since_s > (IDLE_PATIENCE_S if pool.idle else PATIENCE_S):
+        if now - since_s > (IDLE_POOL_MAX_WAIT_S if pool.idle else MAX_WAIT_S):
             found = self._least_at_stake(tasks, eligible, now)
             if found and left > 0:
                 return self._take(first, found, now)
             if found and not likely:
                 self._waits_since.pop(first, None)
-                return Isolated(found, alone=False)
-            return Isolated(keeps=likely)
-        if left > 0 and not kept and pool.keeps:
+                return IsolatedPlacement(found, alone=False)
+            return IsolatedPlacement(must_wait=likely)
+        if left > 0 and not kept and pool.may_reserve:
             self._keep(step, eligible, now)
-        return Isolated()
+        return IsolatedPlacement()
 
     def _may_use(self, worker: Worker, step: StepState, now: float) -> bool:
-        empty = not worker.runs and worker.takes_isolated(now) and not worker.suspected
+        empty = not worker.runs and worker.accepts_isolated(now) and not worker.suspected
         proven = not step.needs_proven_worker or now >= worker.probation_s
         return empty and proven and worker.matches(step.step)
 
@@ -178,16 +180,16 @@
 
     def _has_suspect(self, worker: Worker, now: float) -> bool:
         return any(
-            self._crashes.concerns(run.task.step) and self._crashes.may_crash(run, now)
+            self._crashes.may_have_suspects(run.task.step) and self._crashes.may_crash(run, now)
             for run in worker.runs.values()
         )
 
-    def _take(self, first: Task, places: Sequence[Worker], now: float) -> Isolated:
+    def _take(self, first: Task, places: Sequence[Worker], now: float) -> IsolatedPlacement:
         self._waits_since.pop(first, None)
         for worker in places:
             worker.isolating = True
             self._serving[worker] = now
-        return Isolated(places)
+        return IsolatedPlacement(places)
 
     def _keep(self, step: StepState, eligible: Sequence[Worker], now: float) -> None:
         """Close the worker that is empty soonest to other work."""
--- a/src/saddlestack/policy/cluster/pacing.py
+++ b/src/saddlestack/policy/cluster/pacing.py
@@ -28,27 +28,27 @@
     percent: int
 
 
-def paces(worker: Worker, now: float) -> list[Pace]:
+def adjust_pace(worker: Worker, now: float) -> list[Pace]:
     """What follows from a worker's latest report."""
     serving = [run for run in worker.runs.values() if _serves(run)]
     filling = [run for run in worker.runs.values() if run.task.step.step.fills]
     if not serving or not filling:
         return _free(filling)
     if any(run.figure > run.task.step.step.target_ms for run in serving):
-        worker.calm_s = None
+        worker.calm_since_s = None
         return [_set(run, _cut(run.pace)) for run in filling if run.pace]
     if any(run.figure > CALM_SHARE * run.task.step.step.target_ms for run in serving):
-        worker.calm_s = None
+        worker.calm_since_s = None
         return []
-    if worker.calm_s is None:
-        worker.calm_s = now
-    if now - worker.calm_s < CALM_S:
+    if worker.calm_since_s is None:
+        worker.calm_since_s = now
+    if now - worker.calm_since_s < CALM_S:
         return []
-    worker.calm_s = now
+    worker.calm_since_s = now
     return [_set(run, min(FULL, run.pace + RAISE_PERCENT)) for run in filling if run.pace < FULL]
 
 
-def needs_watching(worker: Worker) -> bool:
+def needs_latency_polls(worker: Worker) -> bool:
     """Whether serving and filling work meet on a worker, so that it is looked at often."""
     runs = worker.runs.values()
     return any(_serves(run) for run in runs) and any(run.task.step.step.fills for run in runs)
--- a/src/saddlestack/policy/cluster/placement.py
+++ b/src/saddlestack/policy/cluster/placement.py
@@ -87,7 +87,7 @@
 
 def _releasable(step: StepState, workers: Iterable[Worker]) -> Iterator[ReleasableWorker]:
     for worker in workers:
-        lower = worker.lower_work(step.occurrence.job.priority)
+        lower = worker.lower_priority_room(step.occurrence.job.priority)
         copies = worker.copies(step, worker.free + lower)
         if copies > 0:
             yield ReleasableWorker.of(worker, lower, copies)
--- a/src/saddlestack/policy/cluster/places.py
+++ b/src/saddlestack/policy/cluster/places.py
@@ -227,7 +227,7 @@
         for worker in self._service_capacity.tightest_first(room.accelerators, room.cpu):
             if self._kept is not None and self._kept(worker):
                 continue
-            if self._fits.allows(worker) and worker.fitting(room, worker.free) > 0:
+            if self._fits.allows(worker) and worker.count_fitting(room, worker.free) > 0:
                 yield worker
 
     def _spread(self) -> list[Worker] | None:
@@ -235,7 +235,9 @@
         if self._fits.total < wanted:
             return None
         room = self._step.step.room
-        eligible = ((worker, worker.fitting(room, worker.free)) for worker in self._tightest())
+        eligible = (
+            (worker, worker.count_fitting(room, worker.free)) for worker in self._tightest()
+        )
         return fill_one_hall(eligible, wanted)
 
     def _has_other(self, avoid: set[str]) -> bool:
--- a/src/saddlestack/policy/cluster/planner.py
+++ b/src/saddlestack/policy/cluster/planner.py
@@ -8,17 +8,12 @@
 from saddlestack.interfaces.workers import EndKind
 from saddlestack.policy.cluster.backfill import Backfill
 from saddlestack.policy.cluster.candidates import Candidates, prefers_near
-from saddlestack.policy.cluster.caution import Caution
-from saddlestack.policy.cluster.crashes import Crashes
+from saddlestack.policy.cluster.crashes import CrashTracker
 from saddlestack.policy.cluster.headroom import may_open
 from saddlestack.policy.cluster.index import CapacityIndex
-from saddlestack.policy.cluster.isolation import Isolated, Isolation, ServicePool
+from saddlestack.policy.cluster.isolation import IsolatedPlacement, Isolation, IsolationPool
 from saddlestack.policy.cluster.jobs import TOP_PRIORITY, Job, Run, StepState, Task
 from saddlestack.policy.cluster.lending import Lending
-from saddlestack.policy.cluster.patience import (
-    HEADROOM_PATIENCE_S,
-    is_idle,
-)
 from saddlestack.policy.cluster.placement import whole_racks
 from saddlestack.policy.cluster.places import (
     IsKept,
@@ -35,8 +30,13 @@
     is_overdue,
 )
 from saddlestack.policy.cluster.shapes import FailedShapes, Shape, ShapeNumbers, StepShapes
-from saddlestack.policy.cluster.stalled import Stalled
+from saddlestack.policy.cluster.stalled import StalledPlacement
+from saddlestack.policy.cluster.wait_limits import (
+    HEADROOM_WAIT_S,
+    is_idle,
+)
 from saddlestack.policy.cluster.waiting import WaitingSteps, is_waiting, may_start
+from saddlestack.policy.cluster.worker_preferences import WorkerPreferences
 from saddlestack.policy.cluster.workers import Worker
 
 MAX_STARTS_PER_ROUND = 400
@@ -54,8 +54,8 @@
         self,
         cluster_state: PlannerContext,
         index: CapacityIndex,
-        caution: Caution,
-        crashes: Crashes,
+        caution: WorkerPreferences,
+        crashes: CrashTracker,
     ) -> None:
         self._cluster_state = cluster_state
         self._index = index
@@ -68,7 +68,9 @@
         self._backfill = Backfill()
         self._candidates = Candidates(cluster_state, index, self._backfill, self._is_open)
         self._failed_shapes = FailedShapes()
-        self._stalled = Stalled(cluster_state, self._candidates, self._reservations, self._lending)
+        self._stalled = StalledPlacement(
+            cluster_state, self._candidates, self._reservations, self._lending
+        )
         self._shapes = ShapeNumbers()
         self._started = 0
         self._sought_alone = 0
@@ -198,14 +200,14 @@
             if found.places:
                 self._assign_apart(tasks, found, now)
                 eligible = [worker for worker in eligible if not worker.isolating]
-            elif not found.keeps:
+            elif not found.must_wait:
                 self._isolated.difference_update(tasks)
         return any(self._is_open(task) for task in step.tasks)
 
-    def _service_pool(self, step: StepState) -> ServicePool:
+    def _service_pool(self, step: StepState) -> IsolationPool:
         service_capacity = self._candidates.service_capacity(step)
         job = step.occurrence.job
-        return ServicePool(
+        return IsolationPool(
             self._cluster_state.service_of(job),
             service_capacity.count,
             is_idle(service_capacity),
@@ -219,7 +221,7 @@
             eligible = self._candidates.with_approval(step, eligible, now)
         return eligible
 
-    def _assign_apart(self, tasks: Sequence[Task], found: Isolated, now: float) -> None:
+    def _assign_apart(self, tasks: Sequence[Task], found: IsolatedPlacement, now: float) -> None:
         number = max(task.record.run for task in tasks) + 1
         for task, worker in zip(tasks, found.places, strict=True):
             self._assign(task, worker, number, now)
@@ -370,7 +372,7 @@
         if step.occurrence.job.priority == TOP_PRIORITY or step.step.long_running:
             return True
         waited_s = step.waited_s(now)
-        if waited_s > HEADROOM_PATIENCE_S:
+        if waited_s > HEADROOM_WAIT_S:
             return True
         return may_open(self._candidates.service_capacity(step), places, waited_s)
 
--- a/src/saddlestack/policy/cluster/progress.py
+++ b/src/saddlestack/policy/cluster/progress.py
@@ -14,17 +14,17 @@
 
 LEAST_PERCENT = 3
 """Progress below this says nothing about how long a run still takes."""
-LEAST_STILL_S = 0.6
-"""Reports at least this far apart have to agree: three looks of :data:`LOOK_S`..."""
+MIN_STALL_S = 0.6
+"""Reports at least this far apart have to agree: three looks of :data:`PROGRESS_POLL_S`..."""
 STILL_SHARE = 0.15
 """...or this share of the estimate apart, in which a sound worker does several percent."""
 RESUMING_S = 1.0
 """A run that resumes from a checkpoint takes up to this long before it moves."""
 NEARLY_DONE_PERCENT = 99
 """Members of a gang end together: one that is done with its own part waits there."""
-MOST_MOVES = 2
+MAX_MOVES = 2
 """So often a step is begun again for this: an estimate may be wrong, and then each move is lost."""
-LOOK_S = 0.3
+PROGRESS_POLL_S = 0.3
 """How often a worker is looked at on which urgent work runs."""
 
 
@@ -38,7 +38,7 @@
     return max(0.0, run.task.step.step.estimate_ms / 1000 - (now - since))
 
 
-def needs_looks(worker: Worker) -> bool:
+def needs_progress_polls(worker: Worker) -> bool:
     """Whether urgent work runs on a worker, so that its progress is asked for often."""
     held = worker.held.get(TOP_PRIORITY)
     return held is not None and any(_is_urgent(run) for run in worker.runs.values())
@@ -56,10 +56,10 @@
     if not _is_urgent(run) or run.stopping or run.percent >= NEARLY_DONE_PERCENT:
         return False
     begun_s = _begun_s(members)
-    if begun_s is None or run.progressed_s is None or step.moves >= MOST_MOVES:
+    if begun_s is None or run.progressed_s is None or step.moves >= MAX_MOVES:
         return False
     since_s = max(begun_s, run.progressed_s)
-    patience_s = max(LEAST_STILL_S, STILL_SHARE * step.step.estimate_ms / 1000)
+    patience_s = max(MIN_STALL_S, STILL_SHARE * step.step.estimate_ms / 1000)
     if run.task.record.saved:
         patience_s += RESUMING_S
     return now - since_s >= max(patience_s, since_s - begun_s)
--- a/src/saddlestack/policy/cluster/reasons.py
+++ b/src/saddlestack/policy/cluster/reasons.py
@@ -8,7 +8,7 @@
 import enum
 
 
-class Reason(enum.StrEnum):
+class WaitReason(enum.StrEnum):
     """The mechanism for which nothing of a job runs."""
 
     NOT_DUE = "not_due"
@@ -51,116 +51,116 @@
         return _SENTENCES[self][1]
 
 
-_SENTENCES: dict[Reason, tuple[str, str]] = {
-    Reason.NOT_DUE: (
+_SENTENCES: dict[WaitReason, tuple[str, str]] = {
+    WaitReason.NOT_DUE: (
         "its next time is not due yet",
         "the time at which it is due",
     ),
-    Reason.EARLIER_STEP: (
+    WaitReason.EARLIER_STEP: (
         "an earlier step of it has to be done first",
         "the end of that step",
     ),
-    Reason.WRITE: (
+    WaitReason.WRITE: (
         "its start is decided and not in the store yet",
         "the store's answer to the write",
     ),
-    Reason.STARTING: (
+    WaitReason.STARTING: (
         "its worker has not confirmed the start",
         "the worker's answer or next report, else a stop that it confirms",
     ),
-    Reason.STOPPING: (
+    WaitReason.STOPPING: (
         "an earlier run of it is being stopped",
         "the worker's report that the run is over",
     ),
-    Reason.LEASE: (
+    WaitReason.LEASE: (
         "an earlier run of it may go on unseen on a worker that does not answer",
         "the worker's answer, else the end of its lease",
     ),
-    Reason.ROUND_FULL: (
+    WaitReason.ROUND_FULL: (
         "the last round of decisions was full before its turn",
         "one of the next rounds, which follow at once",
     ),
-    Reason.ROUND_HELD: (
+    WaitReason.ROUND_HELD: (
         "the next round of decisions cannot begin: records of an earlier one are being written",
         "the store's answer to that write",
     ),
-    Reason.NEXT_ROUND: (
+    WaitReason.NEXT_ROUND: (
         "it fits, and the last round of decisions has not placed it",
         "the next round, within half a second; a longer wait is a defect: report it",
     ),
-    Reason.MAKING_ROOM: (
+    WaitReason.MAKING_ROOM: (
         "runs are being stopped to make room for it",
         "the end of those runs, else of its reservation, after which room is searched anew",
     ),
-    Reason.HEADROOM: (
+    WaitReason.HEADROOM: (
         "the empty workers that it would open are kept for urgent work",
         "the end of other runs, or of its patience, after which these workers are open to it",
     ),
-    Reason.NEAR_DATA: (
+    WaitReason.NEAR_DATA: (
         "it waits for a place in the rack near its data, and would fit elsewhere",
         "room in that rack, or the end of its patience, after which it goes anywhere",
     ),
-    Reason.FAILED_THERE: (
+    WaitReason.FAILED_THERE: (
         "room is free only on workers where it failed, and there are others",
         "room on another worker",
     ),
-    Reason.ISOLATION: (
+    WaitReason.ISOLATION: (
         "a worker crashed under it, and it is to be started alone",
         "an empty worker, or the end of its patience, after which it goes beside others",
     ),
-    Reason.ADVISER: (
+    WaitReason.ADVISER: (
         "the adviser has given leave for no worker with room enough",
         "the adviser's answer",
     ),
-    Reason.BACKFILL: (
+    WaitReason.BACKFILL: (
         "the workers that it would fill are kept for gangs of higher priority",
         "the start of those gangs, or other room",
     ),
-    Reason.RESERVED: (
+    WaitReason.RESERVED: (
         "the free room is reserved for urgent work that waits for runs to stop",
         "the start of that work, the end of its reservation, or for short work a loan of the room",
     ),
-    Reason.ISOLATED: (
+    WaitReason.ISOLATED: (
         "workers with room are kept for a task that may crash them",
         "the end of that task there, or room elsewhere",
     ),
-    Reason.TRIAL: (
+    WaitReason.TRIAL: (
         "workers with room have failed lately and take one task at a time",
         "a run that ends well there",
     ),
-    Reason.PROBATION: (
+    WaitReason.PROBATION: (
         "workers with room have failed lately and take neither urgent work nor gangs",
         "the end of their probation, or a run that ends well there",
     ),
-    Reason.QUARANTINE: (
+    WaitReason.QUARANTINE: (
         "workers with room have failed lately and take no work",
         "the end of their quarantine",
     ),
-    Reason.SILENT: (
+    WaitReason.SILENT: (
         "workers with room do not answer, or may be out of reach",
         "their answer, or room elsewhere",
     ),
-    Reason.LEAVING: (
+    WaitReason.LEAVING: (
         "only workers that leave, are about to have upkeep or lie in evacuated data halls would do",
         "the return of the data hall, other workers, or room elsewhere",
     ),
-    Reason.ONE_RACK: (
+    WaitReason.ONE_RACK: (
         "it wants one rack, and fits only spread over several",
         "the end of runs in one rack",
     ),
-    Reason.NO_ROOM: (
+    WaitReason.NO_ROOM: (
         "the pool is too full for it",
         "the end of other runs",
     ),
-    Reason.NO_LABEL: (
+    WaitReason.NO_LABEL: (
         "no worker has the label that it asks for",
         "a worker with that label",
     ),
-    Reason.TOO_WIDE: (
+    WaitReason.TOO_WIDE: (
         "it is wider than the pool as it is now, even if the pool were empty",
         "more workers, or larger ones; it is not rejected, since pools grow again",
     ),
-    Reason.LEFT_OUT: (
+    WaitReason.LEFT_OUT: (
         "its reason was not looked for: others have waited longer",
         "a look at it, once fewer wait",
     ),
--- a/src/saddlestack/policy/cluster/reservations.py
+++ b/src/saddlestack/policy/cluster/reservations.py
@@ -74,7 +74,7 @@
         return any(worker.suspected for worker in self.places)
 
     def _has_room(self, worker: Worker, used: Resources) -> bool:
-        if worker.is_over:
+        if worker.is_overcommitted:
             return False
         free = worker.record.capacity - used
         return self.step.step.room.copies_in(free) >= self.places.count(worker)
@@ -122,7 +122,7 @@
     def release_expired(self, now: float) -> None:
         """Give up what cannot be used, or has not been for too long."""
         for held in list(self._held.values()):
-            usable = all(worker.takes_work(now) for worker in held.places)
+            usable = all(worker.accepts_work(now) for worker in held.places)
             if not usable or now > held.expires_s or not held.step.occurrence.open:
                 self.release(held.step)
 
--- a/src/saddlestack/policy/cluster/stalled.py
+++ b/src/saddlestack/policy/cluster/stalled.py
@@ -8,10 +8,14 @@
 from saddlestack.policy.cluster.candidates import Candidates
 from saddlestack.policy.cluster.jobs import Job, StepState
 from saddlestack.policy.cluster.lending import Lending
-from saddlestack.policy.cluster.patience import borrows_from_s, has_room_for, is_impatient
 from saddlestack.policy.cluster.places import LastResortPlaces, WorkerChoice
 from saddlestack.policy.cluster.planner_context import PlannerContext
 from saddlestack.policy.cluster.reservations import Reservations
+from saddlestack.policy.cluster.wait_limits import (
+    has_room_for,
+    loans_allowed_from_s,
+    may_drop_preferences,
+)
 from saddlestack.policy.cluster.workers import Worker
 from saddlestack.work import Resources
 
@@ -36,7 +40,7 @@
     lenders: frozenset[str]
 
 
-class Stalled:
+class StalledPlacement:
     """Finds room for work that has waited for too long beside a pool that is mostly free."""
 
     def __init__(
@@ -82,7 +86,7 @@
         lately. The second looks at each worker, so it is done for few steps in a round, and once
         for those of a kind.
         """
-        if not is_impatient(self._candidates.service_capacity(step), step.stalled_s(now)):
+        if not may_drop_preferences(self._candidates.service_capacity(step), step.stalled_s(now)):
             return
         self._note_borrowing(step, now)
         lenders = self._lenders(step, now)
@@ -102,7 +106,7 @@
 
     def _note_borrowing(self, step: StepState, now: float) -> None:
         """Note when a step that stalls soon may be lent reserved room."""
-        due_s = borrows_from_s(step)
+        due_s = loans_allowed_from_s(step)
         if not self._reservations or due_s <= now:
             return
         if self._borrows_s is None or due_s < self._borrows_s:
@@ -110,7 +114,7 @@
 
     def _lenders(self, step: StepState, now: float) -> frozenset[str]:
         """The ids of workers that may lend a step what is reserved there."""
-        if now < borrows_from_s(step):
+        if now < loans_allowed_from_s(step):
             return frozenset()
         return self._lending.lenders(step, self._reservations, now)
 
@@ -156,7 +160,7 @@
         """
         for rack in self._candidates.service_capacity(step).racks:
             for worker in rack.workers:
-                if not worker.answers or not worker.matches(step.step) or now < worker.busy_s:
+                if not worker.is_available or not worker.matches(step.step) or now < worker.busy_s:
                     continue
                 if worker.isolating:
                     continue
--- a/src/saddlestack/policy/cluster/state.py
+++ b/src/saddlestack/policy/cluster/state.py
@@ -11,26 +11,26 @@
 from dataclasses import replace
 
 from saddlestack.interfaces.workers import EndedTask, EndKind, RunningTask, WorkerRecord
-from saddlestack.policy.cluster.blame import Blame, FailureKind
-from saddlestack.policy.cluster.caution import Caution
 from saddlestack.policy.cluster.changes import AdviceRequest, Changes, Start, Stop, StopReason
-from saddlestack.policy.cluster.crashes import Crashes, Judgement
-from saddlestack.policy.cluster.departure import leaving
+from saddlestack.policy.cluster.crash_findings import CrashFinding
+from saddlestack.policy.cluster.crashes import CrashAssessment, CrashTracker
+from saddlestack.policy.cluster.draining import runs_to_stop
+from saddlestack.policy.cluster.fault_attribution import FailureKind, FaultAttribution
+from saddlestack.policy.cluster.incarnation_end import IncarnationEnd
 from saddlestack.policy.cluster.index import CapacityIndex
 from saddlestack.policy.cluster.jobs import Job, Occurrence, Run, StepState, Task, new_job
-from saddlestack.policy.cluster.lifeend import LifeEnd
-from saddlestack.policy.cluster.pacing import Pace, paces
+from saddlestack.policy.cluster.pacing import Pace, adjust_pace
 from saddlestack.policy.cluster.planner import Planner
-from saddlestack.policy.cluster.progress import is_stuck, needs_looks
+from saddlestack.policy.cluster.progress import is_stuck, needs_progress_polls
 from saddlestack.policy.cluster.records import (
     FailureCause,
     OccurrenceRecord,
     OccurrenceStatus,
     TaskStatus,
 )
-from saddlestack.policy.cluster.verdicts import Verdict
 from saddlestack.policy.cluster.waiting import is_waiting
-from saddlestack.policy.cluster.workers import EARLY_FAILURE_S, EARLY_SHARE, Worker
+from saddlestack.policy.cluster.worker_preferences import WorkerPreferences
+from saddlestack.policy.cluster.workers import EARLY_FAILURE_S, EARLY_FAILURE_SHARE, Worker
 from saddlestack.work import AcceptedJob, JobState, Resources, TaskName
 
 
@@ -51,10 +51,10 @@
         self._evacuated: frozenset[str] = frozenset()
         self._touched: dict[str, Job] = {}
         self._index = CapacityIndex()
-        self._worker_preferences = Caution()
-        self._fault_attribution = Blame(self.workers)
-        self._crashes = Crashes(self.workers)
-        self._findings: list[Verdict] = []
+        self._worker_preferences = WorkerPreferences()
+        self._fault_attribution = FaultAttribution(self.workers)
+        self._crashes = CrashTracker(self.workers)
+        self._findings: list[CrashFinding] = []
         self._planner = Planner(self, self._index, self._worker_preferences, self._crashes)
 
     # Configuration
@@ -205,7 +205,7 @@
         if worker is None:
             worker = Worker(record)
             self._know(worker)
-        worker.note(record, now)
+        worker.update_record(record, now)
         worker.evacuated = record.data_hall in self._evacuated
         if worker.is_cold(now):
             self._worker_preferences.note_cold(worker)
@@ -226,7 +226,7 @@
         if not worker.runs:
             self._lose(worker)
 
-    def worker_ended(self, worker_id: str, end: LifeEnd | None = None) -> None:
+    def worker_ended(self, worker_id: str, end: IncarnationEnd | None = None) -> None:
         """A life has ended, or its lease has lapsed for sure: nothing runs there.
 
         :param end: when it may have ended, where it may have crashed.
@@ -234,7 +234,9 @@
         worker = self.workers.get(worker_id)
         if worker is None:
             return
-        judgement = Judgement() if end is None else self._crashes.life_over(worker, end)
+        judgement = (
+            CrashAssessment() if end is None else self._crashes.incarnation_ended(worker, end)
+        )
         lost = list(worker.runs.values())
         for run in lost:
             worker.remove(run.task.name, run.number)
@@ -246,8 +248,8 @@
 
     def record_answer(self, worker: Worker, now: float) -> None:
         """A life has answered."""
-        worker.heard_s = now
-        worker.silent_s = None
+        worker.last_answer_s = now
+        worker.unreachable_since_s = None
         worker.outlived_record = not worker.listed
         self._follow(self._crashes.heard(worker.worker_id))
 
@@ -265,9 +267,9 @@
         self._follow(judgement)
         return len(judgement.touched)
 
-    def _follow(self, judgement: Judgement) -> None:
+    def _follow(self, judgement: CrashAssessment) -> None:
         """Keep what a crash tells, and give up the jobs of those that caused it."""
-        self._findings += judgement.verdicts
+        self._findings += judgement.findings
         for task in judgement.touched:
             if task.step.occurrence.open:
                 self._mark(task.step.occurrence)
@@ -324,7 +326,7 @@
                 self._stops.append(Stop(worker_id, name, row.run, StopReason.NOT_OURS))
                 continue
             if row.percent > run.percent:
-                worker.progressed(run, now)
+                worker.record_progress(run, now)
             if row.percent != run.percent or run.progressed_s is None:
                 run.progressed_s = now
             run.percent = row.percent
@@ -333,11 +335,11 @@
             if row.saved:
                 run.saved = row.saved
         self._move_stuck(worker, now)
-        self._paces += paces(worker, now)
+        self._paces += adjust_pace(worker, now)
 
     def _move_stuck(self, worker: Worker, now: float) -> None:
         """Stop what stands still on a worker, so that it begins again elsewhere."""
-        if not needs_looks(worker) or worker.is_cold(now):
+        if not needs_progress_polls(worker) or worker.is_cold(now):
             return
         for run in list(worker.runs.values()):
             if is_stuck(run, self.members(run), now):
@@ -352,7 +354,7 @@
         if run is None:
             return
         if end.how is EndKind.DONE:
-            worker.succeeded(now)
+            worker.record_success(now)
             self._fault_attribution.ended_well(worker_id)
         elif end.how is EndKind.FAILED:
             self._note_failure(worker, run, now)
@@ -389,7 +391,7 @@
         task.record.status = TaskStatus.WAITING
         if step.step.checkpoint and saved:
             self._save(task, saved)
-        if self._crashes.is_spent(task):
+        if self._crashes.is_out_of_starts(task):
             self._spent(task)
         elif step.step.once and _has_begun(run, how) and not task.record.saved:
             self._give_up(occurrence, FailureCause.ONCE)
@@ -501,7 +503,7 @@
         """
         self._index.begin_round(now)
         self._crashes.tick(now)
-        for run in leaving(self._index.leaving, self.members, now):
+        for run in runs_to_stop(self._index.leaving, self.members, now):
             self.stop_group(run, StopReason.WORKER_LEAVES)
         return self._planner.plan(now, wall_ms)
 
@@ -540,7 +542,7 @@
             stops=self._stops,
             paces=self._paces,
             advice_requests=self._advice_requests,
-            verdicts=self._findings,
+            findings=self._findings,
         )
         for key, occurrence in self._dirty.items():
             changes.records[key] = occurrence.to_record()
@@ -564,7 +566,7 @@
     estimate_ms = run.task.step.step.estimate_ms
     if not estimate_ms:
         return now - since_s < EARLY_FAILURE_S
-    return now - since_s < min(EARLY_FAILURE_S, EARLY_SHARE * estimate_ms / 1000)
+    return now - since_s < min(EARLY_FAILURE_S, EARLY_FAILURE_SHARE * estimate_ms / 1000)
 
 
 def _has_begun(run: Run, how: EndKind) -> bool:
--- a/src/saddlestack/policy/cluster/patience.py
+++ b/src/saddlestack/policy/cluster/wait_limits.py
@@ -13,15 +13,15 @@
 from saddlestack.policy.cluster.jobs import StepState
 from saddlestack.policy.standstill import ROOM_FACTOR
 
-NEAR_PATIENCE_S = 8.0
+NEAR_DATA_WAIT_S = 8.0
 """Work waits this long for a place near its data while much of the pool is in use."""
-HEADROOM_PATIENCE_S = 15.0
+HEADROOM_WAIT_S = 15.0
 """Work of lower priority keeps off the headroom for this long..."""
-IDLE_PATIENCE_S = 2.0
+IDLE_POOL_WAIT_S = 2.0
 """...and this long, like all other preferences, while under half of all workers is in use: work may
 stand for 3 s there, and it takes up to 0.5 s to the next decision and 0.1 s until it runs."""
 
-LENDING_PATIENCE_S = 2.5
+LENDING_WAIT_S = 2.5
 """Work waits this long beside an idle pool before it is lent reserved room: a run that outlasts the
 stops holds the reservation's step up, so most reservations are over before they lend anything."""
 
@@ -35,15 +35,15 @@
     return service_capacity.all.is_mostly_free or service_capacity.present.is_mostly_free
 
 
-def is_impatient(service_capacity: ServiceCapacity, stood_s: float) -> bool:
+def may_drop_preferences(service_capacity: ServiceCapacity, stood_s: float) -> bool:
     """Whether work beside an idle pool has waited for a better place for long enough."""
-    return stood_s > IDLE_PATIENCE_S and is_idle(service_capacity)
+    return stood_s > IDLE_POOL_WAIT_S and is_idle(service_capacity)
 
 
-def borrows_from_s(step: StepState) -> float:
+def loans_allowed_from_s(step: StepState) -> float:
     """When a step beside an idle pool may be lent reserved room, on the board's clock."""
     since_s = step.stalled_since_s
-    return math.inf if since_s is None else since_s + LENDING_PATIENCE_S
+    return math.inf if since_s is None else since_s + LENDING_WAIT_S
 
 
 def has_room_for(copies: int, wanted: int) -> bool:
--- a/src/saddlestack/policy/cluster/caution.py
+++ b/src/saddlestack/policy/cluster/worker_preferences.py
@@ -27,7 +27,7 @@
 """Whether a step would rather go to a worker."""
 
 
-class Caution:
+class WorkerPreferences:
     """Workers that were noticed as faulty in the last seconds, and those that are cold."""
 
     def __init__(self) -> None:
@@ -66,7 +66,7 @@
         since_s = now - HEALTHY_S
         if self._several_faulty(now):
             since_s = max(since_s, min(self._faulty_s.values()) - NOTICED_S)
-        return worker.healthy_s is not None and worker.healthy_s > since_s
+        return worker.last_healthy_s is not None and worker.last_healthy_s > since_s
 
     def _any_cold(self, now: float) -> bool:
         for worker in [worker for worker in self._cold if not worker.is_cold(now)]:
--- a/src/saddlestack/policy/cluster/workers.py
+++ b/src/saddlestack/policy/cluster/workers.py
@@ -15,7 +15,7 @@
 EARLY_FAILURE_S = 0.3
 """A run that fails sooner than this has done no work: its worker is at fault rather than its task.
 Workers that fail all that they start do so within 0.03 s."""
-EARLY_SHARE = 0.5
+EARLY_FAILURE_SHARE = 0.5
 """...and sooner than this share of its estimate: work of 0.15 s that fails at its end is no early
 failure, and says nothing of its worker."""
 PROBATION_S = 16.0
@@ -65,23 +65,23 @@
     :param suspected: something near it has not answered, and it has not been heard since; no new
         work goes there, what waits for its room goes on waiting.
     :param leaves_s: when it may leave at the earliest, on the board's clock.
-    :param drains_since_s: since when it is known to be leaving, on the board's clock.
+    :param draining_since_s: since when it is known to be leaving, on the board's clock.
     :param closing: its machine is about to have its upkeep.
     :param evacuated: its data hall is being evacuated; what runs there goes on.
     :param isolating: a task that may crash it is there, or is to come: nothing else is started.
-    :param heard_s: when it last answered in this term, on the board's clock.
-    :param silent_s: since when it does not answer, on the same.
+    :param last_answer_s: when it last answered in this term, on the board's clock.
+    :param unreachable_since_s: since when it does not answer, on the same.
     :param outlived_record: it answered after its record was gone.
-    :param cold_s: it is slow until then.
-    :param calm_s: since when all that serves there is well below its target.
+    :param cold_until_s: it is slow until then.
+    :param calm_since_s: since when all that serves there is well below its target.
     :param busy_s: no new work until then: it turned an order away.
     :param strikes: failures that it was charged with since a run last ended well there.
     :param quarantine_s: no new work until then, for its strikes.
     :param probation_s: neither urgent work nor gangs until then.
     :param trial_s: one task at a time until then.
-    :param charged_s: when it was last charged with a failure.
+    :param last_charged_s: when it was last charged with a failure.
     :param fails_late: it was charged with one that came after its run had done work.
-    :param healthy_s: when a run last made progress, or ended well, there.
+    :param last_healthy_s: when a run last made progress, or ended well, there.
     :param reserved: room set aside for work that waits for others to stop.
     :param held: room that runs hold, by the priority of their jobs.
     :param changed: where to note that something about it has changed, if anywhere. Noting it where
@@ -93,23 +93,23 @@
     reachable: bool = True
     suspected: bool = False
     leaves_s: float | None = None
-    drains_since_s: float | None = None
+    draining_since_s: float | None = None
     closing: bool = False
     evacuated: bool = False
     isolating: bool = False
-    heard_s: float = -math.inf
-    silent_s: float | None = None
+    last_answer_s: float = -math.inf
+    unreachable_since_s: float | None = None
     outlived_record: bool = False
-    cold_s: float = 0.0
-    calm_s: float | None = None
+    cold_until_s: float = 0.0
+    calm_since_s: float | None = None
     busy_s: float = 0.0
     strikes: int = 0
     quarantine_s: float = 0.0
     probation_s: float = 0.0
     trial_s: float = 0.0
-    charged_s: float = 0.0
+    last_charged_s: float = 0.0
     fails_late: bool = False
-    healthy_s: float | None = None
+    last_healthy_s: float | None = None
     used: Resources = field(default_factory=Resources)
     reserved: Resources = field(default_factory=Resources)
     runs: dict[RunKey, Run] = field(default_factory=dict)
@@ -154,54 +154,54 @@
         """Whether its runs fill some of the room that is reserved there."""
         return not _NOTHING.fits(self.free)
 
-    def takes_work(self, now: float) -> bool:
+    def accepts_work(self, now: float) -> bool:
         """Whether new work may go there."""
-        return not self.isolating and self.takes_isolated(now)
+        return not self.isolating and self.accepts_isolated(now)
 
-    def takes_isolated(self, now: float) -> bool:
+    def accepts_isolated(self, now: float) -> bool:
         """Whether a task may go there that is to be alone."""
-        return self.stays and self.reachable and now >= max(self.busy_s, self.quarantine_s)
+        return self.is_schedulable and self.reachable and now >= max(self.busy_s, self.quarantine_s)
 
     @property
-    def is_over(self) -> bool:
+    def is_overcommitted(self) -> bool:
         """Whether its runs hold more than it has, since its room has shrunk."""
         return not self.used.fits(self.record.capacity)
 
     @property
-    def answers(self) -> bool:
+    def is_available(self) -> bool:
         """Whether it takes part, and answers as far as is known."""
-        return self.stays and self.reachable and not self.suspected
+        return self.is_schedulable and self.reachable and not self.suspected
 
     @property
-    def stays(self) -> bool:
+    def is_schedulable(self) -> bool:
         """Whether new work may go there once it is reachable and well."""
         leaves = not self.listed or self.record.draining or self.closing
         return not leaves and not self.evacuated
 
-    def takes_decided(self, now: float) -> bool:
+    def accepts_decided_start(self, now: float) -> bool:
         """Whether a start that was decided for it may still leave.
 
         Its room may have shrunk meanwhile: what runs there goes on, and nothing more begins.
         """
-        if self.evacuated or not self.reachable or self.is_over:
+        if self.evacuated or not self.reachable or self.is_overcommitted:
             return False
-        return self.drains_since_s is None or now - self.drains_since_s <= LEAVES_LATE_S
+        return self.draining_since_s is None or now - self.draining_since_s <= LEAVES_LATE_S
 
     def next_change_s(self, now: float) -> float | None:
         """When it takes more work than now, as far as that comes with time."""
         ends = (self.busy_s, self.quarantine_s, self.probation_s, self.trial_s)
         return min((until for until in ends if until > now), default=None)
 
-    def see_trial(self, now: float) -> None:
+    def expire_trial(self, now: float) -> None:
         """End its trial once that has lasted for long enough."""
         if self.strikes and now >= self.trial_s:
             self.strikes = 0
 
     def is_cold(self, now: float) -> bool:
         """Whether it is slow since it has just begun, or was given back."""
-        return now < self.cold_s
+        return now < self.cold_until_s
 
-    def note(self, record: WorkerRecord, now: float) -> None:
+    def update_record(self, record: WorkerRecord, now: float) -> None:
         """Take over a newer record of it."""
         if record.draining and record.remaining_ms is not None:
             leaves = now + record.remaining_ms / 1000
@@ -209,15 +209,15 @@
         elif not record.draining and not self.closing:
             self.leaves_s = None
         if record.cold_ms != self._noted_cold_ms:
-            self.cold_s = now + record.cold_ms / 1000
+            self.cold_until_s = now + record.cold_ms / 1000
             self._noted_cold_ms = record.cold_ms
         if not record.draining:
-            self.drains_since_s = None
-        elif self.drains_since_s is None:
-            self.drains_since_s = now
+            self.draining_since_s = None
+        elif self.draining_since_s is None:
+            self.draining_since_s = now
         self.record = record
 
-    def goes_on(self) -> None:
+    def cancel_upkeep(self) -> None:
         """Its machine has no upkeep after all."""
         self.closing = False
         if not self.record.draining:
@@ -232,14 +232,14 @@
         copies = step.room.copies_in(self.record.capacity)
         return min(copies, step.per_worker) if step.per_worker else copies
 
-    def fitting(self, needs: Resources, room: Resources) -> int:
+    def count_fitting(self, needs: Resources, room: Resources) -> int:
         """Tasks of some size that fit into some room of it; one where it has failed lately."""
-        copies = 0 if self.is_over else needs.copies_in(room)
+        copies = 0 if self.is_overcommitted else needs.copies_in(room)
         if self.strikes:
             copies = min(copies, 0 if self.runs else 1)
         return copies
 
-    def lower_work(self, priority: int) -> Resources:
+    def lower_priority_room(self, priority: int) -> Resources:
         """Room that runs of lower priority hold."""
         lower = Resources()
         for other, room in self.held.items():
@@ -253,11 +253,11 @@
         :param reserved: whether what is reserved for other work counts as free.
         """
         room = self.unused if reserved else self.free
-        return 0 if self.is_over else self._limited(step, step.step.room.copies_in(room))
+        return 0 if self.is_overcommitted else self._limited(step, step.step.room.copies_in(room))
 
     def copies(self, step: StepState, room: Resources) -> int:
         """Tasks of a step that fit into some room of it."""
-        return self._limited(step, self.fitting(step.step.room, room))
+        return self._limited(step, self.count_fitting(step.step.room, room))
 
     def _limited(self, step: StepState, copies: int) -> int:
         """So many tasks of a step, or fewer where it limits those of one worker."""
@@ -283,13 +283,13 @@
             self.used = self.used - run.allocation
         return run
 
-    def succeeded(self, now: float) -> None:
+    def record_success(self, now: float) -> None:
         """A run ended well there."""
-        self.healthy_s = now
+        self.last_healthy_s = now
         self.busy_s = 0.0
-        self.cleared()
+        self.clear_failures()
 
-    def cleared(self) -> None:
+    def clear_failures(self) -> None:
         """What it was charged with is taken back."""
         self.strikes = 0
         self.quarantine_s = 0.0
@@ -297,25 +297,25 @@
         self.trial_s = 0.0
         self.fails_late = False
 
-    def progressed(self, run: Run, now: float) -> None:
+    def record_progress(self, run: Run, now: float) -> None:
         """A run made progress there: work that began since its last charge does not fail at once.
 
         Workers that fail late show well only by an end; the others are free again some 2 s after
         their quarantine rather than at the end of the task that they are tried with.
         """
-        self.healthy_s = now
+        self.last_healthy_s = now
         if not self.strikes or self.fails_late or run.started_s is None:
             return
-        if run.started_s > self.charged_s and now - run.started_s > EARLY_FAILURE_S:
-            self.cleared()
+        if run.started_s > self.last_charged_s and now - run.started_s > EARLY_FAILURE_S:
+            self.clear_failures()
 
-    def failed(self, now: float, *, early: bool) -> None:
+    def record_failure(self, now: float, *, early: bool) -> None:
         """It is charged with a run that failed there.
 
         :param early: before it can have done any work.
         """
         self.strikes += 1
-        self.charged_s = now
+        self.last_charged_s = now
         if early:
             self.probation_s = now + PROBATION_S
         else:
@@ -324,6 +324,6 @@
         self.quarantine_s = max(self.quarantine_s, now + pause)
         self.trial_s = self.quarantine_s + TRIAL_S
 
-    def refused(self, now: float) -> None:
+    def record_refusal(self, now: float) -> None:
         """It turned an order away as unhealthy."""
         self.busy_s = max(self.busy_s, now + BUSY_QUARANTINE_S)
--- a/tests/test_blame.py
+++ b/tests/test_blame.py
@@ -5,7 +5,7 @@
 import unittest
 
 from saddlestack.interfaces.workers import EndedTask, EndKind, RunningTask
-from saddlestack.policy.cluster.blame import (
+from saddlestack.policy.cluster.fault_attribution import (
     FAULT_RULE,
     JOBS_KEPT,
     WORKERS_KEPT,
@@ -139,12 +139,12 @@
         self.plan(0.0)
         (first,) = self.placed(job)
         self.end_on(first, job, EndKind.FAILED, 5.0)
-        self.assertFalse(self.worker(first).takes_work(5.1))
+        self.assertFalse(self.worker(first).accepts_work(5.1))
         self.plan(5.1)
         (second,) = self.placed(job)
         self.end_on(second, job, EndKind.FAILED, 6.0)
         for worker_id in (first, second):
-            self.assertTrue(self.worker(worker_id).takes_work(6.0))
+            self.assertTrue(self.worker(worker_id).accepts_work(6.0))
             self.assertEqual(self.worker(worker_id).strikes, 0)
 
     def test_a_worker_that_fails_all_is_charged_by_the_next_job_at_the_latest(self) -> None:
@@ -152,7 +152,7 @@
         for kind_s in (0.02, 5.0):
             self.fail_one(100.0, after_s=kind_s)
             self.assertEqual(self.worker("w11").strikes, 1)
-            self.worker("w11").cleared()
+            self.worker("w11").clear_failures()
             self.cluster_state._fault_attribution.ended_well("w11")
 
     def test_workers_that_fail_at_once_are_found_beside_runs_that_live_on(self) -> None:
@@ -176,7 +176,7 @@
             self.end_on("w11", job, EndKind.FAILED, 100.0 + took_s)
             self.cluster_state.cancel(job)
             self.assertEqual(self.worker("w11").probation_s > 0.0, early)
-            self.worker("w11").cleared()
+            self.worker("w11").clear_failures()
 
     def test_urgent_work_that_stands_still_charges_its_worker(self) -> None:
         self.workers(each=1)
@@ -190,11 +190,11 @@
     def test_a_pause_of_a_busy_worker_is_not_taken_back_with_a_charge(self) -> None:
         self.workers(each=1)
         worker = self.worker("w11")
-        worker.refused(1.0)
-        worker.failed(1.0, early=False)
-        worker.cleared()
-        self.assertFalse(worker.takes_work(1.0 + BUSY_QUARANTINE_S - 0.1))
-        self.assertTrue(worker.takes_work(1.0 + BUSY_QUARANTINE_S))
+        worker.record_refusal(1.0)
+        worker.record_failure(1.0, early=False)
+        worker.clear_failures()
+        self.assertFalse(worker.accepts_work(1.0 + BUSY_QUARANTINE_S - 0.1))
+        self.assertTrue(worker.accepts_work(1.0 + BUSY_QUARANTINE_S))
 
     def test_what_failed_before_a_good_end_is_no_evidence(self) -> None:
         self.workers(each=2)
@@ -319,7 +319,7 @@
         self.workers(each=2)
         bad = self.fail_one(0.0, after_s=0.02)
         self.take_over()
-        self.assertTrue(self.worker(bad).takes_work(0.1))
+        self.assertTrue(self.worker(bad).accepts_work(0.1))
         self.assertEqual(self.worker(bad).strikes, 0)
 
     def test_a_job_that_failed_before_tells_of_no_worker_of_a_late_failure(self) -> None:
--- a/tests/test_board.py
+++ b/tests/test_board.py
@@ -13,8 +13,8 @@
 from saddlestack.interfaces.workers import EndedTask, EndKind, RunningTask, WorkerRecord
 from saddlestack.policy.cluster.advice import StepAdvice
 from saddlestack.policy.cluster.changes import Changes, StopReason
-from saddlestack.policy.cluster.departure import SAVE_MARGIN_S
-from saddlestack.policy.cluster.pacing import paces
+from saddlestack.policy.cluster.draining import SAVE_MARGIN_S
+from saddlestack.policy.cluster.pacing import adjust_pace
 from saddlestack.policy.cluster.records import OccurrenceRecord, TaskStatus
 from saddlestack.policy.cluster.shapes import FailedShapes
 from saddlestack.policy.cluster.state import ClusterState
@@ -686,7 +686,9 @@
         self.add(step(1, long_running=True, fills=True))
         run = self.plan().starts[0].run
         run.pace = 0
-        self.assertEqual([p.percent for p in paces(self.cluster_state.workers["w11"], 1.0)], [100])
+        self.assertEqual(
+            [p.percent for p in adjust_pace(self.cluster_state.workers["w11"], 1.0)], [100]
+        )
 
 
 class AdviceTest(ClusterCase):
@@ -696,12 +698,12 @@
         advice = StepAdvice()
         asked = advice.unknown(workers, 0.0)
         self.assertEqual(set(asked), {"w11", "w12", "w13"})
-        advice.told(asked, [Leave("w12", "t", 3.0)], 0.0)
+        advice.record_answer(asked, [Leave("w12", "t", 3.0)], 0.0)
         self.assertEqual(advice.ticket("w12", 1.0), "t")
         self.assertIsNone(advice.ticket("w12", 2.6))
         self.assertEqual(advice.unknown(workers, 2.6), ("w12",))
-        advice.told(("w12",), [Leave("w12", "u", 3.0)], 2.6)
-        advice.refused("w12")
+        advice.record_answer(("w12",), [Leave("w12", "u", 3.0)], 2.6)
+        advice.discard_ticket("w12")
         self.assertIsNone(advice.ticket("w12", 2.7))
 
 
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -14,16 +14,17 @@
 from saddlestack.errors import SaddlestackError
 from saddlestack.interfaces.workers import EndedTask, EndKind
 from saddlestack.policy.cluster.changes import StopReason
-from saddlestack.policy.cluster.crashrule import (
+from saddlestack.policy.cluster.crash_findings import CrashFindingKind
+from saddlestack.policy.cluster.crash_rule import (
     COUNTED_FROM,
     LATER_STARTS,
     CrashOdds,
     Exposure,
     Lived,
 )
-from saddlestack.policy.cluster.isolation import SHARE
+from saddlestack.policy.cluster.incarnation_end import IncarnationEnd
+from saddlestack.policy.cluster.isolation import ISOLATION_SHARE
 from saddlestack.policy.cluster.jobs import Run, Task
-from saddlestack.policy.cluster.lifeend import LifeEnd
 from saddlestack.policy.cluster.records import (
     CrashRecord,
     OccurrenceRecord,
@@ -33,7 +34,6 @@
     TaskStatus,
 )
 from saddlestack.policy.cluster.state import ClusterState
-from saddlestack.policy.cluster.verdicts import VerdictKind
 from saddlestack.work import AcceptedJob, JobRequest, JobState, TaskName
 from tests.test_board import BULK, ClusterCase, record, step
 
@@ -70,7 +70,9 @@
         worker = self.cluster_state.workers[worker_id]
         address, rack = worker.record.address, worker.record.rack
         self.cluster_state.record_answer(worker, at_s - 0.001)
-        self.cluster_state.worker_ended(worker_id, LifeEnd(at_s - 0.001, at_s + NOTICED_S, unheard))
+        self.cluster_state.worker_ended(
+            worker_id, IncarnationEnd(at_s - 0.001, at_s + NOTICED_S, unheard)
+        )
         self.cluster_state.unlist_worker(worker_id)
         life = record(f"{worker_id}-{at_s:.0f}", rack=rack)
         self.assertEqual(life.address, address)
@@ -101,9 +103,9 @@
             self.crash_under(job, now)
         self.assertIs(self.state(job), JobState.FAILED)
         changes = self.cluster_state.take_changes()
-        verdicts = [verdict.kind for verdict in changes.verdicts]
-        self.assertEqual(verdicts, [VerdictKind.GIVEN_UP])
-        self.assertEqual(changes.verdicts[0].crashes, 2)
+        findings = [verdict.kind for verdict in changes.findings]
+        self.assertEqual(findings, [CrashFindingKind.GIVEN_UP])
+        self.assertEqual(changes.findings[0].crashes, 2)
         self.assertEqual(self.plan(2 * PAUSE_S).starts, [])
 
     def test_in_a_pool_of_which_little_is_known_it_takes_a_third(self) -> None:
@@ -125,7 +127,7 @@
         self.assertIs(self.state(job), JobState.FAILED)
 
     def test_those_beside_it_are_cleared_once_it_is_found(self) -> None:
-        self.workers(racks=2, each=SHARE)
+        self.workers(racks=2, each=ISOLATION_SHARE)
         culprit = self.add(step(1, 4))
         other = self.add(step(1, 4))
         self.plan(0.0)
@@ -170,7 +172,7 @@
         self.cluster_state = ClusterState()
         self.cluster_state.add_job(before, {0: kept})
         (ghost,) = self.cluster_state.workers
-        self.cluster_state.worker_ended(ghost, LifeEnd(-math.inf, 5.0, unheard=True))
+        self.cluster_state.worker_ended(ghost, IncarnationEnd(-math.inf, 5.0, unheard=True))
         known = self.known(job)
         assert known is not None
         self.assertEqual(known.crashes, 1)
@@ -258,7 +260,9 @@
             self.cluster_state.plan(now, 0.0)
             run = self.run_of(job)
             run.ordered_s = now
-            self.cluster_state.worker_ended(run.worker_id, LifeEnd(-math.inf, now + NOTICED_S))
+            self.cluster_state.worker_ended(
+                run.worker_id, IncarnationEnd(-math.inf, now + NOTICED_S)
+            )
         self.assertIs(self.state(job), JobState.QUEUED)
         self.assertFalse(self.cluster_state._crashes.is_likely(self.task(job)))
 
@@ -275,7 +279,7 @@
         job = self.add(step(1, 8))
         self.plan(0.0)
         worker_id = self.run_of(job).worker_id
-        self.cluster_state.worker_ended(worker_id, LifeEnd(0.2, 0.5, unheard=True))
+        self.cluster_state.worker_ended(worker_id, IncarnationEnd(0.2, 0.5, unheard=True))
         self.assertIsNone(self.known(job))
         self.cluster_state.unlist_worker(worker_id)
         self.assertIsNotNone(self.known(job))
@@ -285,7 +289,7 @@
         job = self.add(step(1, 8))
         self.plan(0.0)
         worker = self.cluster_state.workers[self.run_of(job).worker_id]
-        self.cluster_state.worker_ended(worker.worker_id, LifeEnd(0.2, 0.5, unheard=True))
+        self.cluster_state.worker_ended(worker.worker_id, IncarnationEnd(0.2, 0.5, unheard=True))
         self.cluster_state.record_answer(worker, 12.0)
         self.cluster_state.unlist_worker(worker.worker_id)
         self.assertIsNone(self.known(job))
@@ -314,7 +318,7 @@
                 self.cluster_state.record_answer(
                     self.cluster_state.workers[worker_id], at_s - 0.001
                 )
-                self.cluster_state.workers[worker_id].silent_s = at_s + NOTICED_S
+                self.cluster_state.workers[worker_id].unreachable_since_s = at_s + NOTICED_S
             for worker_id in lost:
                 self.crash(worker_id, at_s)
             self.assertEqual({self.state(job) for job in jobs}, {JobState.RUNNING})
@@ -429,7 +433,7 @@
         return len(started)
 
     def test_a_share_of_the_pool_serves_suspects_at_a_time(self) -> None:
-        self.workers(racks=2, each=SHARE)
+        self.workers(racks=2, each=ISOLATION_SHARE)
         jobs = self.suspects(8)
         for job in jobs:
             self.task(job).step.record.crashes[0].log_odds = 0.0
@@ -440,13 +444,13 @@
         self.assertEqual(self.alone(jobs), 2)
 
     def test_a_larger_one_does_while_most_of_the_pool_is_free(self) -> None:
-        self.workers(racks=2, each=SHARE)
+        self.workers(racks=2, each=ISOLATION_SHARE)
         jobs = self.suspects(8)
         self.plan(SOON_S)
         self.assertEqual(self.alone(jobs), 6)
 
     def test_none_of_many_suspects_stands_beside_a_free_pool(self) -> None:
-        self.workers(racks=2, each=SHARE)
+        self.workers(racks=2, each=ISOLATION_SHARE)
         jobs = self.suspects(8)
         for tenth in range(30):
             self.plan(PAUSE_S + tenth / 10)
@@ -518,9 +522,9 @@
         jobs = [self.add(step(1, 2)) for _ in range(3)]
         self.plan(0.0)
         self.crash_under(jobs[0], 0.0)
-        verdicts = self.cluster_state.take_changes().verdicts
-        self.assertEqual({each.task for each in verdicts}, {TaskName(j, 0, 0, 0) for j in jobs})
-        self.assertEqual({each.beside for each in verdicts}, {2})
+        findings = self.cluster_state.take_changes().findings
+        self.assertEqual({each.task for each in findings}, {TaskName(j, 0, 0, 0) for j in jobs})
+        self.assertEqual({each.beside for each in findings}, {2})
 
 
 class RecordTest(unittest.TestCase):
@@ -580,7 +584,7 @@
     """
 
     def test_what_spoke_for_a_task_is_not_taken_back(self) -> None:
-        self.workers(racks=2, each=SHARE)
+        self.workers(racks=2, each=ISOLATION_SHARE)
         old, culprit = self.add(step(1, 4)), self.add(step(1, 4))
         self.plan(0.0)
         self.run_of(old).started_s = -1e9
--- a/tests/test_departure.py
+++ b/tests/test_departure.py
@@ -7,7 +7,7 @@
 
 from saddlestack.control.leases import CLOCK_DRIFT, LAPSE_SLACK_S
 from saddlestack.interfaces.workers import RunningTask
-from saddlestack.policy.cluster.departure import SAVE_MARGIN_S
+from saddlestack.policy.cluster.draining import SAVE_MARGIN_S
 from saddlestack.policy.cluster.records import TaskStatus
 from saddlestack.standins.pool.cluster import PoolCluster, job
 from saddlestack.work import JobState
--- a/tests/test_diagnosis.py
+++ b/tests/test_diagnosis.py
@@ -10,16 +10,16 @@
 from saddlestack.interfaces.machines import Leave
 from saddlestack.interfaces.workers import EndedTask, EndKind
 from saddlestack.policy.cluster import diagnosis
-from saddlestack.policy.cluster.diagnosis import Circumstances, Diagnosis, Wait
-from saddlestack.policy.cluster.patience import (
-    HEADROOM_PATIENCE_S,
-    IDLE_PATIENCE_S,
-    NEAR_PATIENCE_S,
-)
+from saddlestack.policy.cluster.diagnosis import Diagnosis, DiagnosisContext, Wait
 from saddlestack.policy.cluster.planner import MAX_STARTS_PER_ROUND
-from saddlestack.policy.cluster.reasons import Reason
+from saddlestack.policy.cluster.reasons import WaitReason
 from saddlestack.policy.cluster.reservations import RESERVATION_TIMEOUT_S
 from saddlestack.policy.cluster.state import ClusterState
+from saddlestack.policy.cluster.wait_limits import (
+    HEADROOM_WAIT_S,
+    IDLE_POOL_WAIT_S,
+    NEAR_DATA_WAIT_S,
+)
 from saddlestack.policy.standstill import STILL_S, StillWatch
 from saddlestack.work import AcceptedJob, JobRequest, Step
 from tests.test_board import BULK, NORMAL, PATIENT, SERVICE, URGENT, ClusterCase, record, step
@@ -38,8 +38,8 @@
     round_full: bool = False,
     round_due: bool = False,
     writing: bool = False,
-) -> Circumstances:
-    return Circumstances(
+) -> DiagnosisContext:
+    return DiagnosisContext(
         now=now,
         wall_ms=wall_ms,
         planned_s=now if planned_s is None else planned_s,
@@ -56,11 +56,11 @@
         self.diagnosis = Diagnosis(self.cluster_state)
 
     def look(self, now: float = 0.0, **more: object) -> dict[str, Wait]:
-        looked = self.diagnosis.look(circumstances(now, **more))  # type: ignore[arg-type]
+        looked = self.diagnosis.scan(circumstances(now, **more))  # type: ignore[arg-type]
         self.left_out = looked.left_out
         return {wait.job_id: wait for wait in looked.waits}
 
-    def why(self, job_id: str, now: float = 0.0, **more: object) -> Reason:
+    def why(self, job_id: str, now: float = 0.0, **more: object) -> WaitReason:
         return self.look(now, **more)[job_id].reason
 
     def add_timed(self, due_s: float) -> str:
@@ -89,7 +89,7 @@
 
     def fail(self, name: str, now: float) -> None:
         """A run fails on a worker, early: the worker is blamed."""
-        self.cluster_state.workers[name].failed(now, early=True)
+        self.cluster_state.workers[name].record_failure(now, early=True)
 
 
 class RunsTest(DiagnosisCase):
@@ -108,14 +108,14 @@
         self.workers()
         job = self.add(step(1))
         self.plan_unconfirmed()
-        self.assertEqual(self.why(job, writing=True), Reason.WRITE)
+        self.assertEqual(self.why(job, writing=True), WaitReason.WRITE)
 
     def test_a_start_that_no_worker_has_confirmed(self) -> None:
         self.workers()
         job = self.add(step(2, gang=True))
         self.plan_unconfirmed()
         wait = self.look()[job]
-        self.assertEqual((wait.reason, wait.tasks), (Reason.STARTING, 2))
+        self.assertEqual((wait.reason, wait.tasks), (WaitReason.STARTING, 2))
 
     def test_a_run_that_is_being_stopped(self) -> None:
         self.workers()
@@ -125,7 +125,7 @@
         end = EndedTask(1, str(run.task.name), run.number, EndKind.FAILED, "")
         self.cluster_state.run_ended(run.worker_id, end, 5.0)
         self.assertTrue(other.stopping)
-        self.assertEqual(self.why(job, 5.0), Reason.STOPPING)
+        self.assertEqual(self.why(job, 5.0), WaitReason.STOPPING)
 
     def test_a_run_on_a_silent_worker_waits_for_its_lease(self) -> None:
         self.workers()
@@ -133,8 +133,8 @@
         [start] = self.plan().starts
         self.cluster_state.workers[start.run.worker_id].reachable = False
         wait = self.look(1.0)[job]
-        self.assertEqual((wait.reason, wait.until_s, wait.tasks), (Reason.LEASE, LEASE_S, 1))
-        self.assertTrue(wait.beside_room)
+        self.assertEqual((wait.reason, wait.until_s, wait.tasks), (WaitReason.LEASE, LEASE_S, 1))
+        self.assertTrue(wait.could_start)
 
     def test_a_gang_on_a_silent_worker_waits_for_its_lease_as_a_whole(self) -> None:
         self.workers(each=4)
@@ -147,9 +147,9 @@
     def test_a_job_that_is_not_due(self) -> None:
         job = self.add_timed(DUE_S)
         wait = self.look(10.0, wall_ms=15_000.0)[job]
-        self.assertEqual((wait.reason, wait.tasks), (Reason.NOT_DUE, 2))
+        self.assertEqual((wait.reason, wait.tasks), (WaitReason.NOT_DUE, 2))
         self.assertEqual(wait.until_s, 10.0 + DUE_S - 15.0)
-        self.assertFalse(wait.beside_room)
+        self.assertFalse(wait.could_start)
 
     def test_tasks_that_wait_for_an_earlier_step_are_counted_apart(self) -> None:
         job = self.add(step(3), step(4, after=(0,)), step(5, after=(1,)))
@@ -177,7 +177,7 @@
         self.workers()
 
     def test_work_that_fits_waits_for_the_next_round(self) -> None:
-        self.assertEqual(self.why(self.add(step(1))), Reason.NEXT_ROUND)
+        self.assertEqual(self.why(self.add(step(1))), WaitReason.NEXT_ROUND)
 
     def test_a_full_round(self) -> None:
         for number in range(60):
@@ -187,12 +187,12 @@
         late = self.add(step(1, 1))
         full = self.cluster_state.plan(0.0, 0.0)
         self.assertTrue(full)
-        self.assertEqual(self.why(late, round_full=full), Reason.ROUND_FULL)
+        self.assertEqual(self.why(late, round_full=full), WaitReason.ROUND_FULL)
 
     def test_rounds_that_are_held_up(self) -> None:
         job = self.add(step(1))
-        self.assertEqual(self.why(job, 5.0, planned_s=4.0, round_due=True), Reason.ROUND_HELD)
-        self.assertEqual(self.why(job, 5.0, planned_s=4.0), Reason.NEXT_ROUND)
+        self.assertEqual(self.why(job, 5.0, planned_s=4.0, round_due=True), WaitReason.ROUND_HELD)
+        self.assertEqual(self.why(job, 5.0, planned_s=4.0), WaitReason.NEXT_ROUND)
 
 
 class RoomTest(DiagnosisCase):
@@ -202,28 +202,28 @@
         job = self.add(step(3, 1))
         self.plan()
         wait = self.look()[job]
-        self.assertEqual((wait.reason, wait.tasks), (Reason.NO_ROOM, 3))
+        self.assertEqual((wait.reason, wait.tasks), (WaitReason.NO_ROOM, 3))
 
     def test_wider_than_the_pool(self) -> None:
         self.workers(each=9)
-        self.assertEqual(self.why(self.add(step(13, 8, gang=True))), Reason.TOO_WIDE)
-        self.assertEqual(self.why(self.add(step(1, 9))), Reason.TOO_WIDE)
+        self.assertEqual(self.why(self.add(step(13, 8, gang=True))), WaitReason.TOO_WIDE)
+        self.assertEqual(self.why(self.add(step(1, 9))), WaitReason.TOO_WIDE)
 
     def test_a_pool_that_grows_again_is_wide_enough(self) -> None:
         self.workers(each=9)
         job = self.add(step(13, 8, gang=True))
         self.plan()
-        self.assertEqual(self.why(job), Reason.TOO_WIDE)
+        self.assertEqual(self.why(job), WaitReason.TOO_WIDE)
         for number in range(4):
             self.cluster_state.set_worker(record(f"new{number}"), 1.0)
         self.assertEqual(len(self.plan(1.0).starts), 13)
 
     def test_a_pool_without_workers(self) -> None:
-        self.assertEqual(self.why(self.add(step(1))), Reason.TOO_WIDE)
+        self.assertEqual(self.why(self.add(step(1))), WaitReason.TOO_WIDE)
 
     def test_a_label_that_no_worker_has(self) -> None:
         self.workers()
-        self.assertEqual(self.why(self.add(step(1, label="none"))), Reason.NO_LABEL)
+        self.assertEqual(self.why(self.add(step(1, label="none"))), WaitReason.NO_LABEL)
 
     def test_one_rack(self) -> None:
         self.workers(racks=2, each=2)
@@ -232,14 +232,14 @@
         self.plan()
         job = self.add(step(2, 8, gang=True, same_rack=True), priority=NORMAL)
         self.assertEqual(self.plan().starts, [])
-        self.assertEqual(self.why(job), Reason.ONE_RACK)
+        self.assertEqual(self.why(job), WaitReason.ONE_RACK)
 
     def test_workers_that_leave_or_are_evacuated(self) -> None:
         self.workers()
         self.cluster_state.evacuate(frozenset({"hall"}))
         job = self.add(step(1))
         self.assertEqual(self.plan().starts, [])
-        self.assertEqual(self.why(job), Reason.LEAVING)
+        self.assertEqual(self.why(job), WaitReason.LEAVING)
 
     def test_a_pool_that_is_wide_enough_only_with_an_evacuated_hall(self) -> None:
         self.workers()
@@ -249,7 +249,7 @@
         self.plan(PATIENT)
         self.cluster_state.evacuate(frozenset({"far"}))
         job = self.add(step(3, 8, gang=True), priority=BULK)
-        self.assertEqual(self.why(job), Reason.LEAVING)
+        self.assertEqual(self.why(job), WaitReason.LEAVING)
 
 
 class HeldBackTest(DiagnosisCase):
@@ -260,8 +260,8 @@
         job = self.add(step(2, 8), priority=BULK)
         self.assertEqual(self.plan(1.0).starts, [])
         wait = self.look(1.0)[job]
-        self.assertEqual((wait.reason, wait.until_s), (Reason.QUARANTINE, 2.0))
-        self.assertTrue(wait.beside_room)
+        self.assertEqual((wait.reason, wait.until_s), (WaitReason.QUARANTINE, 2.0))
+        self.assertTrue(wait.could_start)
 
     def test_a_gang_waits_for_the_quarantine_of_all_that_it_needs(self) -> None:
         self.workers(each=2)
@@ -270,11 +270,11 @@
             self.cluster_state.workers[name].probation_s = 0.0
         job = self.add(step(2, 8, gang=True), priority=BULK)
         wait = self.look(1.0)[job]
-        self.assertEqual((wait.reason, wait.until_s), (Reason.QUARANTINE, 2.5))
+        self.assertEqual((wait.reason, wait.until_s), (WaitReason.QUARANTINE, 2.5))
 
     def test_probation_keeps_gangs_and_urgent_work_out_for_longer(self) -> None:
         """In a pool that is mostly free until patience ends, in one that is in use to its end."""
-        for accelerators, until_s in ((1, 5.0 + IDLE_PATIENCE_S), (8, 16.0)):
+        for accelerators, until_s in ((1, 5.0 + IDLE_POOL_WAIT_S), (8, 16.0)):
             with self.subTest(accelerators=accelerators):
                 self.setUp()
                 self.workers(each=2)
@@ -285,7 +285,7 @@
                 starts = self.plan(5.0).starts
                 self.assertEqual([start.run.task.name.job_id for start in starts], [bulk])
                 wait = self.look(5.0)[urgent]
-                self.assertEqual((wait.reason, wait.until_s), (Reason.PROBATION, until_s))
+                self.assertEqual((wait.reason, wait.until_s), (WaitReason.PROBATION, until_s))
 
     def test_one_task_at_a_time_after_a_failure(self) -> None:
         self.workers(each=1)
@@ -294,7 +294,7 @@
         self.plan(PATIENT)
         job = self.add(step(1, 1), priority=BULK)
         self.assertEqual(self.plan(PATIENT).starts, [])
-        self.assertEqual(self.why(job, PATIENT), Reason.TRIAL)
+        self.assertEqual(self.why(job, PATIENT), WaitReason.TRIAL)
 
     def test_workers_that_are_kept_for_a_task_that_may_crash_them(self) -> None:
         """It was told that the next round would place it, for as long as that task ran."""
@@ -302,7 +302,7 @@
         self.cluster_state.workers["w11"].isolating = True
         job = self.add(step(1, 1))
         self.assertEqual(self.plan().starts, [])
-        self.assertEqual(self.why(job), Reason.ISOLATED)
+        self.assertEqual(self.why(job), WaitReason.ISOLATED)
 
     def test_workers_that_do_not_answer(self) -> None:
         self.workers(each=2)
@@ -311,7 +311,7 @@
         job = self.add(step(1))
         self.assertEqual(self.plan().starts, [])
         wait = self.look()[job]
-        self.assertEqual((wait.reason, wait.beside_room), (Reason.SILENT, False))
+        self.assertEqual((wait.reason, wait.could_start), (WaitReason.SILENT, False))
 
     def test_near_its_data(self) -> None:
         self.workers(racks=2, each=2)
@@ -320,7 +320,9 @@
         job = self.add(step(1, 1, data_rack="r2"), priority=NORMAL)
         self.assertEqual(self.plan(1.0).starts, [])
         wait = self.look(1.0)[job]
-        self.assertEqual((wait.reason, wait.until_s), (Reason.NEAR_DATA, 1.0 + NEAR_PATIENCE_S))
+        self.assertEqual(
+            (wait.reason, wait.until_s), (WaitReason.NEAR_DATA, 1.0 + NEAR_DATA_WAIT_S)
+        )
 
     def test_a_gang_of_one_rack_near_its_data(self) -> None:
         self.workers(racks=2, each=2)
@@ -329,7 +331,7 @@
         gang = step(2, 8, gang=True, same_rack=True, data_rack="r2")
         job = self.add(gang, priority=NORMAL)
         self.assertEqual(self.plan(1.0).starts, [])
-        self.assertEqual(self.why(job, 1.0), Reason.NEAR_DATA)
+        self.assertEqual(self.why(job, 1.0), WaitReason.NEAR_DATA)
 
     def test_a_task_does_not_go_where_it_failed(self) -> None:
         self.workers(each=2)
@@ -339,19 +341,19 @@
         self.plan()
         [start] = self.plan(PATIENT).starts
         self.end(job, EndKind.FAILED, 1.0)
-        self.cluster_state.workers[start.run.worker_id].succeeded(1.0)
+        self.cluster_state.workers[start.run.worker_id].record_success(1.0)
         self.assertEqual(self.plan(PATIENT).starts, [])
-        self.assertEqual(self.why(job, PATIENT), Reason.FAILED_THERE)
+        self.assertEqual(self.why(job, PATIENT), WaitReason.FAILED_THERE)
 
     def test_the_adviser(self) -> None:
         self.workers()
         self.cluster_state.configure({}, {}, advised=("q",))
         job = self.add(step(1))
         self.assertEqual(self.plan().starts, [])
-        self.assertEqual(self.why(job), Reason.ADVISER)
+        self.assertEqual(self.why(job), WaitReason.ADVISER)
         [state] = self.cluster_state.jobs[job].occurrences[0].steps
-        state.advice.told(["w11"], [Leave("w11", "ticket", 10.0)], 0.0)
-        self.assertEqual(self.why(job), Reason.NEXT_ROUND)
+        state.advice.record_answer(["w11"], [Leave("w11", "ticket", 10.0)], 0.0)
+        self.assertEqual(self.why(job), WaitReason.NEXT_ROUND)
 
     def test_a_diagnosis_asks_no_adviser(self) -> None:
         self.workers()
@@ -368,8 +370,8 @@
         gang = self.add(step(2, 8, gang=True), priority=NORMAL)
         bulk = self.add(step(1, 1), priority=BULK)
         self.assertEqual(self.plan(PATIENT).starts, [])
-        self.assertEqual(self.why(gang, PATIENT), Reason.NO_ROOM)
-        self.assertEqual(self.why(bulk, PATIENT), Reason.BACKFILL)
+        self.assertEqual(self.why(gang, PATIENT), WaitReason.NO_ROOM)
+        self.assertEqual(self.why(bulk, PATIENT), WaitReason.BACKFILL)
 
     def test_room_that_is_made_and_room_that_is_reserved(self) -> None:
         self.workers(each=2)
@@ -382,9 +384,9 @@
         bulk = self.add(step(1, 1), priority=BULK)
         self.assertEqual(self.plan(PATIENT).starts, [])
         looked = self.look(PATIENT)
-        self.assertEqual(looked[urgent].reason, Reason.MAKING_ROOM)
+        self.assertEqual(looked[urgent].reason, WaitReason.MAKING_ROOM)
         self.assertEqual(looked[urgent].until_s, PATIENT + RESERVATION_TIMEOUT_S)
-        self.assertEqual(looked[bulk].reason, Reason.RESERVED)
+        self.assertEqual(looked[bulk].reason, WaitReason.RESERVED)
 
     def test_the_headroom(self) -> None:
         self.workers(each=2)
@@ -393,8 +395,8 @@
         job = self.add(step(1, 8), priority=BULK)
         self.assertEqual(self.plan(1.0).starts, [])
         wait = self.look(1.0)[job]
-        self.assertEqual((wait.reason, wait.until_s), (Reason.HEADROOM, 1.0 + HEADROOM_PATIENCE_S))
-        self.assertFalse(wait.beside_room)
+        self.assertEqual((wait.reason, wait.until_s), (WaitReason.HEADROOM, 1.0 + HEADROOM_WAIT_S))
+        self.assertFalse(wait.could_start)
 
 
 class BesideRoomTest(DiagnosisCase):
@@ -410,7 +412,7 @@
         for number in range(20):
             now = number * 0.5
             waits = self.look(now).values()
-            found += watch.look([wait.job_id for wait in waits if wait.beside_room], now)
+            found += watch.look([wait.job_id for wait in waits if wait.could_start], now)
         self.assertEqual([(each.job_id, each.since_s) for each in found], [(job, 0.0)])
 
     def test_none_is_found_in_a_pool_that_is_half_used(self) -> None:
@@ -418,7 +420,7 @@
         self.add(step(1, 8))
         self.plan()
         self.add(step(1, 1), priority=BULK)
-        self.assertFalse(any(wait.beside_room for wait in self.look(STILL_S).values()))
+        self.assertFalse(any(wait.could_start for wait in self.look(STILL_S).values()))
 
     def test_a_gang_of_one_rack_has_room_where_whole_gangs_fit(self) -> None:
         self.workers(racks=2, each=3)
@@ -426,15 +428,15 @@
             worker.quarantine_s = PATIENT
         fits_twice = self.add(step(3, 8, gang=True, same_rack=True), priority=BULK)
         looked = self.look()
-        self.assertTrue(looked[fits_twice].beside_room)
+        self.assertTrue(looked[fits_twice].could_start)
         self.cluster_state.unlist_worker("w21")
-        self.assertFalse(self.look()[fits_twice].beside_room)
+        self.assertFalse(self.look()[fits_twice].could_start)
 
     def test_room_in_an_evacuated_hall_is_none(self) -> None:
         self.workers(each=4)
         self.cluster_state.evacuate(frozenset({"hall"}))
         job = self.add(step(1))
-        self.assertFalse(self.look()[job].beside_room)
+        self.assertFalse(self.look()[job].could_start)
 
 
 class BoundsTest(DiagnosisCase):
@@ -444,25 +446,25 @@
         self.addCleanup(setattr, diagnosis, name, before)
 
     def test_the_jobs_that_have_waited_longest_are_looked_at(self) -> None:
-        self.bounded("JOBS_A_LOOK", 2)
+        self.bounded("MAX_JOBS_PER_SCAN", 2)
         first = [self.add(step(1, 9)) for _ in range(2)]
         self.look(0.0)
         self.add(step(1, 9))
         looked = self.look(1.0)
         self.assertEqual(sorted(looked), first)
-        self.assertEqual({looked[job].reason for job in first}, {Reason.TOO_WIDE})
+        self.assertEqual({looked[job].reason for job in first}, {WaitReason.TOO_WIDE})
         self.assertEqual(self.left_out, 1)
 
     def test_as_many_workers_are_looked_at_as_may_be_and_kinds_once(self) -> None:
         self.workers(each=4)
-        self.bounded("WORKERS_A_LOOK", 4)
+        self.bounded("MAX_WORKERS_PER_SCAN", 4)
         one = self.add(step(1, 9))
         same = self.add(step(7, 9))
         other = self.add(step(1, 10))
         looked = self.look()
-        self.assertEqual(looked[one].reason, Reason.TOO_WIDE)
-        self.assertEqual(looked[same].reason, Reason.TOO_WIDE)
-        self.assertEqual((looked[other].reason, looked[other].tasks), (Reason.LEFT_OUT, 1))
+        self.assertEqual(looked[one].reason, WaitReason.TOO_WIDE)
+        self.assertEqual(looked[same].reason, WaitReason.TOO_WIDE)
+        self.assertEqual((looked[other].reason, looked[other].tasks), (WaitReason.LEFT_OUT, 1))
 
 
 Look = Callable[[ClusterState, float, bool], None]
@@ -525,7 +527,7 @@
     """
 
     def __init__(self) -> None:
-        self.reasons: set[Reason] = set()
+        self.reasons: set[WaitReason] = set()
         self.most_left = 0
         self._diagnosis: Diagnosis | None = None
         self._left: dict[str, int] = {}
@@ -533,10 +535,10 @@
     def look(self, cluster_state: ClusterState, now: float, planned: bool) -> None:
         if self._diagnosis is None:
             self._diagnosis = Diagnosis(cluster_state)
-        waits = self._diagnosis.look(circumstances(now)).waits
+        waits = self._diagnosis.scan(circumstances(now)).waits
         self.reasons.update(wait.reason for wait in waits)
         if planned:
-            found = {wait.job_id for wait in waits if wait.reason is Reason.NEXT_ROUND}
+            found = {wait.job_id for wait in waits if wait.reason is WaitReason.NEXT_ROUND}
             self._left = {job_id: self._left.get(job_id, 0) + 1 for job_id in found}
             self.most_left = max(self.most_left, *self._left.values(), 0)
 
@@ -557,13 +559,13 @@
 
 class ReasonTest(unittest.TestCase):
     def test_each_reason_tells_what_is_waited_for_and_what_ends_it(self) -> None:
-        for reason in Reason:
+        for reason in WaitReason:
             self.assertTrue(reason.awaited)
             self.assertTrue(reason.ends)
 
     def test_the_operators_page_tells_of_each_as_the_table_does(self) -> None:
         page = OPERATIONS.read_text()
-        for reason in Reason:
+        for reason in WaitReason:
             self.assertIn(f"| `{reason}` | {reason.awaited} | {reason.ends} |", page)
 
 
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -51,7 +51,9 @@
         leader = cluster.leader
         assert leader is not None and leader.scheduler is not None
         cluster_state = leader.scheduler.cluster_state
-        return {worker.worker_id for worker in cluster_state.workers.values() if worker.stays}
+        return {
+            worker.worker_id for worker in cluster_state.workers.values() if worker.is_schedulable
+        }
 
 
 class MalformedTest(EntryCase):
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -6,9 +6,9 @@
 from collections.abc import Awaitable, Callable
 
 from saddlestack.interfaces.workers import RunningTask, WorkerUnreachable
-from saddlestack.policy.cluster.patience import IDLE_PATIENCE_S
-from saddlestack.policy.cluster.progress import LEAST_STILL_S
+from saddlestack.policy.cluster.progress import MIN_STALL_S
 from saddlestack.policy.cluster.records import TaskStatus
+from saddlestack.policy.cluster.wait_limits import IDLE_POOL_WAIT_S
 from saddlestack.standins.loop import run
 from saddlestack.standins.pool.cluster import PoolCluster, job
 from saddlestack.work import JobState
@@ -100,7 +100,7 @@
         self.plan()
         self.add(step(1, 8), priority=BULK)
         self.assertEqual(self.plan(1.0).starts, [])
-        self.assertEqual(len(self.plan(1.5 + IDLE_PATIENCE_S).starts), 1)
+        self.assertEqual(len(self.plan(1.5 + IDLE_POOL_WAIT_S).starts), 1)
 
     def test_the_headroom_stays_shut_while_half_of_the_whole_service_is_in_use(self) -> None:
         for name in ("r1-3", "r1-4"):
@@ -113,7 +113,7 @@
         self.plan(1.0)
         self.add(step(1, 8), priority=BULK)
         self.assertEqual(self.plan(2.0).starts, [])
-        self.assertEqual(self.plan(2.5 + IDLE_PATIENCE_S).starts, [])
+        self.assertEqual(self.plan(2.5 + IDLE_POOL_WAIT_S).starts, [])
 
     def test_a_gang_of_one_rack_uses_a_rack_that_is_left(self) -> None:
         self.cluster_state.evacuate(frozenset({FAR}))
@@ -142,7 +142,7 @@
             self.cluster_state.set_worker(cold, 0.0)
         self.add(step(1, 1))
         run = self.plan().starts[0].run
-        for now in (0.1, 1.0, 1.0 + LEAST_STILL_S, 9.0):
+        for now in (0.1, 1.0, 1.0 + MIN_STALL_S, 9.0):
             row = RunningTask(str(run.task.name), 1, "", 5)
             self.cluster_state.worker_reported(run.worker_id, [row], now)
         self.assertEqual(self.cluster_state.take_changes().stops, [])
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -12,7 +12,7 @@
 from saddlestack.cli.explaining import about, causes
 from saddlestack.cli.loglines import LogLine, read
 from saddlestack.cli.main import main
-from saddlestack.policy.cluster.reasons import Reason
+from saddlestack.policy.cluster.reasons import WaitReason
 
 JOB = "00000000000000aa"
 LINES = {
@@ -107,7 +107,7 @@
         self.assertIn("run 1 counted as over on w1: replaced", over)
 
     def test_what_a_job_waited_for_is_told_with_its_end(self) -> None:
-        reason = Reason.QUARANTINE
+        reason = WaitReason.QUARANTINE
         waits = {
             "job": JOB,
             "reason": reason.value,
--- a/tests/test_index.py
+++ b/tests/test_index.py
@@ -95,11 +95,11 @@
         elif event == 1:
             worker.reachable = not worker.reachable
         elif event == 2:
-            worker.failed(now, early=rng.random() < 0.5)
+            worker.record_failure(now, early=rng.random() < 0.5)
         elif event == 3:
-            worker.succeeded(now)
+            worker.record_success(now)
         elif event == 4:
-            worker.refused(now)
+            worker.record_refusal(now)
         elif event == 5:
             worker.closing = not worker.closing
         elif event == 6:
@@ -135,7 +135,7 @@
         )
         empty: dict[str, int] = {}
         for worker in pool:
-            if not worker.runs and worker.takes_work(now):
+            if not worker.runs and worker.accepts_work(now):
                 rack = worker.record.rack
                 empty[rack] = empty.get(rack, 0) + worker.record.capacity.accelerators
         self.assertEqual(service_capacity.empty, sum(empty.values()))
@@ -161,7 +161,7 @@
             worker
             for worker in cluster_state.workers.values()
             if worker.record.service == SERVICE
-            and worker.takes_work(now)
+            and worker.accepts_work(now)
             and not worker.suspected
             and fit.allows(worker, now)
         ]
@@ -233,7 +233,9 @@
         self, step: StepState, found: Sequence[Worker], plain: Sequence[Worker]
     ) -> None:
         priority = step.occurrence.job.priority
-        held = [sum(weight(w.lower_work(priority)) for w in each) for each in (found, plain)]
+        held = [
+            sum(weight(w.lower_priority_room(priority)) for w in each) for each in (found, plain)
+        ]
         self.assertEqual(len(found) > 0, len(plain) > 0)
         if not step.step.data_rack:
             self.assertAlmostEqual(*held)
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -12,16 +12,16 @@
 
 from saddlestack.interfaces.workers import EndKind
 from saddlestack.policy.cluster.changes import Changes, StopReason
+from saddlestack.policy.cluster.feasibility import pools
 from saddlestack.policy.cluster.lending import DEFAULT_STOP_S, LOAN_GRACE_S
-from saddlestack.policy.cluster.patience import LENDING_PATIENCE_S
 from saddlestack.policy.cluster.reservations import STOP_OVERDUE_S
-from saddlestack.policy.cluster.survey import pools
+from saddlestack.policy.cluster.wait_limits import LENDING_WAIT_S
 from saddlestack.work import Step
 from tests.test_board import BULK, NORMAL, PATIENT, SERVICE, ClusterCase, step
 
 ASKED_S = 2 * PATIENT
 """The urgent gang is handed in then."""
-LENT_S = ASKED_S + LENDING_PATIENCE_S
+LENT_S = ASKED_S + LENDING_WAIT_S
 """Work that was handed in with it may be lent room from then on."""
 WHOLE = 8
 """Accelerators of a worker."""
@@ -85,7 +85,7 @@
         self.assertEqual(jobs_of(self.plan(LENT_S)), [job] * 4)
 
     def test_work_that_is_expected_to_outlast_the_stops_is_lent_none(self) -> None:
-        left_s = DEFAULT_STOP_S - LENDING_PATIENCE_S + LOAN_GRACE_S
+        left_s = DEFAULT_STOP_S - LENDING_WAIT_S + LOAN_GRACE_S
         self.beside(lasting(step(1), left_s + 0.01))
         self.beside(step(1, long_running=True))
         self.assertEqual(jobs_of(self.plan(LENT_S)), [])
@@ -97,7 +97,7 @@
         self.assertEqual(jobs_of(self.plan(LENT_S)), [first])
         self.add(lasting(step(1), 0.0), priority=NORMAL)
         self.plan(LENT_S)
-        later_s = LENT_S + LENDING_PATIENCE_S
+        later_s = LENT_S + LENDING_WAIT_S
         self.assertGreater(later_s - LENT_S, ASKED_S + DEFAULT_STOP_S - later_s + LOAN_GRACE_S)
         self.assertEqual(jobs_of(self.plan(later_s)), [])
 
@@ -107,7 +107,7 @@
         second = self.add(lasting(step(1), 0.0), priority=NORMAL)
         self.plan(LENT_S)
         self.end(first, EndKind.DONE, LENT_S + 0.2)
-        later_s = LENT_S + LENDING_PATIENCE_S
+        later_s = LENT_S + LENDING_WAIT_S
         self.assertEqual(jobs_of(self.plan(later_s)), [second])
 
     def test_stops_that_took_less_shorten_what_is_lent(self) -> None:
@@ -122,7 +122,7 @@
         self.assertGreater(len(self.plan(again_s).stops), 0)
         self.add(lasting(step(1), 1.0), priority=NORMAL)
         self.plan(again_s)
-        self.assertEqual(jobs_of(self.plan(again_s + LENDING_PATIENCE_S)), [])
+        self.assertEqual(jobs_of(self.plan(again_s + LENDING_WAIT_S)), [])
 
 
 class TakenBackTest(LendingCase):
@@ -136,7 +136,7 @@
     def test_a_run_that_outlasts_the_stops_by_as_long_as_they_took_is_stopped(self) -> None:
         job = self.beside(lasting(step(1), 1.0))
         self.plan(LENT_S)
-        took_s = LENDING_PATIENCE_S + 0.5
+        took_s = LENDING_WAIT_S + 0.5
         self.assert_stopped(self.stops_are_through(ASKED_S + took_s), [])
         self.assert_stopped(self.plan(ASKED_S + 2 * took_s - 0.1), [])
         self.assert_stopped(self.plan(ASKED_S + 2 * took_s), [job])
@@ -164,7 +164,7 @@
     def lend(self, seconds: float, now: float) -> list[str]:
         """What is lent to work that has waited for long enough by then."""
         self.add(lasting(step(1), seconds), priority=NORMAL)
-        self.plan(now - LENDING_PATIENCE_S)
+        self.plan(now - LENDING_WAIT_S)
         return jobs_of(self.plan(now))
 
     def test_nothing_is_lent_while_only_lent_runs_hold_the_room(self) -> None:
@@ -173,28 +173,28 @@
         self.add(lasting(step(1), 0.1), priority=NORMAL)
         self.plan(LENT_S)
         self.stops_are_through(LENT_S + 0.1)
-        self.assertEqual(jobs_of(self.plan(LENT_S + LENDING_PATIENCE_S)), [])
+        self.assertEqual(jobs_of(self.plan(LENT_S + LENDING_WAIT_S)), [])
 
     def test_short_work_is_lent_room_while_a_lent_run_stops_and_unknown_work_is_not(self) -> None:
         job = self.beside(lasting(step(1), 1.0))
         self.plan(LENT_S)
         self.stops_are_through(LENT_S)
-        back_s = ASKED_S + 2 * LENDING_PATIENCE_S
+        back_s = ASKED_S + 2 * LENDING_WAIT_S
         self.assert_stopped(self.plan(back_s), [job])
         self.add(lasting(step(1), 0.0), priority=NORMAL)
         short = self.add(lasting(step(1), 0.1), priority=NORMAL)
         self.plan(back_s)
-        self.assertEqual(jobs_of(self.plan(back_s + LENDING_PATIENCE_S)), [short])
+        self.assertEqual(jobs_of(self.plan(back_s + LENDING_WAIT_S)), [short])
 
     def test_nothing_is_lent_by_a_step_that_was_delayed_twice(self) -> None:
         job = self.beside(lasting(step(1), 1.0))
         self.plan(LENT_S)
         self.stops_are_through(LENT_S)
-        now = ASKED_S + 2 * LENDING_PATIENCE_S
+        now = ASKED_S + 2 * LENDING_WAIT_S
         self.assert_stopped(self.plan(now), [job])
         short = self.add(lasting(step(1), 0.1), priority=NORMAL)
         self.plan(now)
-        now += LENDING_PATIENCE_S
+        now += LENDING_WAIT_S
         self.assertEqual(jobs_of(self.plan(now)), [short])
         self.end(job, EndKind.STOPPED, now)
         self.plan(now)
@@ -202,7 +202,7 @@
         self.assertIn(short, [stop.task.job_id for stop in self.plan(now).stops])
         self.add(lasting(step(1), 0.1), priority=NORMAL)
         self.plan(now)
-        self.assertEqual(jobs_of(self.plan(now + LENDING_PATIENCE_S)), [])
+        self.assertEqual(jobs_of(self.plan(now + LENDING_WAIT_S)), [])
 
 
 if __name__ == "__main__":
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -18,7 +18,7 @@
 from saddlestack.interfaces.store import Listing, StoreUnavailable
 from saddlestack.interfaces.workers import EndKind
 from saddlestack.models import JobState as CallerState
-from saddlestack.policy.cluster.reasons import Reason
+from saddlestack.policy.cluster.reasons import WaitReason
 from saddlestack.standins.loop import run
 from saddlestack.standins.pool.cluster import RETENTION_S, PoolCluster, job
 from saddlestack.standins.pool.documents import ACCOUNT, KEY
@@ -372,7 +372,7 @@
             wide = await client.job("wide")
             self.assertIs(wide.state, CallerState.QUEUED)
             self.assertIn("(too_wide)", wide.message or "")
-            self.assertIn(Reason.TOO_WIDE.awaited, wide.message or "")
+            self.assertIn(WaitReason.TOO_WIDE.awaited, wide.message or "")
             cluster.floor.add("r1-1", "hall-1")
             await cluster.until_state(job_id_of(ACCOUNT, "wide"), JobState.COMPLETED)
             self.assertIsNone((await client.job("wide")).message)
--- a/tests/test_progress.py
+++ b/tests/test_progress.py
@@ -5,9 +5,14 @@
 import unittest
 
 from saddlestack.interfaces.workers import EndKind, RunningTask
-from saddlestack.policy.cluster.caution import FAULTY_S
 from saddlestack.policy.cluster.changes import Changes, StopReason
-from saddlestack.policy.cluster.progress import LEAST_STILL_S, MOST_MOVES, RESUMING_S, needs_looks
+from saddlestack.policy.cluster.progress import (
+    MAX_MOVES,
+    MIN_STALL_S,
+    RESUMING_S,
+    needs_progress_polls,
+)
+from saddlestack.policy.cluster.worker_preferences import FAULTY_S
 from saddlestack.work import Step
 from tests.test_board import BULK, URGENT, ClusterCase, step
 
@@ -102,7 +107,7 @@
         self.cluster_state.jobs[job].occurrences[0].steps[0].tasks[0].record.saved = "saved"
         (worker,) = self.placed(job)
         self.assertEqual(self.report(0.3, {worker: 0}).stops, [])
-        patience_s = 0.3 + LEAST_STILL_S + RESUMING_S
+        patience_s = 0.3 + MIN_STALL_S + RESUMING_S
         self.assertEqual(self.report(patience_s - 0.1, {worker: 0}).stops, [])
         self.assertEqual(len(self.report(patience_s + 0.1, {worker: 0}).stops), 1)
 
@@ -114,30 +119,32 @@
 
     def test_a_step_is_moved_no_more_often_than_the_bound(self) -> None:
         job = self.begin(step(1, 8))
-        for number in range(MOST_MOVES + 1):
+        for number in range(MAX_MOVES + 1):
             began = 10.0 * number
             self.plan(began)
             (worker,) = self.placed(job)
             self.report(began + 1.0, {worker: 0})
             stops = self.report(began + 5.0, {worker: 0}).stops
-            self.assertEqual(len(stops), 1 if number < MOST_MOVES else 0)
+            self.assertEqual(len(stops), 1 if number < MAX_MOVES else 0)
             if stops:
                 self.end(job, EndKind.STOPPED, now=began + 6.0)
 
     def test_workers_with_urgent_work_are_looked_at_often(self) -> None:
         bulk = self.begin(step(1, 8), priority=BULK)
-        self.assertFalse(needs_looks(self.cluster_state.workers[self.placed(bulk)[0]]))
+        self.assertFalse(needs_progress_polls(self.cluster_state.workers[self.placed(bulk)[0]]))
         urgent = self.begin(step(1, 8))
-        self.assertTrue(needs_looks(self.cluster_state.workers[self.placed(urgent)[0]]))
+        self.assertTrue(needs_progress_polls(self.cluster_state.workers[self.placed(urgent)[0]]))
         self.end(urgent, EndKind.DONE)
-        self.assertFalse(any(needs_looks(worker) for worker in self.cluster_state.workers.values()))
+        self.assertFalse(
+            any(needs_progress_polls(worker) for worker in self.cluster_state.workers.values())
+        )
 
 
 class CautionTest(ClusterCase):
     """Workers that fail all that they start are free, and take both tries of a job."""
 
     def prove(self, worker_id: str, now: float) -> None:
-        self.cluster_state.workers[worker_id].succeeded(now)
+        self.cluster_state.workers[worker_id].record_success(now)
 
     def fail(self, job_id: str, now: float) -> None:
         self.end(job_id, EndKind.FAILED, now=now)
--- a/tests/test_simulated_news.py
+++ b/tests/test_simulated_news.py
@@ -17,7 +17,7 @@
 from saddlestack.control.leadership import Leadership, Term
 from saddlestack.interfaces.workers import WorkerRecord
 from saddlestack.kernel.clock import Clock, SystemClock
-from saddlestack.policy.cluster.crashrule import CrashOdds
+from saddlestack.policy.cluster.crash_rule import CrashOdds
 from saddlestack.policy.cluster.records import CrashRecord
 from saddlestack.policy.cluster.workers import Worker
 from saddlestack.standins.loop import run
@@ -54,13 +54,13 @@
             self.assertEqual(day_of(seed, SECONDS, ("shrink",)).play().broken, [])
 
     def test_the_judge_finds_starts_by_old_news(self) -> None:
-        plain = Worker.note
+        plain = Worker.update_record
 
         def note(worker: Worker, record: WorkerRecord, now: float) -> None:
             kept = dataclasses.replace(record, capacity=worker.record.capacity)
             plain(worker, kept, now)
 
-        with unittest.mock.patch.object(Worker, "note", note):
+        with unittest.mock.patch.object(Worker, "update_record", note):
             broken = day_of(89101, SECONDS, ("shrink",)).play().broken
         self.assertIn("over the room", broken[0])
 
--- a/tests/test_told_crashes.py
+++ b/tests/test_told_crashes.py
@@ -19,10 +19,10 @@
 from saddlestack.client import AsyncClient
 from saddlestack.control.crashlog import SUSPECTS_AT_ONCE, CrashLog
 from saddlestack.models import JobState as CallerState
-from saddlestack.policy.cluster.diagnosis import Circumstances, Diagnosis
-from saddlestack.policy.cluster.reasons import Reason
+from saddlestack.policy.cluster.crash_findings import CrashFinding, CrashFindingKind
+from saddlestack.policy.cluster.diagnosis import Diagnosis, DiagnosisContext
+from saddlestack.policy.cluster.reasons import WaitReason
 from saddlestack.policy.cluster.records import FailureCause
-from saddlestack.policy.cluster.verdicts import Verdict, VerdictKind
 from saddlestack.services.metrics import Metrics
 from saddlestack.standins.loop import VirtualClock
 from saddlestack.standins.pool.cluster import PoolCluster, job
@@ -116,13 +116,14 @@
 class CrashLogTest(unittest.TestCase):
     def test_lines_about_suspects_are_bounded_and_those_given_up_all_told(self) -> None:
         many = SUSPECTS_AT_ONCE + 5
-        verdicts = [
-            Verdict(VerdictKind.SUSPECT, TaskName(OTHER, 0, 0, index)) for index in range(many)
+        findings = [
+            CrashFinding(CrashFindingKind.SUSPECT, TaskName(OTHER, 0, 0, index))
+            for index in range(many)
         ]
-        verdicts += [Verdict(VerdictKind.GIVEN_UP, TaskName(CULPRIT, 0, 0, 0))]
+        findings += [CrashFinding(CrashFindingKind.GIVEN_UP, TaskName(CULPRIT, 0, 0, 0))]
         metrics = Metrics("vm", VirtualClock())
         with self.assertLogs("saddlestack.crashes", "INFO") as logged:
-            CrashLog(metrics).tell(verdicts)
+            CrashLog(metrics).tell(findings)
         events = [getattr(each, "event", "") for each in logged.records]
         self.assertEqual(events.count("crash_suspect"), SUSPECTS_AT_ONCE)
         self.assertEqual(events.count("crash_given_up"), 1)
@@ -189,7 +190,7 @@
         self.crash_under(first, 0.0)
         self.plan(SOON_S)
         waiting = next(each for each in (first, second) if self.task(each).run is None)
-        around = Circumstances(SOON_S, 0.0, SOON_S, False, False, lambda _: False, lambda _: 0.0)
-        waits = Diagnosis(self.cluster_state).look(around).waits
+        around = DiagnosisContext(SOON_S, 0.0, SOON_S, False, False, lambda _: False, lambda _: 0.0)
+        waits = Diagnosis(self.cluster_state).scan(around).waits
         found = {wait.job_id: wait.reason for wait in waits}
-        self.assertIs(found[waiting], Reason.ISOLATION)
+        self.assertIs(found[waiting], WaitReason.ISOLATION)
--- a/tests/test_told_waits.py
+++ b/tests/test_told_waits.py
@@ -13,7 +13,7 @@
 from saddlestack.control.waits import LOOK_S, TOLD_AFTER_S, Waits, show_none
 from saddlestack.kernel.clock import Clock
 from saddlestack.policy.cluster.diagnosis import Diagnosis
-from saddlestack.policy.cluster.reasons import Reason
+from saddlestack.policy.cluster.reasons import WaitReason
 from saddlestack.policy.standstill import STILL_S
 from saddlestack.services.metrics import Metrics
 from saddlestack.standins.pool.cluster import PoolCluster, job
@@ -85,10 +85,10 @@
         self.play(3 * STILL_S)
         [line] = self.told("stands_still")
         self.assertEqual(line.job, job_id)
-        self.assertEqual(line.reason, Reason.QUARANTINE.value)
+        self.assertEqual(line.reason, WaitReason.QUARANTINE.value)
         self.assertEqual((line.stood_s, line.tasks), (STILL_S, 2))
         self.assertEqual(line.ends_s, QUARANTINED_S - STILL_S)
-        self.assertEqual(line.ends, Reason.QUARANTINE.ends)
+        self.assertEqual(line.ends, WaitReason.QUARANTINE.ends)
         self.assertEqual(self.figure("standstills"), 1)
 
     def test_a_look_that_came_late_says_so(self) -> None:
@@ -108,7 +108,7 @@
         self.play(3 * STILL_S)
         self.assertEqual(self.told("stands_still"), [])
         [line] = self.told("waits")
-        self.assertEqual(line.reason, Reason.NO_ROOM.value)
+        self.assertEqual(line.reason, WaitReason.NO_ROOM.value)
 
     def test_a_job_that_is_too_wide_waits_and_does_not_stand_still(self) -> None:
         self.workers(each=9)
@@ -116,7 +116,7 @@
         self.play(3 * STILL_S)
         self.assertEqual(self.told("stands_still"), [])
         [line] = self.told("waits")
-        self.assertEqual(line.reason, Reason.TOO_WIDE.value)
+        self.assertEqual(line.reason, WaitReason.TOO_WIDE.value)
 
     def test_a_wait_is_told_after_a_second_and_again_where_its_reason_changes(self) -> None:
         self.workers(each=2)
@@ -131,7 +131,7 @@
             worker.reachable = False
         self.play(5 * TOLD_AFTER_S)
         reasons = [line.reason for line in self.told("waits")]
-        self.assertEqual(reasons, [Reason.QUARANTINE.value, Reason.SILENT.value])
+        self.assertEqual(reasons, [WaitReason.QUARANTINE.value, WaitReason.SILENT.value])
 
     def test_a_wait_that_comes_back_is_told_again(self) -> None:
         self.workers(each=2)
@@ -146,7 +146,7 @@
         self.play(6.0)
         self.assertEqual(
             [line.reason for line in self.told("waits")],
-            [Reason.QUARANTINE.value, Reason.LEASE.value],
+            [WaitReason.QUARANTINE.value, WaitReason.LEASE.value],
         )
 
     def test_lines_are_bounded_and_those_left_out_counted(self) -> None:
@@ -166,7 +166,7 @@
         self.assertEqual(self.figure("standstills"), 5)
 
     def test_a_defect_of_the_diagnosis_is_told_and_stops_nothing(self) -> None:
-        with mock.patch.object(Diagnosis, "look", side_effect=KeyError("planted")):
+        with mock.patch.object(Diagnosis, "scan", side_effect=KeyError("planted")):
             self.waits.look()
         self.assertEqual(len(self.told("waits_failed")), 1)
         self.assertEqual(self.figure("waits_failures"), 1)
@@ -178,10 +178,10 @@
         changes = self.cluster_state.take_changes()
         self.waits.writing(each.job_id for each in changes.by_job())
         self.waits.look()
-        self.assertIn(f"({Reason.WRITE})", self.waits.of(job_id) or "")
+        self.assertIn(f"({WaitReason.WRITE})", self.waits.of(job_id) or "")
         self.waits.written(each.job_id for each in changes.by_job())
         self.waits.look()
-        self.assertIn(f"({Reason.STARTING})", self.waits.of(job_id) or "")
+        self.assertIn(f"({WaitReason.STARTING})", self.waits.of(job_id) or "")
 
 
 class FiguresTest(WaitsCase):
--- a/tests/test_waits_board.py
+++ b/tests/test_waits_board.py
@@ -15,7 +15,6 @@
 from saddlestack.interfaces.machines import Leave
 from saddlestack.interfaces.workers import EndedTask, EndKind
 from saddlestack.policy.cluster.changes import StopReason
-from saddlestack.policy.cluster.patience import IDLE_PATIENCE_S
 from saddlestack.policy.cluster.records import (
     OccurrenceRecord,
     OccurrenceStatus,
@@ -25,6 +24,7 @@
 )
 from saddlestack.policy.cluster.reservations import RESERVATION_TIMEOUT_S, STOP_OVERDUE_S
 from saddlestack.policy.cluster.state import ClusterState
+from saddlestack.policy.cluster.wait_limits import IDLE_POOL_WAIT_S
 from saddlestack.policy.cluster.waiting import may_start
 from saddlestack.work import AcceptedJob, JobRequest, Step
 from tests import test_board
@@ -154,7 +154,7 @@
         old = self.add(step(1, 8), priority=BULK)
         self.assertEqual(self.plan(1.0).starts, [])
         self.add(step(1, 8), priority=NORMAL)
-        now = 1.0 + IDLE_PATIENCE_S + 0.1
+        now = 1.0 + IDLE_POOL_WAIT_S + 0.1
         starts = [start.run.task.name.job_id for start in self.plan(now).starts]
         self.assertEqual(starts, [old])
 
@@ -195,7 +195,7 @@
                 # The first of each rack is good, and the second of the last alone.
                 good = [w for w in question.workers if w.endswith("1") or w == "w202"]
                 leaves = [Leave(worker, "ticket", 60.0) for worker in good]
-                question.step.advice.told(question.workers, leaves, float(round_s))
+                question.step.advice.record_answer(question.workers, leaves, float(round_s))
                 question.step.advice.asking = False
         self.assertEqual({start.run.worker_id for start in changes.starts}, {"w201", "w202"})
 
--- a/tests/test_waits_reviewed.py
+++ b/tests/test_waits_reviewed.py
@@ -19,9 +19,9 @@
 from saddlestack.interfaces.store import Committed, MetadataStore, Transaction, WriteInDoubt
 from saddlestack.interfaces.workers import EndKind
 from saddlestack.platform.kv import SENT_BYTES_S
-from saddlestack.policy.cluster.patience import IDLE_PATIENCE_S
 from saddlestack.policy.cluster.places import IndexedPlaces
-from saddlestack.policy.cluster.reasons import Reason
+from saddlestack.policy.cluster.reasons import WaitReason
+from saddlestack.policy.cluster.wait_limits import IDLE_POOL_WAIT_S
 from saddlestack.policy.cluster.workers import Worker
 from saddlestack.policy.standstill import STILL_S
 from saddlestack.standins.loop import VirtualClock, run
@@ -47,7 +47,7 @@
     def quarantine(self, now: float) -> None:
         for worker in self.cluster_state.workers.values():
             for _ in range(3):
-                worker.failed(now, early=True)
+                worker.record_failure(now, early=True)
 
     def starts_in_quarantine(self, job: str) -> list[float]:
         found = []
@@ -92,7 +92,7 @@
                 return True
             for question in changes.advice_requests:
                 leaves = [Leave(worker, "ticket", 600.0) for worker in question.workers]
-                question.step.advice.told(question.workers, leaves, now)
+                question.step.advice.record_answer(question.workers, leaves, now)
                 question.step.advice.asking = False
         return False
 
@@ -107,7 +107,7 @@
     def test_probation_holds_no_advised_gang_up_in_a_free_pool(self) -> None:
         self.workers(racks=4, each=2)
         for worker in self.cluster_state.workers.values():
-            worker.failed(0.0, early=True)
+            worker.record_failure(0.0, early=True)
         job = self.add(step(2, 8, gang=True), priority=NORMAL)
         self.assertTrue(self.started_within(job, STILL_S + 1.0))
 
@@ -119,22 +119,22 @@
         self.add(step(1, 8, label="r1"))
         self.plan(0.0)
         for worker in self.cluster_state.workers.values():
-            worker.failed(0.0, early=True)
+            worker.record_failure(0.0, early=True)
         job = self.add(step(1, 1), priority=NORMAL)
         self.cluster_state.jobs[job].occurrences[0].steps[0].tasks[0].record.failures = 2
         self.assertEqual(self.plan(5.0).starts, [])
-        self.assertEqual(self.why(job, 5.0), Reason.PROBATION)
+        self.assertEqual(self.why(job, 5.0), WaitReason.PROBATION)
 
     def test_a_wait_for_quarantine_beside_a_free_pool_ends_with_patience(self) -> None:
         """As the waits for probation and trial do; told as lasting to the quarantine's end."""
         self.workers(each=2)
         for worker in self.cluster_state.workers.values():
             for _ in range(4):
-                worker.failed(0.0, early=False)
+                worker.record_failure(0.0, early=False)
         job = self.add(step(1, 1), priority=NORMAL)
         self.plan(5.0)
-        self.assertEqual(self.look(5.0)[job].until_s, 5.0 + IDLE_PATIENCE_S)
-        self.assertEqual(len(self.plan(5.0 + IDLE_PATIENCE_S + 0.1).starts), 1)
+        self.assertEqual(self.look(5.0)[job].until_s, 5.0 + IDLE_POOL_WAIT_S)
+        self.assertEqual(len(self.plan(5.0 + IDLE_POOL_WAIT_S + 0.1).starts), 1)
 
 
 class CostTest(ClusterCase):
@@ -205,12 +205,12 @@
         self.workers(racks=1, each=6)
         workers = list(self.cluster_state.workers.values())
         for worker in workers[1:]:
-            worker.failed(1.0, early=True)
-            worker.failed(1.0, early=True)
-        workers[0].refused(2.0)
+            worker.record_failure(1.0, early=True)
+            worker.record_failure(1.0, early=True)
+        workers[0].record_refusal(2.0)
         self.add(step(1, 1), priority=NORMAL)
         self.plan(0.1)
-        workers[0].refused(2.9)
+        workers[0].record_refusal(2.9)
         [start] = self.plan(3.0).starts
         self.assertNotEqual(start.run.worker_id, workers[0].worker_id)
 
@@ -233,7 +233,7 @@
         self.workers(racks=1, each=6)
         for worker in self.cluster_state.workers.values():
             for _ in range(5):
-                worker.failed(0.0, early=True)
+                worker.record_failure(0.0, early=True)
         job = self.add(step(1, 1), priority=NORMAL)
         run = None
         now = 0.0
@@ -242,7 +242,7 @@
             self.cluster_state.plan(now, 0.0)
             run = next(iter(start.run for start in self.cluster_state.take_changes().starts), None)
         assert run is not None
-        self.cluster_state.workers[run.worker_id].refused(now)
+        self.cluster_state.workers[run.worker_id].record_refusal(now)
         self.cluster_state.run_not_started(run)
         self.cluster_state.plan(now + 0.1, 0.0)
         starts = self.cluster_state.take_changes().starts
@@ -255,7 +255,7 @@
         workers = list(self.cluster_state.workers.values())
         for worker in workers[1:]:
             for _ in range(5):
-                worker.failed(0.0, early=True)
+                worker.record_failure(0.0, early=True)
         self.assertEqual(len(self.plan(0.0).starts), 1)
         workers[0].reachable = False
         started = False
