--- a/tests/test_diagnosis.py
+++ b/tests/test_diagnosis.py
@@ -412,7 +412,7 @@
         for number in range(20):
             now = number * 0.5
             waits = self.look(now).values()
-            found += watch.look([wait.job_id for wait in waits if wait.could_start], now)
+            found += watch.update([wait.job_id for wait in waits if wait.could_start], now)
         self.assertEqual([(each.job_id, each.since_s) for each in found], [(job, 0.0)])
 
     def test_none_is_found_in_a_pool_that_is_half_used(self) -> None:
