--- a/benchmarks/hosts.py
+++ b/benchmarks/hosts.py
@@ -21,7 +21,7 @@
 import msgspec
 
 from saddlestack.interfaces.workers import StartOrder, WorkerReport, WorkerUnreachable
-from saddlestack.platform.documents import PLACES
+from saddlestack.platform.documents import DOCUMENT_LOCATIONS
 from saddlestack.platform.orders import HttpWorkerOrders
 from saddlestack.soak import shape as shapes
 from saddlestack.soak.heartbeats import WorkerRecords
@@ -151,8 +151,8 @@
         await hosts.start()
         await asyncio.sleep(1.0)
         entries = {
-            item.key.removeprefix(PLACES.workers_prefix): json.loads(item.value)
-            for item in store.keys(PLACES.workers_prefix)
+            item.key.removeprefix(DOCUMENT_LOCATIONS.workers_prefix): json.loads(item.value)
+            for item in store.keys(DOCUMENT_LOCATIONS.workers_prefix)
         }
         (Path(folder) / "workers.json").write_text(json.dumps(entries))
         drivers = [await _start_driver(Path(folder), n, options) for n in range(options.drivers)]
--- a/src/saddlestack/client.py
+++ b/src/saddlestack/client.py
@@ -25,7 +25,7 @@
 from saddlestack.policy.retry import retry_delay
 from saddlestack.services.metrics import MetricsView
 from saddlestack.wire.dialer import Dialer
-from saddlestack.wire.http import AnswerLost, HttpClient, NotSent, Response, error_of
+from saddlestack.wire.http import AnswerLost, HttpClient, NotSent, Response, error_from_response
 
 T = TypeVar("T")
 
@@ -183,7 +183,7 @@
     ) -> Response:
         response = await self._send(method, path, body, tries=tries, timeout=timeout)
         if response.status >= 400:
-            raise error_of(response)
+            raise error_from_response(response)
         return response
 
     async def _send(
@@ -295,7 +295,7 @@
     try:
         return from_json(response.body, JobView)
     except SaddlestackError:
-        raise error_of(response) from None
+        raise error_from_response(response) from None
 
 
 def _account(account: str | None, mark: str) -> str:
@@ -312,7 +312,7 @@
     try:
         from_json(response.body, JobView)
     except SaddlestackError:
-        error = error_of(response)
+        error = error_from_response(response)
     else:
         return response
     raise SaddlestackError(
--- a/src/saddlestack/control/peers.py
+++ b/src/saddlestack/control/peers.py
@@ -20,8 +20,8 @@
     FrameStream,
     Handshake,
     LinkLost,
+    PeerIdentity,
     PeerLink,
-    PeerName,
 )
 
 log = logging.getLogger("saddlestack.peers")
@@ -98,7 +98,7 @@
     async def _link(self, member: Member) -> PeerLink:
         async with self._dialling.setdefault(member.vm, asyncio.Lock()):
             link = self._links.get(member.vm)
-            if link is not None and not link.closed and not link.silent:
+            if link is not None and not link.closed and not link.is_unresponsive:
                 if link.peer.incarnation == member.incarnation:
                     return link
                 link.close()
@@ -146,9 +146,9 @@
         kind, answer = entry
         return await answer(from_msgpack(bytes(body), kind))
 
-    def _me(self) -> PeerName:
+    def _me(self) -> PeerIdentity:
         me = self._membership.local
-        return PeerName(me.vm, me.data_hall, me.incarnation)
+        return PeerIdentity(me.vm, me.data_hall, me.incarnation)
 
 
 def _ignore_beat(link: PeerLink, beat: Beat) -> None:
--- a/src/saddlestack/platform/client.py
+++ b/src/saddlestack/platform/client.py
@@ -29,7 +29,7 @@
     """
 
     def __init__(self, address: str, port: int, host: str, prefix: str, key: str) -> None:
-        self._http = HttpClient(address, port, kept=1)
+        self._http = HttpClient(address, port, max_idle=1)
         self._prefix = prefix
         self._headers = ((KEY_HEADER, key),)
         self._host = host
--- a/src/saddlestack/platform/documents.py
+++ b/src/saddlestack/platform/documents.py
@@ -28,13 +28,13 @@
 from saddlestack.interfaces.workers import WorkerRecord
 from saddlestack.work import Resources
 
-RACK_LABEL = 1
+RACK_LABEL_INDEX = 1
 """A worker's labels are its kind and its rack, in this order."""
 
 MAX_RECORD_BYTES = 16_384
 """A worker's record has some 300 bytes."""
 MAX_LABELS = 64
-KNOWN_ADDRESSES = 16_384
+ADDRESS_CACHE_SIZE = 16_384
 """Workers write the same address with every heartbeat."""
 MAX_NUMBER = 2**53
 """Above this not every whole number has its own spelling in JSON, see RFC 8259, section 6."""
@@ -52,7 +52,7 @@
 _Positive = Annotated[int, msgspec.Meta(ge=1, le=MAX_NUMBER)]
 _Time = Annotated[float, msgspec.Meta(ge=0, le=MAX_TIME_MS)]
 
-PLACES = DocumentLocations(
+DOCUMENT_LOCATIONS = DocumentLocations(
     configuration_prefix="op/",
     configuration_key="op/config",
     workers_prefix="servers/",
@@ -156,11 +156,11 @@
 class PlatformDocuments:
     """Reads the platform's documents into the product's models."""
 
-    locations = PLACES
+    locations = DOCUMENT_LOCATIONS
 
     def configuration(self, value: bytes) -> PoolConfiguration:
         """The configuration that a document holds."""
-        document = from_json(value, _Configuration, PLACES.configuration_key)
+        document = from_json(value, _Configuration, DOCUMENT_LOCATIONS.configuration_key)
         return PoolConfiguration(
             version=document.version,
             queues=tuple(_queue(route) for route in document.routes),
@@ -174,7 +174,7 @@
     def wave(self, item: Item) -> Wave:
         """The wave of upkeep that a document orders."""
         wave = from_json(item.value, _Wave, item.key)
-        if item.key != f"{PLACES.waves_prefix}{wave.wave}":
+        if item.key != f"{DOCUMENT_LOCATIONS.waves_prefix}{wave.wave}":
             raise invalid(f"expected the wave of the key, got {wave.wave}", f"{item.key}: wave")
         return Wave(wave.wave, tuple(wave.machines), wave.deadline_s, wave.max_tasks)
 
@@ -189,7 +189,7 @@
         record = from_json(item.value, _Worker, item.key)
         if _may_repeat_keys(item.value) and has_repeated_keys(item.value, item.key):
             raise invalid("expected each field once", item.key)
-        worker_id = item.key.removeprefix(PLACES.workers_prefix)
+        worker_id = item.key.removeprefix(DOCUMENT_LOCATIONS.workers_prefix)
         if not _WORKER_ID.fullmatch(worker_id):
             raise invalid("expected the id of a worker", item.key)
         if not _is_address(record.address):
@@ -204,7 +204,7 @@
             draining=record.state == "draining",
             capacity=room,
             labels=tuple(record.labels),
-            rack=record.labels[RACK_LABEL] if len(record.labels) > RACK_LABEL else "",
+            rack=record.labels[RACK_LABEL_INDEX] if len(record.labels) > RACK_LABEL_INDEX else "",
             machine=record.machine,
             remaining_ms=remaining,
             cold_ms=int(record.cold_left_ms),
@@ -220,7 +220,7 @@
     return b"\\" in value or any(value.count(field) > 1 for field in _FIELDS)
 
 
-@functools.lru_cache(maxsize=KNOWN_ADDRESSES)
+@functools.lru_cache(maxsize=ADDRESS_CACHE_SIZE)
 def _is_address(text: str) -> bool:
     """Whether a text spells the address and port of one machine."""
     parts = _ADDRESS.fullmatch(text)
--- a/src/saddlestack/platform/endpoint.py
+++ b/src/saddlestack/platform/endpoint.py
@@ -14,7 +14,7 @@
 from saddlestack.codec import from_json
 from saddlestack.models import JobSpec
 from saddlestack.wire.dialer import Dialer
-from saddlestack.wire.http import HttpClient, error_of
+from saddlestack.wire.http import HttpClient, error_from_response
 
 
 class TaskState(enum.StrEnum):
@@ -139,7 +139,7 @@
     results: tuple[CommandResult, ...]
 
 
-def digest_of(job: str, attempt: int, output: str) -> str:
+def output_digest(job: str, attempt: int, output: str) -> str:
     """The digest that proves an output whole and of this very attempt.
 
     :rtype: str
@@ -151,7 +151,7 @@
     """One endpoint, spoken to over kept connections."""
 
     def __init__(self, address: str, port: int, *, dialer: Dialer | None = None) -> None:
-        self._http = HttpClient(address, port, dialer=dialer, kept=4)
+        self._http = HttpClient(address, port, dialer=dialer, max_idle=4)
 
     async def sync(self, body: SyncBody, timeout: float) -> SyncReply:
         """Take or renew the lease and hear the news.
@@ -162,7 +162,7 @@
         """
         response = await self._http.request("POST", "/v1/sync", body, timeout=timeout)
         if response.status != 200:
-            raise error_of(response)
+            raise error_from_response(response)
         return from_json(response.body, SyncReply)
 
     async def command(self, body: CommandsBody, timeout: float) -> CommandsReply:
@@ -174,7 +174,7 @@
         """
         response = await self._http.request("POST", "/v1/commands", body, timeout=timeout)
         if response.status != 200:
-            raise error_of(response)
+            raise error_from_response(response)
         return from_json(response.body, CommandsReply)
 
     @property
--- a/src/saddlestack/platform/serving.py
+++ b/src/saddlestack/platform/handlers.py
@@ -48,15 +48,15 @@
     TransactionBody,
     WatchPage,
 )
-from saddlestack.platform.orders import LIFE_HEADER
+from saddlestack.platform.orders import INSTANCE_HEADER
 from saddlestack.wire.http import Request, Response
 
-SILENCE_S = 3600.0
+LOST_ANSWER_DELAY_S = 3600.0
 """A call whose answer is lost is never answered."""
 _REASONS = {Refusal.FENCED: "fence"}
 
 
-class WorkerDesk(Protocol):
+class ServedWorker(Protocol):
     """One life of a stand-in's worker."""
 
     @property
@@ -65,7 +65,7 @@
         ...
 
     @property
-    def born(self) -> int:
+    def started_ms(self) -> int:
         """When it was born, in milliseconds since 1970; 0 where it does not tell."""
         ...
 
@@ -101,7 +101,7 @@
         ...
 
 
-class StoreServing:
+class StoreHandler:
     """Answers the calls to the platform's store."""
 
     def __init__(self, store: MetadataStore) -> None:
@@ -116,7 +116,7 @@
         except LeaseExpired:
             return Response(404)
         except WriteInDoubt:
-            await asyncio.sleep(SILENCE_S)
+            await asyncio.sleep(LOST_ANSWER_DELAY_S)
             return Response(500)
 
     async def _route(self, request: Request) -> Response:
@@ -161,15 +161,15 @@
         return Response(200, to_json(CommittedBody(outcome.revision)))
 
 
-class WorkerServing:
+class WorkerHandler:
     """Answers the calls to one worker."""
 
-    def __init__(self, desk: WorkerDesk) -> None:
+    def __init__(self, desk: ServedWorker) -> None:
         self._desk = desk
 
     async def handle(self, request: Request) -> Response:
         """Answer one call."""
-        if request.headers.get(LIFE_HEADER.lower()) != self._desk.worker_id:
+        if request.headers.get(INSTANCE_HEADER.lower()) != self._desk.worker_id:
             return Response(421)
         try:
             return await self._route(request)
@@ -187,7 +187,7 @@
             pace = from_json(request.body, PaceBody)
             self._desk.pace(pace.task, pace.run, pace.percent, pace.fence)
             return self._answer(200)
-        if request.path == paths.LOOK:
+        if request.path == paths.HOLD:
             return await self._hold(from_json(request.body, HoldBody))
         return Response(404)
 
@@ -219,7 +219,7 @@
             EndedRow(end.number, end.task, end.run, end.how.value, end.saved)
             for end in report.ended
         ]
-        born = self._desk.born or msgspec.UNSET
+        born = self._desk.started_ms or msgspec.UNSET
         return Response(200, to_json(ReportBody(report.clock_ms, running, ended, born)))
 
     def _answer(self, status: int, reason: str = "") -> Response:
--- a/src/saddlestack/platform/kv.py
+++ b/src/saddlestack/platform/kv.py
@@ -129,7 +129,7 @@
 
     async def renew_lease(self, lease: int) -> None:
         """Renew a lease."""
-        await self._on_lease("POST", f"{paths.KEEP}{lease}")
+        await self._on_lease("POST", f"{paths.KEEP_LEASE}{lease}")
 
     async def end_lease(self, lease: int) -> None:
         """End a lease and its keys."""
--- a/src/saddlestack/platform/machines.py
+++ b/src/saddlestack/platform/machines.py
@@ -58,7 +58,7 @@
     """Orders about machines, over kept connections."""
 
     def __init__(self, address: str, port: int, *, dialer: Dialer | None = None) -> None:
-        self._http = HttpClient(address, port, dialer=dialer, kept=1)
+        self._http = HttpClient(address, port, dialer=dialer, max_idle=1)
 
     async def upkeep(self, machine: str, wave: int, holder: str, fence: int) -> UpkeepOutcome:
         """Take a machine down for its upkeep."""
@@ -89,7 +89,7 @@
     """Calls for advice, over one kept connection."""
 
     def __init__(self, address: str, port: int, *, dialer: Dialer | None = None) -> None:
-        self._http = HttpClient(address, port, dialer=dialer, kept=1)
+        self._http = HttpClient(address, port, dialer=dialer, max_idle=1)
 
     async def advise(self, step: str, workers: tuple[str, ...]) -> tuple[Leave, ...]:
         """The workers among these that may run a step; the adviser knows them by id."""
--- a/src/saddlestack/platform/orders.py
+++ b/src/saddlestack/platform/orders.py
@@ -37,13 +37,13 @@
     StopBody,
 )
 from saddlestack.wire.dialer import Dialer
-from saddlestack.wire.http import AnswerLost, HttpClient, NotSent, Opening, Response
+from saddlestack.wire.http import AnswerLost, ConnectionCheck, HttpClient, NotSent, Response
 
 T = TypeVar("T")
 
-LIFE_HEADER = "Saddlestack-Target-Instance"
-KEPT_CONNECTIONS = 4
-ENDS_AT_ONCE = 500
+INSTANCE_HEADER = "Saddlestack-Target-Instance"
+MAX_IDLE_CONNECTIONS = 4
+MAX_ENDS_PER_REPORT = 500
 """A worker lists no more ends in one answer; the others come when these were acknowledged."""
 _REFUSALS = {
     "fence": Refusal.FENCED,
@@ -64,8 +64,8 @@
     """
 
     def __init__(self, life: str, address: str, port: int, *, dialer: Dialer | None = None) -> None:
-        self._http = HttpClient(address, port, dialer=dialer, kept=KEPT_CONNECTIONS)
-        self._headers = ((LIFE_HEADER, worker_id_of(life)),)
+        self._http = HttpClient(address, port, dialer=dialer, max_idle=MAX_IDLE_CONNECTIONS)
+        self._headers = ((INSTANCE_HEADER, worker_id_of(life)),)
         self._born = started_ms_of(life)
 
     async def start(self, order: StartOrder, timeout_s: float) -> StartReply:
@@ -105,7 +105,7 @@
     ) -> WorkerReport:
         """Renew the lease of what runs, acknowledge ends up to ``seen``, and look."""
         body = HoldBody(fence, seen, deadline_ms, round(wait_s * 1000))
-        response = await self._call(paths.LOOK, body, fence, timeout_s)
+        response = await self._call(paths.HOLD, body, fence, timeout_s)
         report = self._report(response)
         running = tuple(
             RunningTask(r.task, r.run, r.saved, int(r.percent), r.figure) for r in report.running
@@ -115,7 +115,7 @@
             report.clock_ms,
             running,
             ended,
-            more=len(ended) >= ENDS_AT_ONCE,
+            more=len(ended) >= MAX_ENDS_PER_REPORT,
             born=_born(report),
         )
 
@@ -131,7 +131,7 @@
                 body,
                 timeout=timeout_s,
                 headers=self._headers,
-                opening=self._opening(fence),
+                connection_check=self._connection_check(fence),
             )
         except NotSent as error:
             raise WorkerNotReached(str(error)) from error
@@ -140,11 +140,11 @@
         _taken(response)
         return response
 
-    def _opening(self, fence: int) -> Opening | None:
+    def _connection_check(self, fence: int) -> ConnectionCheck | None:
         """Learns which life a connection leads to, where lives tell their birth."""
         if not self._born:
             return None
-        return Opening("POST", paths.LOOK, HoldBody(fence, last_seen=0), self._check)
+        return ConnectionCheck("POST", paths.HOLD, HoldBody(fence, last_seen=0), self._check)
 
     def _check(self, response: Response) -> None:
         """Check the first look on a connection.
@@ -164,11 +164,11 @@
         """
         _not_fenced(response)
         report = _read(response, ReportBody, (200,))
-        check_birth(self._born, _born(report))
+        check_start_time(self._born, _born(report))
         return report
 
 
-def check_birth(known: int, told: int) -> None:
+def check_start_time(known: int, told: int) -> None:
     """Check that a list of runs is that of the life that was asked for.
 
     :param known: when that life was born, in milliseconds since 1970; 0 where it does not tell.
--- a/src/saddlestack/platform/paths.py
+++ b/src/saddlestack/platform/paths.py
@@ -4,8 +4,8 @@
 
 START = "/api/run-start"
 STOP = "/api/run-stop"
-LOOK = "/api/hold"
+HOLD = "/api/hold"
 TRANSACTION = "/api/kv-txn"
-KEEP = "/api/kv-keep/"
+KEEP_LEASE = "/api/kv-keep/"
 """A lease's number follows."""
 READY = "/api/ready"
--- a/src/saddlestack/platform/store.py
+++ b/src/saddlestack/platform/store.py
@@ -19,7 +19,7 @@
 from saddlestack.kernel.clock import Clock
 from saddlestack.policy.limits import TokenBucket
 from saddlestack.wire.dialer import Dialer
-from saddlestack.wire.http import AnswerLost, HttpClient, NotSent, Response, error_of
+from saddlestack.wire.http import AnswerLost, HttpClient, NotSent, Response, error_from_response
 
 STORE_WRITES_S = 400.0
 STORE_READS_S = 2000.0
@@ -37,7 +37,7 @@
     """The write may or may not have taken effect."""
 
 
-class VersionMoved(Exception):
+class VersionConflict(Exception):
     """The key's version was not the expected one: nothing was written."""
 
 
@@ -177,17 +177,17 @@
             raise StoreUnavailable(str(error)) from error
         if response.status not in {200, 204, 404}:
             self._note(response)
-            raise StoreUnavailable(error_of(response).message)
+            raise StoreUnavailable(error_from_response(response).message)
         self.available = True
         return response
 
     def _swapped(self, response: Response) -> int:
         if response.status == 409:
             self.available = True
-            raise VersionMoved
+            raise VersionConflict
         if response.status != 200:
             self._note(response)
-            raise StoreUnavailable(error_of(response).message)
+            raise StoreUnavailable(error_from_response(response).message)
         self.available = True
         return from_json(response.body, SwapReply).version
 
--- a/src/saddlestack/services/configuration.py
+++ b/src/saddlestack/services/configuration.py
@@ -24,7 +24,7 @@
     Entry,
     StoreClient,
     StoreUnavailable,
-    VersionMoved,
+    VersionConflict,
     WriteInDoubt,
 )
 from saddlestack.policy.intent import apply_intent, describe
@@ -158,7 +158,7 @@
     async def _swap(self, entry: Entry, after: Document, record: AuditRecord) -> None:
         try:
             version = await self._store.swap(KEY, to_json(after), entry.version)
-        except VersionMoved:
+        except VersionConflict:
             raise SaddlestackError(
                 ErrorKind.CONFLICT, "another change came first: plan again"
             ) from None
--- a/src/saddlestack/services/groupcommit.py
+++ b/src/saddlestack/services/groupcommit.py
@@ -17,7 +17,7 @@
     Entry,
     StoreClient,
     StoreUnavailable,
-    VersionMoved,
+    VersionConflict,
     WriteInDoubt,
 )
 from saddlestack.policy.retry import retry_delay
@@ -152,7 +152,7 @@
             try:
                 self.version = await self._store.swap(self.key, value, self.version)
                 return
-            except VersionMoved:
+            except VersionConflict:
                 if await self._settle(self._store.get):
                     return
             except WriteInDoubt:
--- a/src/saddlestack/services/intake.py
+++ b/src/saddlestack/services/intake.py
@@ -135,7 +135,7 @@
         began = self.clock.now()
         body = from_json(request.body, SubmitBody)
         account = self._access.account(request, self._document, body.account)
-        wait = request.number("wait", 0.0, most=MAX_WAIT_S)
+        wait = request.number("wait", 0.0, maximum=MAX_WAIT_S)
         spec = self._spec(body, account)
         self._limit(account)
         cell, claimed = await self._claim(spec)
@@ -285,7 +285,7 @@
 
     async def _show(self, request: Request, name: str) -> Response:
         job_id, cell = await self._locate(request, name)
-        wait = request.number("wait", 0.0, most=MAX_WAIT_S)
+        wait = request.number("wait", 0.0, maximum=MAX_WAIT_S)
         until = self.clock.now() + wait
         while True:
             view = await self._router.ask(cell, job_id, min(self._allowed_wait(until), 5.0))
@@ -321,7 +321,7 @@
     async def _list(self, request: Request) -> Response:
         who = self._access.identify(request, self._document)
         account = who.account if isinstance(who, Caller) else request.query.get("account")
-        limit = int(request.number("limit", DEFAULT_LIST, most=MAX_LIST))
+        limit = int(request.number("limit", DEFAULT_LIST, maximum=MAX_LIST))
         return json_response(JobsBody(jobs=tuple(await self._router.jobs(account, limit))))
 
     def _job_response(self, view: JobView) -> Response:
@@ -357,7 +357,7 @@
     async def _confirm(self, request: Request) -> Response:
         operator = self._access.operator(request, self._document)
         plan = from_json(request.body, Plan)
-        wait = request.number("wait", 0.0, most=30.0)
+        wait = request.number("wait", 0.0, maximum=30.0)
         confirmation = await self._configuration.confirm(plan, operator.name, wait)
         return json_response(confirmation)
 
@@ -367,7 +367,7 @@
 
     async def _show_audit(self, request: Request) -> Response:
         self._access.operator(request, self._document)
-        limit = int(request.number("limit", DEFAULT_LIST, most=MAX_LIST))
+        limit = int(request.number("limit", DEFAULT_LIST, maximum=MAX_LIST))
         try:
             records = await self._audit.read(self._document, limit)
         except StoreUnavailable as error:
--- a/src/saddlestack/services/membership.py
+++ b/src/saddlestack/services/membership.py
@@ -25,7 +25,7 @@
 from saddlestack.services.rpc import Rpc
 from saddlestack.settings import Peer
 from saddlestack.wire.messages import Beat, CellBeat, OwnedCell
-from saddlestack.wire.streams import FrameStream, Handshake, LinkLost, PeerLink, PeerName
+from saddlestack.wire.streams import FrameStream, Handshake, LinkLost, PeerIdentity, PeerLink
 
 log = logging.getLogger("saddlestack.membership")
 
@@ -91,7 +91,7 @@
     def __init__(self, context: Context) -> None:
         super().__init__(names.MEMBERSHIP, context.clock)
         self._context = context
-        self._me = PeerName(context.vm, context.data_hall, context.incarnation)
+        self._me = PeerIdentity(context.vm, context.data_hall, context.incarnation)
         self._handshake = Handshake(self._me, context.settings.peer_key)
         self._rpc = context.registry.get(names.RPC, Rpc)
         self._members: dict[str, Member] = {}
@@ -316,7 +316,7 @@
         for member in self._members.values():
             if member.link is not None:
                 near = member.data_hall == self._me.data_hall
-                member.link.beat(self._own if near else far)
+                member.link.send_heartbeat(self._own if near else far)
 
     def _look_after_links(self) -> None:
         for member in self._members.values():
@@ -386,7 +386,7 @@
             stream.close()
 
     def _adopt(
-        self, peer: PeerName, stream: FrameStream, writer: asyncio.StreamWriter | None
+        self, peer: PeerIdentity, stream: FrameStream, writer: asyncio.StreamWriter | None
     ) -> PeerLink | None:
         member = self._members.get(peer.vm)
         if member is None:
@@ -403,7 +403,7 @@
         link = PeerLink(peer, stream, self._rpc.serve, self._heard)
         member.link = link
         self._hear(member)
-        link.beat(self._own)
+        link.send_heartbeat(self._own)
         self.tasks.spawn(self._run_link(member, link, writer))
         return link
 
--- a/src/saddlestack/services/output.py
+++ b/src/saddlestack/services/output.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from saddlestack.models import Answer
-from saddlestack.platform.endpoint import TaskStatus, digest_of
+from saddlestack.platform.endpoint import TaskStatus, output_digest
 
 
 def whole_answer(status: TaskStatus) -> Answer | None:
@@ -14,6 +14,6 @@
     length = len(status.output.encode())
     if length != status.length:
         return None
-    if digest_of(status.job, status.attempt, status.output) != status.digest:
+    if output_digest(status.job, status.attempt, status.output) != status.digest:
         return None
     return Answer(attempt=status.attempt, length=length, digest=status.digest, output=status.output)
--- a/src/saddlestack/services/ownership.py
+++ b/src/saddlestack/services/ownership.py
@@ -17,7 +17,7 @@
 from saddlestack.platform.store import (
     StoreClient,
     StoreUnavailable,
-    VersionMoved,
+    VersionConflict,
     WriteInDoubt,
 )
 from saddlestack.policy.planner import CellSite, cells_of
@@ -177,7 +177,7 @@
         began = self.clock.now()
         try:
             term = await self._raise_term(cell)
-        except (VersionMoved, Fenced):
+        except (VersionConflict, Fenced):
             await asyncio.sleep(CHECK_S)
             return
         except StoreUnavailable:
@@ -218,7 +218,7 @@
         except WriteInDoubt:
             found = await self._store.get(key)
             if not found.version or from_json(found.value, Owner) != mine:
-                raise VersionMoved from None
+                raise VersionConflict from None
         return mine.term
 
     async def _take_for_the_interim(self, site: CellSite) -> None:
--- a/src/saddlestack/services/router.py
+++ b/src/saddlestack/services/router.py
@@ -20,11 +20,11 @@
 from saddlestack.services.rpc import Rpc
 from saddlestack.services.scheduler import Scheduler
 from saddlestack.wire.messages import (
-    Ask,
     CancelJob,
     CellStatus,
     CellStatusRequest,
     JobList,
+    JobQuery,
     ListJobs,
     OwnedCell,
     Submit,
@@ -68,7 +68,7 @@
         self._sent = RoutedSinceSummary()
         rpc = context.registry.get(names.RPC, Rpc)
         rpc.add("submit", Submit, self._serve_submit)
-        rpc.add("ask", Ask, self._serve_ask)
+        rpc.add("ask", JobQuery, self._serve_ask)
         rpc.add("cancel", CancelJob, self._serve_cancel)
         rpc.add("list", ListJobs, self._serve_list)
         rpc.add("status", CellStatusRequest, self._serve_status)
@@ -124,7 +124,7 @@
         until = self.clock.now() + wait_s
         while True:
             chunk = max(0.0, min(ASK_CHUNK_S, until - self.clock.now()))
-            body = Ask(cell, job_id, chunk)
+            body = JobQuery(cell, job_id, chunk)
             view = await self._call(cell, "ask", body, JobView, chunk + ASK_SLACK_S)
             if view.state.final or self.clock.now() >= until:
                 return view
@@ -176,7 +176,9 @@
     async def _knows(self, vm: str, cell: str, job_id: str) -> bool | None:
         """Whether a scheduler knows a job; ``None`` where it does not answer."""
         try:
-            await self._membership.call(vm, "ask", Ask(cell, job_id, 0.0), JobView, ASK_SLACK_S)
+            await self._membership.call(
+                vm, "ask", JobQuery(cell, job_id, 0.0), JobView, ASK_SLACK_S
+            )
         except LinkLost:
             return None
         except SaddlestackError as error:
@@ -242,7 +244,7 @@
     async def _serve_submit(self, body: Submit) -> JobView:
         return await self._scheduler(body.cell).submit(body.spec)
 
-    async def _serve_ask(self, body: Ask) -> JobView:
+    async def _serve_ask(self, body: JobQuery) -> JobView:
         return await self._scheduler(body.cell).ask(body.job_id, body.wait_s)
 
     async def _serve_cancel(self, body: CancelJob) -> JobView:
--- a/src/saddlestack/soak/ends.py
+++ b/src/saddlestack/soak/ends.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from saddlestack.interfaces.workers import EndedTask, EndKind
-from saddlestack.platform.orders import ENDS_AT_ONCE
+from saddlestack.platform.orders import MAX_ENDS_PER_REPORT
 
 
 @dataclass(frozen=True, slots=True)
@@ -39,7 +39,7 @@
 
     def rows(self) -> tuple[EndedTask, ...]:
         """The ends that one answer tells."""
-        return tuple(listed.row for listed in self._listed[:ENDS_AT_ONCE])
+        return tuple(listed.row for listed in self._listed[:MAX_ENDS_PER_REPORT])
 
     async def wait(self, seconds: float) -> None:
         """Wait for an end, if none is listed, or until woken."""
--- a/src/saddlestack/soak/heartbeats.py
+++ b/src/saddlestack/soak/heartbeats.py
@@ -12,7 +12,7 @@
 
 from saddlestack.codec import from_json, to_json
 from saddlestack.platform import paths
-from saddlestack.platform.documents import PLACES
+from saddlestack.platform.documents import DOCUMENT_LOCATIONS
 from saddlestack.platform.messages import CommittedBody, TransactionBody
 from saddlestack.standins.pool.store import StoreState
 from saddlestack.standins.ports import LOOPBACK
@@ -75,7 +75,7 @@
     def lapse(self, workers: Iterable[str]) -> None:
         """Records lapse now; they are back with their workers' next heartbeats."""
         for worker in workers:
-            self.store.remove(f"{PLACES.workers_prefix}{worker}")
+            self.store.remove(f"{DOCUMENT_LOCATIONS.workers_prefix}{worker}")
 
     def write(self, key: str, value: bytes) -> None:
         """Take a heartbeat of a worker: the key changes when what it tells does."""
--- a/src/saddlestack/soak/machine.py
+++ b/src/saddlestack/soak/machine.py
@@ -14,7 +14,7 @@
 from saddlestack.interfaces.incarnations import incarnation_name, started_ms_of, worker_id_of
 from saddlestack.interfaces.workers import StartOrder, StartReply, WorkerReport, WorkerUnreachable
 from saddlestack.kernel.service import TaskGroup
-from saddlestack.platform.serving import WorkerServing
+from saddlestack.platform.handlers import WorkerHandler
 from saddlestack.soak.life import Arrival, Tell, WorkerLife
 from saddlestack.soak.messages import (
     AnswerErrors,
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Desk:
-    """One call's way to a life: see :class:`saddlestack.platform.serving.WorkerDesk`."""
+    """One call's way to a life: see :class:`saddlestack.platform.handlers.ServedWorker`."""
 
     life: WorkerLife
     arrival: Arrival
@@ -83,7 +83,7 @@
         return worker_id_of(self.life.worker_id)
 
     @property
-    def born(self) -> int:
+    def started_ms(self) -> int:
         return started_ms_of(self.life.worker_id)
 
     def clock_ms(self) -> int:
@@ -343,7 +343,7 @@
         if life is None:
             return await _silence()
         try:
-            return await WorkerServing(_Desk(life, arrival)).handle(request)
+            return await WorkerHandler(_Desk(life, arrival)).handle(request)
         except WorkerUnreachable:
             if self._silent:
                 return await _silence()
--- a/src/saddlestack/soak/readiness.py
+++ b/src/saddlestack/soak/readiness.py
@@ -44,13 +44,13 @@
         return rng.choice(ready if 2 * len(ready) >= len(self._entries) else self._entries)
 
     async def _until_ready(self, entry: EntryProcess) -> None:
-        client = HttpClient(entry.site.address, READINESS_PORT, kept=1)
+        client = HttpClient(entry.site.address, READINESS_PORT, max_idle=1)
         while not await _is_ready(client):
             await asyncio.sleep(START_LOOK_S)
         client.close()
 
     async def _follow(self, entry: EntryProcess) -> None:
-        client = HttpClient(entry.site.address, READINESS_PORT, kept=1)
+        client = HttpClient(entry.site.address, READINESS_PORT, max_idle=1)
         loop = asyncio.get_running_loop()
         try:
             while True:
--- a/src/saddlestack/soak/recording.py
+++ b/src/saddlestack/soak/recording.py
@@ -11,7 +11,7 @@
 
 from saddlestack.interfaces.incarnations import started_ms_of, worker_id_of
 from saddlestack.platform import paths
-from saddlestack.platform.documents import PLACES
+from saddlestack.platform.documents import DOCUMENT_LOCATIONS
 from saddlestack.platform.messages import CapacityBody, PutRow, TransactionBody, WorkerBody
 from saddlestack.soak.life import WorkerLife
 from saddlestack.soak.messages import Rewriting
@@ -86,7 +86,7 @@
 
     @property
     def _key(self) -> str:
-        return f"{PLACES.workers_prefix}{worker_id_of(self.life.worker_id)}"
+        return f"{DOCUMENT_LOCATIONS.workers_prefix}{worker_id_of(self.life.worker_id)}"
 
     async def _write(self) -> bool:
         async with self._writing:
--- a/src/saddlestack/soak/store_process.py
+++ b/src/saddlestack/soak/store_process.py
@@ -22,8 +22,8 @@
 from saddlestack.control.leadership import LeaderRecord
 from saddlestack.interfaces.store import Item, StoreUnavailable
 from saddlestack.platform import paths
-from saddlestack.platform.documents import PLACES
-from saddlestack.platform.serving import StoreServing
+from saddlestack.platform.documents import DOCUMENT_LOCATIONS
+from saddlestack.platform.handlers import StoreHandler
 from saddlestack.soak.heartbeats import WorkerRecords
 from saddlestack.soak.store_messages import (
     BeginTrouble,
@@ -67,7 +67,7 @@
         self._process = process
         self._vm = vm
         self.view = StoreView(process.state, check_s=WATCH_CHECK_S)
-        self._serving = StoreServing(self.view)
+        self._serving = StoreHandler(self.view)
         self.way = StoreWay(self._handle, rng)
         self.trouble = 0
 
@@ -83,8 +83,8 @@
             response = await self._serving.handle(request)
         except StoreUnavailable:
             return Response(503)
-        if response.status == 200 and request.path.startswith(paths.KEEP):
-            self._process.renewed(self._vm, int(request.path.removeprefix(paths.KEEP)))
+        if response.status == 200 and request.path.startswith(paths.KEEP_LEASE):
+            self._process.renewed(self._vm, int(request.path.removeprefix(paths.KEEP_LEASE)))
         return response
 
 
@@ -114,7 +114,7 @@
         await self._records.start()
         for each in self._vms.values():
             await each.way.start(LOOPBACK)
-        self.state.put(PLACES.configuration_key, self._settings.configuration)
+        self.state.put(DOCUMENT_LOCATIONS.configuration_key, self._settings.configuration)
         ports = {vm: each.way.port for vm, each in self._vms.items()}
         self._stream.write(StoreReady(ports, self._records.port))
         keeping = asyncio.get_running_loop().create_task(self._keep())
@@ -175,7 +175,7 @@
         self._hold_at_renewal.clear()
 
     def _lapse(self, share: float) -> None:
-        prefix = PLACES.workers_prefix
+        prefix = DOCUMENT_LOCATIONS.workers_prefix
         workers = [item.key.removeprefix(prefix) for item in self.state.keys(prefix)]
         if workers:
             self._records.lapse(self._rng.sample(workers, max(1, round(share * len(workers)))))
--- a/src/saddlestack/soak/troubles.py
+++ b/src/saddlestack/soak/troubles.py
@@ -24,7 +24,7 @@
 KINDS = {
     paths.START: CallKind.START,
     paths.STOP: CallKind.STOP,
-    paths.LOOK: CallKind.LOOK,
+    paths.HOLD: CallKind.LOOK,
 }
 
 
--- a/src/saddlestack/standins/endpoint.py
+++ b/src/saddlestack/standins/endpoint.py
@@ -28,7 +28,7 @@
     SyncReply,
     TaskState,
     TaskStatus,
-    digest_of,
+    output_digest,
 )
 from saddlestack.wire.http import HttpServer, Request, Response, json_response
 
@@ -399,7 +399,7 @@
             progress=self._progress(task) if task.state is TaskState.RUNNING else task.progress,
             output=output,
             length=len(task.output.encode()),
-            digest=digest_of(job, task.attempt, task.output) if task.output else "",
+            digest=output_digest(job, task.attempt, task.output) if task.output else "",
             spec=task.spec if full else None,
             parts=task.parts if full else (),
         )
--- a/src/saddlestack/standins/pool/orders.py
+++ b/src/saddlestack/standins/pool/orders.py
@@ -16,7 +16,7 @@
     WorkerReport,
     WorkerUnreachable,
 )
-from saddlestack.platform.orders import check_birth
+from saddlestack.platform.orders import check_start_time
 from saddlestack.standins.pool.workers import Floor, FloorWorker
 
 TRIP_S = 0.001
@@ -71,7 +71,7 @@
         """Renew the lease, acknowledge ends, and look."""
         await self._reach(timeout_s)
         report = await self.floor.hold(self.worker, fence, deadline_ms, seen, wait_s)
-        check_birth(started_ms_of(self.life), report.born)
+        check_start_time(started_ms_of(self.life), report.born)
         return report
 
     def close(self) -> None:
--- a/src/saddlestack/standins/store.py
+++ b/src/saddlestack/standins/store.py
@@ -203,8 +203,8 @@
         return json_response(SwapReply(next(self._versions)))
 
     async def _watch(self, key: str, request: Request) -> Response:
-        after = int(request.number("after", 0, most=float(1 << 53)))
-        wait = request.number("wait", 30.0, most=120.0)
+        after = int(request.number("after", 0, maximum=float(1 << 53)))
+        wait = request.number("wait", 30.0, maximum=120.0)
         try:
             async with asyncio.timeout(wait), self._changed:
                 await self._changed.wait_for(lambda: self._version(key) > after)
--- a/src/saddlestack/wire/http.py
+++ b/src/saddlestack/wire/http.py
@@ -26,8 +26,8 @@
 HEADER_TIMEOUT_S = 10.0
 IDLE_TIMEOUT_S = 75.0
 MAX_CONNECTIONS = 4096
-KEPT_CONNECTIONS = 64
-ANSWER_TIMEOUT_S = 10.0
+MAX_IDLE_CONNECTIONS = 64
+WRITE_TIMEOUT_S = 10.0
 """A client that takes in nothing of an answer for so long is gone; as long as it may take to send
 its headers."""
 
@@ -48,10 +48,10 @@
         scheme, _, token = self.headers.get("authorization", "").partition(" ")
         return token.strip() if scheme.lower() == "bearer" and token else None
 
-    def number(self, name: str, default: float, *, most: float) -> float:
+    def number(self, name: str, default: float, *, maximum: float) -> float:
         """A number of seconds or items from the query, bounded.
 
-        :raises SaddlestackError: not a number from 0 to ``most``.
+        :raises SaddlestackError: not a number from 0 to ``maximum``.
         """
         text = self.query.get(name)
         if text is None:
@@ -60,9 +60,11 @@
             value = float(text)
         except ValueError:
             value = -1.0
-        if not 0 <= value <= most:
+        if not 0 <= value <= maximum:
             raise SaddlestackError(
-                ErrorKind.INVALID, f"expected 0 to {most:g}, got {text!r}", where=f"query: {name}"
+                ErrorKind.INVALID,
+                f"expected 0 to {maximum:g}, got {text!r}",
+                where=f"query: {name}",
             )
         return value
 
@@ -128,7 +130,7 @@
         self._server: asyncio.Server | None = None
         self._tasks = TaskGroup("http")
         self._writers: set[asyncio.StreamWriter] = set()
-        self._busy = 0
+        self._active_requests = 0
         self._closing = False
         self.port = 0
 
@@ -138,16 +140,16 @@
         self.port = self._server.sockets[0].getsockname()[1]
 
     @property
-    def busy(self) -> int:
+    def active_requests(self) -> int:
         """Requests in hand."""
-        return self._busy
+        return self._active_requests
 
     async def drain(self) -> None:
         """Take no new connections and wait until every request in hand is answered."""
         self._closing = True
         if self._server is not None:
             self._server.close()
-        while self._busy:
+        while self._active_requests:
             await asyncio.sleep(0.02)
 
     async def stop(self) -> None:
@@ -198,12 +200,12 @@
             return False
         if request is None:
             return False
-        self._busy += 1
+        self._active_requests += 1
         try:
             response = await self._call(request)
             await self._answer(connection, writer, response, last=self._closing)
         finally:
-            self._busy -= 1
+            self._active_requests -= 1
         return connection.our_state is h11.DONE and connection.their_state is h11.DONE
 
     async def _call(self, request: Request) -> Response:
@@ -271,7 +273,7 @@
         data += connection.send(h11.Data(data=response.body)) or b""
         data += connection.send(h11.EndOfMessage()) or b""
         writer.write(data)
-        async with asyncio.timeout(ANSWER_TIMEOUT_S):
+        async with asyncio.timeout(WRITE_TIMEOUT_S):
             await writer.drain()
 
 
@@ -283,7 +285,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Opening:
+class ConnectionCheck:
     """What is asked first on each connection, to learn who answers there.
 
     A connection ends with the process that it leads to, so the answer holds for all of it.
@@ -323,13 +325,13 @@
         *,
         dialer: Dialer | None = None,
         token: str | None = None,
-        kept: int = KEPT_CONNECTIONS,
+        max_idle: int = MAX_IDLE_CONNECTIONS,
     ) -> None:
         self.address = address
         self.port = port
         self._dialer = dialer or Dialer()
         self._token = token
-        self._kept = kept
+        self._max_idle = max_idle
         self.bytes = 0
         self._idle: list[_Connection] = []
         self._open: set[_Connection] = set()
@@ -343,7 +345,7 @@
         timeout: float,
         headers: Sequence[tuple[str, str]] = (),
         host: str | None = None,
-        opening: Opening | None = None,
+        connection_check: ConnectionCheck | None = None,
     ) -> Response:
         """Send a request and read the whole answer.
 
@@ -351,7 +353,7 @@
         :param timeout: seconds for the whole exchange, the opening included.
         :param headers: sent besides the usual ones.
         :param host: the host that is asked for, where it is not the address.
-        :param opening: asked before the request on a connection that was not opened so yet.
+        :param connection_check: sent before the request on a connection that was not checked yet.
         :raises NotSent: nothing left, or nothing but the opening.
         :raises AnswerLost: the answer did not come, or not whole.
         """
@@ -360,8 +362,8 @@
         asked = answered = False
         try:
             async with asyncio.timeout(timeout):
-                if opening is not None and not connection.opened:
-                    await self._open_with(connection, opening, headers, host)
+                if connection_check is not None and not connection.checked:
+                    await self._open_with(connection, connection_check, headers, host)
                 asked = True
                 response = await connection.exchange(
                     self._encode(method, path, body, headers, host)
@@ -405,25 +407,27 @@
     async def _open_with(
         self,
         connection: _Connection,
-        opening: Opening,
+        connection_check: ConnectionCheck,
         headers: Sequence[tuple[str, str]],
         host: str | None,
     ) -> None:
-        message = self._encode(opening.method, opening.path, opening.body, headers, host)
-        opening.check(await connection.exchange(message))
+        message = self._encode(
+            connection_check.method, connection_check.path, connection_check.body, headers, host
+        )
+        connection_check.check(await connection.exchange(message))
         if not connection.ready:
             raise ConnectionResetError("closed after its opening")
-        connection.opened = True
+        connection.checked = True
 
     def _drop_unheard(self, since: float) -> None:
         """Close the kept connections that were not heard after some moment."""
-        for connection in [each for each in self._idle if each.heard_s <= since]:
+        for connection in [each for each in self._idle if each.last_received_s <= since]:
             self._idle.remove(connection)
             self._open.discard(connection)
             connection.close()
 
     def _keep(self, connection: _Connection) -> None:
-        if connection.ready and len(self._idle) < self._kept:
+        if connection.ready and len(self._idle) < self._max_idle:
             self._idle.append(connection)
             return
         connection.close()
@@ -457,8 +461,8 @@
         self._h11 = h11.Connection(h11.CLIENT)
         self._bytes = 0
         self.ready = False
-        self.opened = False
-        self.heard_s = _now()
+        self.checked = False
+        self.last_received_s = _now()
 
     @property
     def usable(self) -> bool:
@@ -485,7 +489,7 @@
         if self._h11.our_state is h11.DONE and self._h11.their_state is h11.DONE:
             self._h11.start_next_cycle()
             self.ready = True
-            self.heard_s = _now()
+            self.last_received_s = _now()
         return response
 
     async def _read(self) -> Response:
@@ -517,7 +521,7 @@
     return asyncio.get_running_loop().time()
 
 
-def error_of(response: Response) -> SaddlestackError:
+def error_from_response(response: Response) -> SaddlestackError:
     """The error that an answer carries.
 
     :rtype: SaddlestackError
--- a/src/saddlestack/wire/messages.py
+++ b/src/saddlestack/wire/messages.py
@@ -104,7 +104,7 @@
     claimed: bool
 
 
-class Ask(msgspec.Struct):
+class JobQuery(msgspec.Struct):
     """Ask the scheduler of a cell for a job, waiting until it is final or time is up."""
 
     cell: str
--- a/src/saddlestack/wire/streams.py
+++ b/src/saddlestack/wire/streams.py
@@ -39,7 +39,7 @@
 NONCE_SIZE = 16
 HANDSHAKE_TIMEOUT_S = 3.0
 MAX_CALLS = 4096
-SILENCE_S = 0.2
+UNRESPONSIVE_AFTER_S = 0.2
 """A link that has said nothing for so long while a call waited may have gone silent for good: it
 gets no further calls until it is heard. VMs answer in 1 to 3 ms, in 0.1 s where they run slow, and
 callers give a question up after 0.25 s at the earliest."""
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class PeerName:
+class PeerIdentity:
     """Who is at the other end of a stream."""
 
     vm: str
@@ -62,7 +62,7 @@
     incarnation: int
 
 
-Serve = Callable[[str, msgspec.Raw], Awaitable[object]]
+CallHandler = Callable[[str, msgspec.Raw], Awaitable[object]]
 """Answers a call: method and body in, reply model out."""
 
 
@@ -113,11 +113,11 @@
 class Handshake:
     """Proves to each side of a new stream that the other knows the shared key."""
 
-    def __init__(self, me: PeerName, key: str) -> None:
+    def __init__(self, me: PeerIdentity, key: str) -> None:
         self._me = me
         self._key = key.encode()
 
-    async def dial(self, stream: FrameStream) -> PeerName:
+    async def dial(self, stream: FrameStream) -> PeerIdentity:
         """Handshake as the dialling side.
 
         :raises SaddlestackError: the other side does not know the key or speaks otherwise.
@@ -136,11 +136,11 @@
                 )
             )
             welcome = await self._expect(stream, Welcome)
-            other = PeerName(welcome.vm, welcome.data_hall, welcome.incarnation)
+            other = PeerIdentity(welcome.vm, welcome.data_hall, welcome.incarnation)
             self._check(welcome.proof, self._proof("accept", nonce, other))
             return other
 
-    async def accept(self, stream: FrameStream) -> PeerName:
+    async def accept(self, stream: FrameStream) -> PeerIdentity:
         """Handshake as the accepting side.
 
         :raises SaddlestackError: the other side does not know the key or speaks otherwise.
@@ -149,7 +149,7 @@
             nonce = secrets.token_bytes(NONCE_SIZE)
             stream.write(Challenge(nonce=nonce))
             hello = await self._expect(stream, Hello)
-            other = PeerName(hello.vm, hello.data_hall, hello.incarnation)
+            other = PeerIdentity(hello.vm, hello.data_hall, hello.incarnation)
             self._check(hello.proof, self._proof("dial", nonce + hello.nonce, other))
             stream.write(
                 Welcome(
@@ -169,7 +169,7 @@
             raise SaddlestackError(ErrorKind.MALFORMED, f"peer protocol {frame.protocol}")
         return frame
 
-    def _proof(self, side: str, nonce: bytes, who: PeerName) -> bytes:
+    def _proof(self, side: str, nonce: bytes, who: PeerIdentity) -> bytes:
         text = f"{side}\0{who.vm}\0{who.data_hall}\0{who.incarnation}\0".encode()
         return hmac.new(self._key, text + nonce, hashlib.sha256).digest()
 
@@ -182,30 +182,30 @@
     """An open stream to another daemon: heartbeats and calls, both ways.
 
     :param serve: answers the other side's calls.
-    :param on_beat: told of each heartbeat.
+    :param on_heartbeat: told of each heartbeat.
     :param idle_s: closed when nothing was heard for so long; ``None`` for never.
-    :ivar silent: a call has waited, and nothing was heard since it was sent. Whoever needs the link
-        had better dial anew; calls that are under way may still be answered.
+    :ivar is_unresponsive: whether a call has waited and nothing was received since it was sent.
+        Callers that need a link should then dial again; pending calls may still be answered.
     """
 
     def __init__(
         self,
-        peer: PeerName,
+        peer: PeerIdentity,
         stream: FrameStream,
-        serve: Serve,
-        on_beat: Callable[[PeerLink, Beat], None],
+        serve: CallHandler,
+        on_heartbeat: Callable[[PeerLink, Beat], None],
         idle_s: float | None = None,
     ) -> None:
         self.peer = peer
         self.stream = stream
         self._serve = serve
-        self._on_beat = on_beat
+        self._on_heartbeat = on_heartbeat
         self._tasks = TaskGroup(f"link to {peer.vm}")
         self._calls: dict[int, asyncio.Future[Reply]] = {}
         self._ids = itertools.count(1)
         self._idle_s = idle_s
-        self._heard_s = _now()
-        self.silent = False
+        self._last_received_s = _now()
+        self.is_unresponsive = False
         self.closed = False
 
     async def run(self) -> None:
@@ -214,8 +214,8 @@
             while True:
                 async with asyncio.timeout(self._idle_s):
                     frame = await self.stream.read()
-                self._heard_s = _now()
-                self.silent = False
+                self._last_received_s = _now()
+                self.is_unresponsive = False
                 self._take(frame)
         except (OSError, EOFError, TimeoutError, SaddlestackError) as error:
             log.info(
@@ -225,7 +225,7 @@
         finally:
             self.close()
 
-    def beat(self, beat: Beat) -> None:
+    def send_heartbeat(self, beat: Beat) -> None:
         """Send a heartbeat."""
         if not self.closed:
             self.stream.write(beat)
@@ -265,13 +265,15 @@
 
     def _judge(self, sent: float) -> None:
         """Note whether nothing was heard since a call was sent; close what nobody waits for."""
-        self.silent = self._heard_s <= sent and _now() - sent >= SILENCE_S
-        if self.silent and not self._calls:
+        self.is_unresponsive = (
+            self._last_received_s <= sent and _now() - sent >= UNRESPONSIVE_AFTER_S
+        )
+        if self.is_unresponsive and not self._calls:
             self.close()
 
     def _take(self, frame: AnyFrame) -> None:
         if isinstance(frame, Beat):
-            self._on_beat(self, frame)
+            self._on_heartbeat(self, frame)
         elif isinstance(frame, Call):
             self._tasks.spawn(self._answer(frame))
         elif isinstance(frame, Reply):
--- a/tests/simulation/ways.py
+++ b/tests/simulation/ways.py
@@ -39,7 +39,7 @@
     WorkerUnreachable,
 )
 from saddlestack.platform.kv import CALL_TIMEOUT_S, LIST_TIMEOUT_S, WATCH_SLACK_S
-from saddlestack.platform.orders import check_birth
+from saddlestack.platform.orders import check_start_time
 from saddlestack.standins.pool.store import StoreState
 from tests.simulation.loops import SharedLoop
 from tests.simulation.workers import Workers
@@ -250,7 +250,7 @@
             self._workers.hold(self._worker, fence, deadline_ms, seen, wait_s, reply)
 
         report: WorkerReport = await self._order("hold", timeout_s, carry)
-        check_birth(started_ms_of(self._life), report.born)
+        check_start_time(started_ms_of(self._life), report.born)
         return report
 
     def close(self) -> None:
--- a/tests/simulation/workers.py
+++ b/tests/simulation/workers.py
@@ -20,7 +20,7 @@
     WorkerFenced,
     WorkerReport,
 )
-from saddlestack.platform.orders import ENDS_AT_ONCE
+from saddlestack.platform.orders import MAX_ENDS_PER_REPORT
 from saddlestack.standins.loop import WALL_EPOCH_S
 from saddlestack.work import TaskName
 from tests.simulation.loops import SharedLoop
@@ -342,8 +342,8 @@
             RunningTask(str(run.task), run.number, f"{self._done(run):.3f}", self._percent(run))
             for run in worker.runs.values()
         )
-        ended = tuple(worker.ended[:ENDS_AT_ONCE])
-        more = len(ended) >= ENDS_AT_ONCE
+        ended = tuple(worker.ended[:MAX_ENDS_PER_REPORT])
+        more = len(ended) >= MAX_ENDS_PER_REPORT
         return WorkerReport(self.clock_ms(worker), running, ended, more, worker.born)
 
     def _extend(self, worker: SimWorker, deadline_ms: float) -> None:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -45,7 +45,7 @@
 from saddlestack.platform.gateway import Gateway
 from saddlestack.platform.kv import CALL_TIMEOUT_S, KvStore
 from saddlestack.platform.machines import HttpAdviser, HttpMachines
-from saddlestack.platform.orders import ENDS_AT_ONCE, HttpWorkerOrders
+from saddlestack.platform.orders import MAX_ENDS_PER_REPORT, HttpWorkerOrders
 from saddlestack.standins.loop import run
 from saddlestack.wire.http import HttpServer, Request, Response
 from saddlestack.work import AcceptedJob, JobRequest, JobState, Resources
@@ -465,7 +465,7 @@
             orders = HttpWorkerOrders("i-1", "127.0.0.1", served.server.port)
             ends = [
                 [number, f"00000000000000aa.0.0.{number}", 1, "done", ""]
-                for number in range(1, ENDS_AT_ONCE + 1)
+                for number in range(1, MAX_ENDS_PER_REPORT + 1)
             ]
             served.answer(200, {"clock-ms": 50, "running": [], "ended": ends})
             self.assertTrue((await orders.hold(5, None, 0, 0.0, 2.0)).more)
--- a/tests/test_second_run.py
+++ b/tests/test_second_run.py
@@ -30,7 +30,7 @@
     WorkerReport,
     WorkerUnreachable,
 )
-from saddlestack.platform.orders import ENDS_AT_ONCE
+from saddlestack.platform.orders import MAX_ENDS_PER_REPORT
 from saddlestack.policy.cluster.records import TaskStatus
 from saddlestack.standins.loop import WALL_EPOCH_S, run
 from saddlestack.standins.pool import cluster as cluster_module
@@ -502,9 +502,9 @@
             await asyncio.sleep(0.5)
             others = tuple(
                 EndedTask(number, f"{number + 1:016x}.0.0.0", 1, EndKind.DONE, "")
-                for number in range(1, ENDS_AT_ONCE + 1)
+                for number in range(1, MAX_ENDS_PER_REPORT + 1)
             )
-            own = EndedTask(ENDS_AT_ONCE + 1, TASK, 1, EndKind.DONE, "")
+            own = EndedTask(MAX_ENDS_PER_REPORT + 1, TASK, 1, EndKind.DONE, "")
             scene.orders.ended = (*others, own)
             scene.orders.running = ()
             await asyncio.sleep(6.0)
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -29,7 +29,7 @@
     WorkerUnreachable,
 )
 from saddlestack.kernel.clock import Clock
-from saddlestack.platform.orders import ENDS_AT_ONCE
+from saddlestack.platform.orders import MAX_ENDS_PER_REPORT
 from saddlestack.policy.cluster.changes import Changes, StopReason
 from saddlestack.policy.cluster.progress import MIN_STALL_S, PROGRESS_POLL_S
 from saddlestack.policy.cluster.records import TaskStatus
@@ -97,9 +97,9 @@
         fault = self.hold_faults.pop(0) if self.hold_faults else self.hold_fault
         await self._meet(fault, timeout_s)
         await asyncio.sleep(wait_s)
-        ended = tuple(end for end in self.ended if end.number > seen)[:ENDS_AT_ONCE]
+        ended = tuple(end for end in self.ended if end.number > seen)[:MAX_ENDS_PER_REPORT]
         clock_ms = round(asyncio.get_running_loop().time() * 1000)
-        report = WorkerReport(clock_ms, self.running, ended, more=len(ended) >= ENDS_AT_ONCE)
+        report = WorkerReport(clock_ms, self.running, ended, more=len(ended) >= MAX_ENDS_PER_REPORT)
         if not wait_s:
             await asyncio.sleep(self.delay_s)
         return report
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -10,9 +10,9 @@
 
 from saddlestack.control.health import HEARTBEAT_S, StoreHealth
 from saddlestack.interfaces.workers import WorkerUnreachable
+from saddlestack.platform.handlers import StoreHandler
 from saddlestack.platform.kv import KvStore
 from saddlestack.platform.orders import HttpWorkerOrders
-from saddlestack.platform.serving import StoreServing
 from saddlestack.soak.proxy import Proxy, Trouble
 from saddlestack.standins.loop import VirtualClock, run
 from saddlestack.standins.pool.cluster import PoolCluster, job
@@ -24,8 +24,8 @@
     FrameStream,
     Handshake,
     LinkLost,
+    PeerIdentity,
     PeerLink,
-    PeerName,
 )
 from saddlestack.work import JobState
 from tests.test_pool import PoolTest
@@ -152,7 +152,7 @@
             store.close()
 
         state = StoreState()
-        self.play(body, StoreServing(StoreView(state)).handle)
+        self.play(body, StoreHandler(StoreView(state)).handle)
 
 
 class LinkTest(unittest.TestCase):
@@ -164,7 +164,7 @@
 
             async def welcome(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
                 stream = FrameStream(reader, writer)
-                peer = await Handshake(PeerName("there", "hall", 1), "key").accept(stream)
+                peer = await Handshake(PeerIdentity("there", "hall", 1), "key").accept(stream)
                 link = PeerLink(peer, stream, self.answer, ignore, idle_s=ACCEPTED_IDLE_S)
                 accepted.append(link)
                 await link.run()
@@ -185,7 +185,7 @@
 
     async def dial(self, proxy: Proxy) -> PeerLink:
         stream = FrameStream(*await asyncio.open_connection(HOST, proxy.port))
-        peer = await Handshake(PeerName("here", "hall", 1), "key").dial(stream)
+        peer = await Handshake(PeerIdentity("here", "hall", 1), "key").dial(stream)
         link = PeerLink(peer, stream, self.answer, ignore)
         self.running = asyncio.ensure_future(link.run())
         return link
@@ -194,12 +194,12 @@
         async def body(proxy: Proxy, accepted: list[PeerLink]) -> None:
             link = await self.dial(proxy)
             await link.call("ping", {}, dict, 0.25)
-            self.assertFalse(link.silent)
+            self.assertFalse(link.is_unresponsive)
             proxy.set(Trouble.STALE)
             with self.assertRaises(TimeoutError):
                 async with asyncio.timeout(0.25):
                     await link.call("ping", {}, dict, 0.6)
-            self.assertTrue(link.silent)
+            self.assertTrue(link.is_unresponsive)
             link.close()
 
         self.play(body)
@@ -212,9 +212,9 @@
             with self.assertRaises(TimeoutError):
                 async with asyncio.timeout(0.25):
                     await link.call("ping", {}, dict, 0.6)
-            self.assertTrue(link.silent)
+            self.assertTrue(link.is_unresponsive)
             self.assertEqual(await patient, {})
-            self.assertFalse(link.silent)
+            self.assertFalse(link.is_unresponsive)
             link.close()
 
         self.play(body)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -10,7 +10,7 @@
     STORE_WRITES_S,
     StoreClient,
     StoreUnavailable,
-    VersionMoved,
+    VersionConflict,
     WriteInDoubt,
 )
 from saddlestack.services.groupcommit import Fenced, GroupCommit, Written
@@ -36,7 +36,7 @@
     def test_swap_needs_the_expected_version(self) -> None:
         async def body(store: StandinStore, client: StoreClient) -> None:
             version = await client.swap("k", b"one", 0)
-            with self.assertRaises(VersionMoved):
+            with self.assertRaises(VersionConflict):
                 await client.swap("k", b"two", 0)
             await client.swap("k", b"two", version)
             self.assertEqual((await client.get("k")).value, b"two")
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -24,8 +24,8 @@
     FrameStream,
     Handshake,
     LinkLost,
+    PeerIdentity,
     PeerLink,
-    PeerName,
 )
 from tests import support as support
 
@@ -192,8 +192,8 @@
 
     def test_both_sides_prove_the_key(self) -> None:
         async def body(one: FrameStream, other: FrameStream) -> None:
-            dial = Handshake(PeerName("a", "h", 1), "the shared key").dial(one)
-            accept = Handshake(PeerName("b", "h", 2), "the shared key").accept(other)
+            dial = Handshake(PeerIdentity("a", "h", 1), "the shared key").dial(one)
+            accept = Handshake(PeerIdentity("b", "h", 2), "the shared key").accept(other)
             there, here = await asyncio.gather(dial, accept)
             self.assertEqual((there.vm, here.vm, here.incarnation), ("b", "a", 1))
 
@@ -201,9 +201,11 @@
 
     def test_another_key_is_refused(self) -> None:
         async def body(one: FrameStream, other: FrameStream) -> None:
-            dial = asyncio.ensure_future(Handshake(PeerName("a", "h", 1), "wrong key").dial(one))
+            dial = asyncio.ensure_future(
+                Handshake(PeerIdentity("a", "h", 1), "wrong key").dial(one)
+            )
             with self.assertRaises(SaddlestackError) as caught:
-                await Handshake(PeerName("b", "h", 2), "the shared key").accept(other)
+                await Handshake(PeerIdentity("b", "h", 2), "the shared key").accept(other)
             self.assertIs(caught.exception.kind, ErrorKind.UNAUTHENTICATED)
             dial.cancel()
 
@@ -231,8 +233,8 @@
             def ignore(link: PeerLink, beat: Beat) -> None:
                 return
 
-            a = PeerLink(PeerName("b", "h", 1), one, serve, ignore)
-            b = PeerLink(PeerName("a", "h", 1), other, serve, ignore)
+            a = PeerLink(PeerIdentity("b", "h", 1), one, serve, ignore)
+            b = PeerLink(PeerIdentity("a", "h", 1), other, serve, ignore)
             runs = [asyncio.ensure_future(link.run()) for link in (a, b)]
             numbers = [1, 5, 2, 4, 3]
             replies = await asyncio.gather(*(a.call("echo", n, int, 5) for n in numbers))
