--- a/src/saddlestack/platform/client.py
+++ b/src/saddlestack/platform/client.py
@@ -1,4 +1,4 @@
-"""A client of the platform's job interface, for load and trials."""
+"""A client of the platform's job interface, for load generators and trials."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Outcome(enum.StrEnum):
-    """What a client learns from one call."""
+    """Result of one call."""
 
     DONE = "done"
     REFUSED = "refused"
@@ -22,10 +22,11 @@
 
 
 class JobsClient:
-    """Calls of one client to one entry VM, over a kept connection.
+    """Calls one entry VM on behalf of one client account, over a persistent connection.
 
-    :param host: host of the queue.
-    :param prefix: path of the queue.
+    :param host: host name that selects the queue.
+    :param prefix: path prefix of the queue; the job's ID follows it.
+    :param key: API key of the client account.
     """
 
     def __init__(self, address: str, port: int, host: str, prefix: str, key: str) -> None:
@@ -35,7 +36,7 @@
         self._host = host
 
     async def submit(self, job_id: str, request: JobRequest, deadline_s: float) -> Outcome:
-        """Hand a job in."""
+        """Submit a job."""
         return (await self._call("POST", job_id, _body(request), deadline_s))[0]
 
     async def cancel(self, job_id: str, deadline_s: float) -> Outcome:
@@ -43,7 +44,7 @@
         return (await self._call("DELETE", job_id, None, deadline_s))[0]
 
     async def state(self, job_id: str, deadline_s: float) -> tuple[Outcome, JobState | None]:
-        """Ask for a job's state."""
+        """Read a job's state; ``None`` unless the outcome is :attr:`Outcome.DONE`."""
         outcome, body = await self._call("GET", job_id, None, deadline_s)
         if outcome is not Outcome.DONE:
             return outcome, None
--- a/src/saddlestack/platform/documents.py
+++ b/src/saddlestack/platform/documents.py
@@ -1,4 +1,4 @@
-"""The documents that operators and workers keep in the platform's store.
+"""Reads the documents that operators and workers write to the platform's store.
 
 See the platform's protocol page, "service discovery" and "the operator's API".
 """
@@ -29,20 +29,20 @@
 from saddlestack.work import Resources
 
 RACK_LABEL_INDEX = 1
-"""A worker's labels are its kind and its rack, in this order."""
+"""Index of the rack in a worker's labels, which are its kind and its rack, in this order."""
 
 MAX_RECORD_BYTES = 16_384
-"""A worker's record has some 300 bytes."""
+"""A valid record has about 300 bytes."""
 MAX_LABELS = 64
 ADDRESS_CACHE_SIZE = 16_384
-"""Workers write the same address with every heartbeat."""
+"""Addresses whose validity is cached: workers write the same one with every heartbeat."""
 MAX_NUMBER = 2**53
-"""Above this not every whole number has its own spelling in JSON, see RFC 8259, section 6."""
+"""Larger integers are not exact in every JSON implementation, see RFC 8259, section 6."""
 MAX_TIME_MS = 7 * 24 * 3600 * 1000
-"""No worker is slow, or about to leave, for longer than a week."""
+"""Upper limit of a worker's cold start and of its remaining time: one week."""
 
 _WORKER_ID = re.compile(r"[!-.0-~]{1,200}")
-"""Printable and without a slash: it travels in a header. A key has 200 bytes at most."""
+"""Printable ASCII without a slash, since it is sent in a header. Keys have at most 200 bytes."""
 _ADDRESS = re.compile(r"(\d+\.\d+\.\d+\.\d+|\[[0-9a-fA-F:.]+\]):(\d{1,5})", re.ASCII)
 _MAX_PORT = 65_535
 
@@ -128,7 +128,7 @@
 
 
 class _Worker(msgspec.Struct, rename="kebab"):
-    """A worker's record; ``version``, ``slots``, ``seq``, ``clock_ms`` are checked and not used."""
+    """A worker's record; ``version``, ``slots``, ``seq``, ``clock_ms`` are checked but unused."""
 
     service: _Name
     address: _Name
@@ -154,12 +154,15 @@
 
 
 class PlatformDocuments:
-    """Reads the platform's documents into the product's models."""
+    """Converts the platform's documents to and from saddlestack's models."""
 
     locations = DOCUMENT_LOCATIONS
 
     def configuration(self, value: bytes) -> PoolConfiguration:
-        """The configuration that a document holds."""
+        """Decode the configuration document.
+
+        :raises SaddlestackError: the document is invalid.
+        """
         document = from_json(value, _Configuration, DOCUMENT_LOCATIONS.configuration_key)
         return PoolConfiguration(
             version=document.version,
@@ -172,37 +175,45 @@
         )
 
     def wave(self, item: Item) -> Wave:
-        """The wave of upkeep that a document orders."""
+        """Decode the order for a wave of upkeep.
+
+        :raises SaddlestackError: the document is invalid or does not match its key.
+        """
         wave = from_json(item.value, _Wave, item.key)
         if item.key != f"{DOCUMENT_LOCATIONS.waves_prefix}{wave.wave}":
-            raise invalid(f"expected the wave of the key, got {wave.wave}", f"{item.key}: wave")
+            raise invalid(
+                f"expected the wave number in the key, got {wave.wave}", f"{item.key}: wave"
+            )
         return Wave(wave.wave, tuple(wave.machines), wave.deadline_s, wave.max_tasks)
 
     def wave_status(self, *, completed: bool) -> bytes:
-        """What tells the operator how far a wave is."""
+        """Encode the status of a wave for the operator."""
         return to_json(_WaveStatus("completed" if completed else "running"))
 
     def worker(self, item: Item) -> WorkerRecord:
-        """The worker that a record describes."""
+        """Decode a worker's record.
+
+        :raises SaddlestackError: the record is invalid.
+        """
         if len(item.value) > MAX_RECORD_BYTES:
             raise invalid(f"expected at most {MAX_RECORD_BYTES} bytes", item.key)
         record = from_json(item.value, _Worker, item.key)
-        if _may_repeat_keys(item.value) and has_repeated_keys(item.value, item.key):
-            raise invalid("expected each field once", item.key)
+        if _may_have_repeated_keys(item.value) and has_repeated_keys(item.value, item.key):
+            raise invalid("expected each field only once", item.key)
         worker_id = item.key.removeprefix(DOCUMENT_LOCATIONS.workers_prefix)
         if not _WORKER_ID.fullmatch(worker_id):
-            raise invalid("expected the id of a worker", item.key)
+            raise invalid("expected a worker ID", item.key)
         if not _is_address(record.address):
             raise invalid("expected IP:PORT", f"{item.key}: address")
-        room = Resources(record.capacity.cpu, record.capacity.mem_mb, record.capacity.gpu)
+        capacity = Resources(record.capacity.cpu, record.capacity.mem_mb, record.capacity.gpu)
         remaining = None if record.remaining_ms is None else int(record.remaining_ms)
         return WorkerRecord(
-            worker_id=incarnation_name(worker_id, _born(record)),
+            worker_id=incarnation_name(worker_id, _started_ms(record)),
             service=record.service,
             address=record.address,
             data_hall=record.zone,
             draining=record.state == "draining",
-            capacity=room,
+            capacity=capacity,
             labels=tuple(record.labels),
             rack=record.labels[RACK_LABEL_INDEX] if len(record.labels) > RACK_LABEL_INDEX else "",
             machine=record.machine,
@@ -211,18 +222,18 @@
         )
 
 
-def _born(record: _Worker) -> int:
+def _started_ms(record: _Worker) -> int:
     return 0 if isinstance(record.born, msgspec.UnsetType) else record.born
 
 
-def _may_repeat_keys(value: bytes) -> bool:
-    """Whether a closer look is due: it costs as much as reading the record."""
+def _may_have_repeated_keys(value: bytes) -> bool:
+    """Cheap pre-check for repeated keys: the full check costs as much as decoding the record."""
     return b"\\" in value or any(value.count(field) > 1 for field in _FIELDS)
 
 
 @functools.lru_cache(maxsize=ADDRESS_CACHE_SIZE)
 def _is_address(text: str) -> bool:
-    """Whether a text spells the address and port of one machine."""
+    """Whether a text is a unicast IP address and a port."""
     parts = _ADDRESS.fullmatch(text)
     if parts is None or not 1 <= int(parts[2]) <= _MAX_PORT:
         return False
--- a/src/saddlestack/platform/endpoint.py
+++ b/src/saddlestack/platform/endpoint.py
@@ -29,7 +29,7 @@
 
 
 class TaskStatus(msgspec.Struct, omit_defaults=True):
-    """One part of a gang as its endpoint reports it.
+    """State of one part of a gang, as its endpoint reports it.
 
     :param started: whether it ever ran in this attempt.
     :param progress: seconds of work done.
@@ -50,10 +50,10 @@
 
 
 class SyncBody(msgspec.Struct, omit_defaults=True):
-    """Asks for the lease, or renews it, and waits for news.
+    """Requests or renews the lease and long-polls for changes.
 
-    :param after: sequence number of the last news seen; -1 asks for everything.
-    :param wait_s: seconds the endpoint may wait for news before it answers.
+    :param after: sequence number of the last change received; -1 requests all tasks.
+    :param wait_s: seconds the endpoint may wait for a change before it answers.
     """
 
     holder: str
@@ -66,9 +66,9 @@
 
 
 class SyncReply(msgspec.Struct, omit_defaults=True):
-    """The endpoint's news.
+    """Changes at the endpoint since the last sync.
 
-    :param full: whether ``tasks`` is everything rather than what changed.
+    :param full: whether ``tasks`` holds all tasks rather than the changed ones.
     """
 
     incarnation: int
@@ -80,7 +80,7 @@
 
 
 class Op(enum.StrEnum):
-    """What a command does to a part of a gang."""
+    """Operation of a command on a part of a gang."""
 
     PREPARE = "prepare"
     START = "start"
@@ -96,7 +96,7 @@
     """One command for one part of a gang.
 
     :param progress: seconds of work that the checkpoint holds.
-    :param resume: go on from a checkpoint rather than begin.
+    :param resume: continue from a checkpoint instead of starting over.
     """
 
     op: Op
@@ -111,7 +111,7 @@
 
 
 class CommandsBody(msgspec.Struct):
-    """Commands in order, under one lease."""
+    """Commands to run in order, under one lease."""
 
     holder: str
     term: int
@@ -120,10 +120,10 @@
 
 
 class CommandResult(msgspec.Struct, omit_defaults=True):
-    """What became of a command.
+    """Result of a command.
 
-    :param ok: whether it was carried out (again).
-    :param error: an error kind where it was not.
+    :param ok: whether it was carried out, now or by an earlier delivery.
+    :param error: the error kind if it was not.
     :param started: whether the part ever ran in this attempt.
     """
 
@@ -140,7 +140,7 @@
 
 
 def output_digest(job: str, attempt: int, output: str) -> str:
-    """The digest that proves an output whole and of this very attempt.
+    """Digest that verifies that an output is complete and belongs to this attempt.
 
     :rtype: str
     """
@@ -148,17 +148,17 @@
 
 
 class EndpointClient:
-    """One endpoint, spoken to over kept connections."""
+    """Client of one endpoint, over persistent connections."""
 
     def __init__(self, address: str, port: int, *, dialer: Dialer | None = None) -> None:
         self._http = HttpClient(address, port, dialer=dialer, max_idle=4)
 
     async def sync(self, body: SyncBody, timeout: float) -> SyncReply:
-        """Take or renew the lease and hear the news.
+        """Take or renew the lease and receive changes.
 
         :raises SaddlestackError: refused: a higher term, another holder, an older revision.
-        :raises NotSent: it did not hear us.
-        :raises AnswerLost: it may have heard us.
+        :raises NotSent: the request was not sent.
+        :raises AnswerLost: the request may have arrived.
         """
         response = await self._http.request("POST", "/v1/sync", body, timeout=timeout)
         if response.status != 200:
@@ -169,8 +169,8 @@
         """Send commands.
 
         :raises SaddlestackError: all refused: a higher term, another holder, no lease.
-        :raises NotSent: it did not hear us.
-        :raises AnswerLost: it may have heard us.
+        :raises NotSent: the request was not sent.
+        :raises AnswerLost: the request may have arrived.
         """
         response = await self._http.request("POST", "/v1/commands", body, timeout=timeout)
         if response.status != 200:
--- a/src/saddlestack/platform/gateway.py
+++ b/src/saddlestack/platform/gateway.py
@@ -1,4 +1,4 @@
-"""The HTTP interface that clients of the platform speak.
+"""The HTTP interface for clients of the platform.
 
 Translates calls into those of a :class:`saddlestack.interfaces.clients.JobService`. See the
 platform's protocol page, "jobs" and "ingress".
@@ -66,16 +66,16 @@
 
 
 class PendingBody(msgspec.Struct):
-    """How many jobs of a queue have not begun."""
+    """Number of a queue's jobs that have not started."""
 
     pending: int
 
 
 class Gateway:
-    """Answers the clients' calls and the platform's question whether we are ready.
+    """Handles the clients' calls and the platform's readiness probe.
 
-    :param configuration: the configuration in force, or ``None`` while there is none.
-    :param ready: whether new connections are welcome.
+    :param configuration: returns the current configuration, or ``None`` while there is none.
+    :param ready: returns whether this VM accepts new connections.
     """
 
     def __init__(
@@ -89,15 +89,15 @@
         self._ready = ready
 
     async def readiness(self, request: Request) -> Response:
-        """Answer the platform's question."""
+        """Answer the platform's readiness probe."""
         if request.path != READY_PATH:
             return Response(404)
         return Response(200 if self._ready() else 503)
 
     async def handle(self, request: Request) -> Response:
-        """Answer one call of a client.
+        """Handle one call of a client.
 
-        :raises SaddlestackError: the call is refused.
+        :raises SaddlestackError: the call is rejected.
         """
         configuration = self._configuration()
         if configuration is None:
@@ -106,22 +106,22 @@
                 "no configuration has been read yet",
                 retry_after=NO_CONFIGURATION_RETRY_S,
             )
-        queue = _queue_of(request, configuration)
-        call = ClientCall(queue, _account_of(request, queue, configuration), _deadline_of(request))
-        name = request.path[len(queue.prefix) :]
-        if not name:
+        queue = _find_queue(request, configuration)
+        call = ClientCall(queue, _authenticate(request, queue, configuration), _deadline_s(request))
+        job_id = request.path[len(queue.prefix) :]
+        if not job_id:
             return await self._pending(request, call)
-        if not _JOB_ID.fullmatch(name):
-            raise invalid("expected 16 hexadecimal digits", where=f"path: {name}")
-        return await self._job(request, call, name, configuration)
+        if not _JOB_ID.fullmatch(job_id):
+            raise invalid("expected 16 hexadecimal digits", where=f"path: {job_id}")
+        return await self._job(request, call, job_id, configuration)
 
     async def _pending(self, request: Request, call: ClientCall) -> Response:
         if request.method != "GET":
-            raise _no_method(request)
+            raise _unsupported_method(request)
         return Response(200, to_json(PendingBody(await self._jobs.pending(call))))
 
     async def _job(
-        self, request: Request, call: ClientCall, name: str, configuration: PoolConfiguration
+        self, request: Request, call: ClientCall, job_id: str, configuration: PoolConfiguration
     ) -> Response:
         if request.method == "POST":
             if len(request.body) > configuration.limits.body_bytes:
@@ -129,29 +129,29 @@
                     ErrorKind.TOO_LARGE,
                     f"the body is over {configuration.limits.body_bytes} bytes",
                 )
-            await self._jobs.submit(call, name, _request_of(request.body))
+            await self._jobs.submit(call, job_id, _decode_job(request.body))
             return Response(200, b"{}")
         if request.method == "GET":
-            state = await self._jobs.state(call, name)
+            state = await self._jobs.state(call, job_id)
             if state is None:
-                raise _unknown(name)
+                raise _unknown_job(job_id)
             return Response(200, to_json(StateBody(state.value)))
         if request.method == "DELETE":
-            if not await self._jobs.cancel(call, name):
-                raise _unknown(name)
+            if not await self._jobs.cancel(call, job_id):
+                raise _unknown_job(job_id)
             return Response(200, b"{}")
-        raise _no_method(request)
+        raise _unsupported_method(request)
 
 
-def _unknown(name: str) -> SaddlestackError:
-    return SaddlestackError(ErrorKind.UNKNOWN_JOB, f"no job {name}")
+def _unknown_job(job_id: str) -> SaddlestackError:
+    return SaddlestackError(ErrorKind.UNKNOWN_JOB, f"no job {job_id}")
 
 
-def _no_method(request: Request) -> SaddlestackError:
-    return SaddlestackError(ErrorKind.NOT_FOUND, f"no {request.method} here")
+def _unsupported_method(request: Request) -> SaddlestackError:
+    return SaddlestackError(ErrorKind.NOT_FOUND, f"method {request.method} is not supported here")
 
 
-def _queue_of(request: Request, configuration: PoolConfiguration) -> Queue:
+def _find_queue(request: Request, configuration: PoolConfiguration) -> Queue:
     host = request.headers.get("host", "").partition(":")[0].lower()
     found: Queue | None = None
     for queue in configuration.queues:
@@ -163,7 +163,7 @@
     return found
 
 
-def _account_of(request: Request, queue: Queue, configuration: PoolConfiguration) -> str:
+def _authenticate(request: Request, queue: Queue, configuration: PoolConfiguration) -> str:
     key = request.headers.get(KEY_HEADER, "")
     for account in configuration.accounts:
         if key and key in account.keys:
@@ -175,7 +175,7 @@
     )
 
 
-def _deadline_of(request: Request) -> float:
+def _deadline_s(request: Request) -> float:
     text = request.headers.get(DEADLINE_HEADER, "")
     try:
         deadline = float(text) if text else DEFAULT_DEADLINE_MS
@@ -184,7 +184,7 @@
     return max(0.0, deadline) / 1000
 
 
-def _request_of(body: bytes) -> JobRequest:
+def _decode_job(body: bytes) -> JobRequest:
     job = from_json(body, JobBody)
     return JobRequest(
         payload=job.spec,
--- a/src/saddlestack/platform/handlers.py
+++ b/src/saddlestack/platform/handlers.py
@@ -1,6 +1,6 @@
-"""The platform's calls from the other side: what a stand-in of it answers.
+"""Server side of the platform's calls, for stand-ins of the platform.
 
-Translates between HTTP and a stand-in's store and workers, and decides nothing.
+Translates between HTTP and a stand-in's store and workers; it holds no logic of its own.
 """
 
 from __future__ import annotations
@@ -52,25 +52,25 @@
 from saddlestack.wire.http import Request, Response
 
 LOST_ANSWER_DELAY_S = 3600.0
-"""A call whose answer is lost is never answered."""
+"""Delay before a call whose answer is to be lost is answered: longer than any caller waits."""
 _REASONS = {Refusal.FENCED: "fence"}
 
 
 class ServedWorker(Protocol):
-    """One life of a stand-in's worker."""
+    """One incarnation of a stand-in's worker."""
 
     @property
     def worker_id(self) -> str:
-        """Its id, which another life may have had."""
+        """The worker's ID, which other incarnations may share."""
         ...
 
     @property
     def started_ms(self) -> int:
-        """When it was born, in milliseconds since 1970; 0 where it does not tell."""
+        """Start time, in milliseconds since 1970; 0 if it is not reported."""
         ...
 
     def clock_ms(self) -> int:
-        """Its steady clock."""
+        """Current time of the worker's monotonic clock."""
         ...
 
     def start(self, order: StartOrder) -> StartReply:
@@ -80,35 +80,35 @@
     def stop(self, task: str, run: int, fence: int) -> None:
         """Stop a run.
 
-        :raises WorkerFenced: a lower token than it has seen.
+        :raises WorkerFenced: the fencing token is lower than the highest one received.
         """
         ...
 
     def pace(self, task: str, run: int, percent: int, fence: int) -> None:
-        """Let a run work at a share of its speed.
+        """Limit a run to a percentage of its full speed.
 
-        :raises WorkerFenced: a lower token than it has seen.
+        :raises WorkerFenced: the fencing token is lower than the highest one received.
         """
         ...
 
     async def hold(
         self, fence: int, deadline_ms: int | None, seen: int, wait_s: float
     ) -> WorkerReport:
-        """Renew, acknowledge, and look.
+        """Renew the lease, acknowledge ends up to ``seen``, and report.
 
-        :raises WorkerFenced: a lower token than it has seen.
+        :raises WorkerFenced: the fencing token is lower than the highest one received.
         """
         ...
 
 
 class StoreHandler:
-    """Answers the calls to the platform's store."""
+    """Handles the calls to the platform's store."""
 
     def __init__(self, store: MetadataStore) -> None:
         self._store = store
 
     async def handle(self, request: Request) -> Response:
-        """Answer one call."""
+        """Handle one call."""
         try:
             return await self._route(request)
         except HistoryGone:
@@ -162,14 +162,14 @@
 
 
 class WorkerHandler:
-    """Answers the calls to one worker."""
+    """Handles the calls to one worker."""
 
-    def __init__(self, desk: ServedWorker) -> None:
-        self._desk = desk
+    def __init__(self, worker: ServedWorker) -> None:
+        self._worker = worker
 
     async def handle(self, request: Request) -> Response:
-        """Answer one call."""
-        if request.headers.get(INSTANCE_HEADER.lower()) != self._desk.worker_id:
+        """Handle one call."""
+        if request.headers.get(INSTANCE_HEADER.lower()) != self._worker.worker_id:
             return Response(421)
         try:
             return await self._route(request)
@@ -181,18 +181,18 @@
             return self._start(from_json(request.body, StartBody))
         if request.path == paths.STOP:
             stop = from_json(request.body, StopBody)
-            self._desk.stop(stop.task, stop.run, stop.fence)
+            self._worker.stop(stop.task, stop.run, stop.fence)
             return self._answer(200)
         if request.path == "/api/pace":
             pace = from_json(request.body, PaceBody)
-            self._desk.pace(pace.task, pace.run, pace.percent, pace.fence)
+            self._worker.pace(pace.task, pace.run, pace.percent, pace.fence)
             return self._answer(200)
         if request.path == paths.HOLD:
             return await self._hold(from_json(request.body, HoldBody))
         return Response(404)
 
     def _start(self, body: StartBody) -> Response:
-        reply = self._desk.start(
+        reply = self._worker.start(
             StartOrder(
                 body.task,
                 body.run,
@@ -208,7 +208,7 @@
         return self._answer(409, _REASONS.get(reply.refusal, reply.refusal.value))
 
     async def _hold(self, body: HoldBody) -> Response:
-        report = await self._desk.hold(
+        report = await self._worker.hold(
             body.fence, body.deadline_ms, body.last_seen, body.wait_ms / 1000
         )
         running = [
@@ -219,11 +219,11 @@
             EndedRow(end.number, end.task, end.run, end.how.value, end.saved)
             for end in report.ended
         ]
-        born = self._desk.started_ms or msgspec.UNSET
+        born = self._worker.started_ms or msgspec.UNSET
         return Response(200, to_json(ReportBody(report.clock_ms, running, ended, born)))
 
     def _answer(self, status: int, reason: str = "") -> Response:
-        return Response(status, to_json(OrderAnswer(self._desk.clock_ms(), reason)))
+        return Response(status, to_json(OrderAnswer(self._worker.clock_ms(), reason)))
 
 
 def _row(item: Item) -> KeyRow:
--- a/src/saddlestack/platform/kv.py
+++ b/src/saddlestack/platform/kv.py
@@ -44,7 +44,8 @@
 
 CALL_TIMEOUT_S = 1.0
 SENT_BYTES_S = 1_000_000
-"""A write may take longer by what it takes to send: 10 Mbit/s carry 1.25 MB a second."""
+"""Rate assumed for sending a write, whose time is added to the timeout: a link of 10 Mbit/s carries
+1.25 MB per second."""
 LIST_TIMEOUT_S = 3.0
 WATCH_SLACK_S = 1.0
 MAX_WAIT_MS = 30_000
@@ -52,7 +53,10 @@
 
 
 class KvStore:
-    """Client of the platform's store. Counts its calls in :attr:`calls`."""
+    """Client of the platform's store.
+
+    :ivar calls: number of calls made.
+    """
 
     def __init__(self, address: str, port: int, *, dialer: Dialer | None = None) -> None:
         self._http = HttpClient(address, port, dialer=dialer)
@@ -63,14 +67,18 @@
         self._http.reconnect()
 
     async def get(self, key: str) -> Item:
-        """A key; revision 0 where it is absent."""
+        """Read a key; its revision is 0 if it is absent."""
         response = await self._read(f"/api/kv-key?{urlencode({'key': key})}", CALL_TIMEOUT_S)
         if response.status == 404:
             return Item(key, b"", 0)
-        return _item(_expect(response, KeyRow))
+        return _decode_item(_decode(response, KeyRow))
 
     async def list(self, prefix: str) -> Listing:
-        """All keys under a prefix, page by page; changes since the first page are to be watched."""
+        """Read all keys under a prefix, page by page.
+
+        The listing has the revision of its first page, so that a watch from it returns every
+        change made while later pages were read.
+        """
         items: list[Item] = []
         after = ""
         revision: int | None = None
@@ -79,8 +87,8 @@
             if after:
                 query["after-rev"] = after
             response = await self._read(f"/api/kv-range?{urlencode(query)}", LIST_TIMEOUT_S)
-            page = _expect(response, RangePage)
-            items += [_item(item) for item in page.items]
+            page = _decode(response, RangePage)
+            items += [_decode_item(item) for item in page.items]
             if revision is None:
                 revision = page.at
             if not page.more or not page.items:
@@ -88,17 +96,24 @@
             after = page.items[-1].key
 
     async def watch(self, prefix: str, after: int, wait_s: float) -> Listing:
-        """Changes after a revision; removed keys have revision 0."""
+        """Wait for changes after a revision; removed keys have revision 0.
+
+        :raises HistoryGone: the store no longer has the changes after that revision.
+        """
         wait_ms = min(MAX_WAIT_MS, round(wait_s * 1000))
         query = urlencode({"path-prefix": prefix, "after-rev": after, "wait-ms": wait_ms})
         response = await self._read(f"/api/kv-watch?{query}", wait_s + WATCH_SLACK_S)
         if response.status == 410:
             raise HistoryGone(prefix)
-        events = _expect(response, WatchPage)
-        return Listing(tuple(_item(event) for event in events.events), events.at)
+        events = _decode(response, WatchPage)
+        return Listing(tuple(_decode_item(event) for event in events.events), events.at)
 
     async def transact(self, transaction: Transaction) -> Committed | Conflict:
-        """Make changes all together."""
+        """Apply changes atomically.
+
+        :raises LeaseExpired: a lease of the changes has ended.
+        :raises WriteInDoubt: the changes may or may not have been made.
+        """
         body = TransactionBody(
             expect=[ExpectedRow(key, revision) for key, revision in transaction.expect],
             put=[
@@ -107,46 +122,49 @@
             ],
             delete=list(transaction.deletes),
         )
-        sent_s = sum(len(row.value) for row in body.put) / SENT_BYTES_S
-        response = await self._write("POST", paths.TRANSACTION, body, CALL_TIMEOUT_S + sent_s)
+        sending_s = sum(len(row.value) for row in body.put) / SENT_BYTES_S
+        response = await self._write("POST", paths.TRANSACTION, body, CALL_TIMEOUT_S + sending_s)
         if response.status == 412:
-            conflict = _written(response, ConflictBody)
-            return Conflict(tuple(_item(item) for item in conflict.items))
+            conflict = _decode_written(response, ConflictBody)
+            return Conflict(tuple(_decode_item(item) for item in conflict.items))
         if response.status == 404:
             raise LeaseExpired
-        _check(response)
-        return Committed(_written(response, CommittedBody).rev)
+        _check_status(response)
+        return Committed(_decode_written(response, CommittedBody).rev)
 
     async def grant_lease(self, ttl_s: float) -> tuple[int, float]:
-        """A new lease and the seconds it lasts."""
+        """Create a lease; returns its number and its duration in seconds."""
         request = LeaseRequest(round(ttl_s * 1000))
         try:
             response = await self._write("POST", "/api/kv-lease", request)
         except WriteInDoubt as error:
             raise StoreUnavailable(str(error)) from error
-        lease = _expect(response, LeaseBody)
+        lease = _decode(response, LeaseBody)
         return lease.lease, lease.ttl_ms / 1000
 
     async def renew_lease(self, lease: int) -> None:
-        """Renew a lease."""
-        await self._on_lease("POST", f"{paths.KEEP_LEASE}{lease}")
+        """Renew a lease.
+
+        :raises LeaseExpired: the lease has ended.
+        """
+        await self._lease_request("POST", f"{paths.KEEP_LEASE}{lease}")
 
     async def end_lease(self, lease: int) -> None:
-        """End a lease and its keys."""
-        await self._on_lease("DELETE", f"/api/kv-lease-end/{lease}")
+        """End a lease and delete its keys."""
+        await self._lease_request("DELETE", f"/api/kv-lease-end/{lease}")
 
     def close(self) -> None:
         """Close all connections."""
         self._http.close()
 
-    async def _on_lease(self, method: str, path: str) -> None:
+    async def _lease_request(self, method: str, path: str) -> None:
         try:
             response = await self._write(method, path, None)
         except WriteInDoubt as error:
             raise StoreUnavailable(str(error)) from error
         if response.status == 404:
             raise LeaseExpired
-        _check(response)
+        _check_status(response)
 
     async def _read(self, path: str, timeout: float) -> Response:
         self.calls += 1
@@ -167,35 +185,35 @@
             raise WriteInDoubt(str(error)) from error
 
 
-def _item(item: KeyRow) -> Item:
+def _decode_item(item: KeyRow) -> Item:
     if item.gone or item.rev == 0:
         return Item(item.key, b"", 0)
-    return Item(item.key, _bytes(item.value), item.rev)
+    return Item(item.key, _decode_value(item.value), item.rev)
 
 
-def _bytes(text: str) -> bytes:
-    """What a value in base64 holds; nothing where it is none, so that one key spoils no page."""
+def _decode_value(text: str) -> bytes:
+    """Decode a base64 value; empty if it is invalid, so that one bad key does not fail a page."""
     try:
         return base64.b64decode(text, validate=True)
     except (binascii.Error, ValueError):
         return b""
 
 
-def _check(response: Response) -> None:
+def _check_status(response: Response) -> None:
     if response.status not in {200, 204}:
         raise StoreUnavailable(f"answered {response.status}")
 
 
-def _expect(response: Response, kind: type[T]) -> T:
-    _check(response)
+def _decode(response: Response, kind: type[T]) -> T:
+    _check_status(response)
     try:
         return from_json(response.body, kind, ANSWER)
     except SaddlestackError as error:
         raise StoreUnavailable(str(error)) from error
 
 
-def _written(response: Response, kind: type[T]) -> T:
-    """What a write was answered; an answer that cannot be read does not tell whether it is done."""
+def _decode_written(response: Response, kind: type[T]) -> T:
+    """Decode the answer to a write; if it is unreadable, the write may or may not be done."""
     try:
         return from_json(response.body, kind, ANSWER)
     except SaddlestackError as error:
--- a/src/saddlestack/platform/machines.py
+++ b/src/saddlestack/platform/machines.py
@@ -55,13 +55,16 @@
 
 
 class HttpMachines:
-    """Orders about machines, over kept connections."""
+    """Client of the platform's machine interface, over a persistent connection."""
 
     def __init__(self, address: str, port: int, *, dialer: Dialer | None = None) -> None:
         self._http = HttpClient(address, port, dialer=dialer, max_idle=1)
 
     async def upkeep(self, machine: str, wave: int, holder: str, fence: int) -> UpkeepOutcome:
-        """Take a machine down for its upkeep."""
+        """Take a machine down for its upkeep.
+
+        :raises MachinesUnavailable: no valid answer; the order may have been carried out.
+        """
         try:
             response = await self._http.request(
                 "POST",
@@ -86,17 +89,25 @@
 
 
 class HttpAdviser:
-    """Calls for advice, over one kept connection."""
+    """Client of the adviser, over one persistent connection."""
 
     def __init__(self, address: str, port: int, *, dialer: Dialer | None = None) -> None:
         self._http = HttpClient(address, port, dialer=dialer, max_idle=1)
 
     async def advise(self, step: str, workers: tuple[str, ...]) -> tuple[Leave, ...]:
-        """The workers among these that may run a step; the adviser knows them by id."""
-        lives = {worker_id_of(life): life for life in workers}
+        """Return the adviser's approvals of workers for a step.
+
+        The adviser is given worker IDs; its answers are mapped back to incarnation names.
+
+        :raises AdviserUnavailable: no valid answer.
+        """
+        incarnations = {worker_id_of(name): name for name in workers}
         try:
             response = await self._http.request(
-                "POST", "/api/advise", _Question(step, tuple(lives)), timeout=ADVICE_TIMEOUT_S
+                "POST",
+                "/api/advise",
+                _Question(step, tuple(incarnations)),
+                timeout=ADVICE_TIMEOUT_S,
             )
             if response.status != 200:
                 raise AdviserUnavailable(f"answered {response.status}")
@@ -104,5 +115,5 @@
         except (NotSent, AnswerLost, SaddlestackError) as error:
             raise AdviserUnavailable(str(error)) from error
         valid_s = advice.valid_ms / 1000
-        good = [row for row in advice.good if row.worker in lives]
-        return tuple(Leave(lives[row.worker], row.ticket, valid_s) for row in good)
+        good = [row for row in advice.good if row.worker in incarnations]
+        return tuple(Leave(incarnations[row.worker], row.ticket, valid_s) for row in good)
--- a/src/saddlestack/platform/messages.py
+++ b/src/saddlestack/platform/messages.py
@@ -1,4 +1,4 @@
-"""The messages of the platform's store and workers, as they travel in JSON bodies.
+"""JSON bodies of the platform's store and workers.
 
 See the platform's protocol page. Clients and stand-ins share them.
 """
@@ -11,7 +11,7 @@
 
 
 class KeyRow(msgspec.Struct):
-    """A key of the store; ``gone`` where a watch tells that it was removed."""
+    """A key of the store; ``gone`` if a watch reports that it was removed."""
 
     key: str
     value: str = ""
@@ -50,7 +50,7 @@
 
 
 class TransactionBody(msgspec.Struct, rename={"expect": "expect-rev"}):
-    """Changes to be made all together."""
+    """Changes to be made atomically."""
 
     expect: list[ExpectedRow]
     put: list[PutRow]
@@ -58,19 +58,19 @@
 
 
 class CommittedBody(msgspec.Struct):
-    """The revision of a transaction that was done."""
+    """The revision of a committed transaction."""
 
     rev: int
 
 
 class ConflictBody(msgspec.Struct):
-    """The expected keys as they are, where a transaction was refused."""
+    """The current state of the expected keys, if a transaction conflicts."""
 
     items: list[KeyRow] = []
 
 
 class LeaseRequest(msgspec.Struct):
-    """Asks for a lease."""
+    """Requests a lease."""
 
     ttl_ms: int
 
@@ -103,7 +103,7 @@
 
 
 class PaceBody(msgspec.Struct):
-    """Lets a run work at a share of its speed."""
+    """Limits a run to a percentage of its full speed."""
 
     task: str
     run: int
@@ -112,7 +112,7 @@
 
 
 class HoldBody(msgspec.Struct, rename="kebab", omit_defaults=True):
-    """Renews the lease, acknowledges ends, and looks."""
+    """Renews the lease, acknowledges ends, and polls the worker."""
 
     fence: int
     last_seen: int
@@ -148,7 +148,7 @@
 
 
 class ReportBody(msgspec.Struct, rename="kebab"):
-    """Answers a look; ``born`` is left out by workers that do not tell their birth."""
+    """Answers a poll; ``born`` is omitted by workers that do not report their start time."""
 
     clock_ms: int
     running: list[RunningRow] = []
@@ -157,7 +157,7 @@
 
 
 class CapacityBody(msgspec.Struct, rename="kebab"):
-    """The room of a worker."""
+    """The capacity of a worker."""
 
     cpu: int
     mem_mb: int
@@ -165,7 +165,7 @@
 
 
 class WorkerBody(msgspec.Struct, rename="kebab"):
-    """A worker's record as the store keeps it."""
+    """A worker's record as stored."""
 
     service: str
     address: str
--- a/src/saddlestack/platform/orders.py
+++ b/src/saddlestack/platform/orders.py
@@ -1,4 +1,4 @@
-"""Orders to one worker as a :class:`saddlestack.interfaces.workers.WorkerOrders`.
+"""The platform's worker interface as a :class:`saddlestack.interfaces.workers.WorkerOrders`.
 
 See the platform's protocol page, "running tasks".
 """
@@ -44,7 +44,7 @@
 INSTANCE_HEADER = "Saddlestack-Target-Instance"
 MAX_IDLE_CONNECTIONS = 4
 MAX_ENDS_PER_REPORT = 500
-"""A worker lists no more ends in one answer; the others come when these were acknowledged."""
+"""Most ends that a worker lists in one answer; it lists the others once these are acknowledged."""
 _REFUSALS = {
     "fence": Refusal.FENCED,
     "old": Refusal.STALE,
@@ -55,18 +55,21 @@
 
 
 class HttpWorkerOrders:
-    """Orders to one life of a worker, over kept connections.
+    """Sends orders to one incarnation of a worker, over persistent connections.
 
-    Calls name the worker's id, which a later life may have as well, and only lists of runs tell
-    which life answers. So a connection to a life that tells its birth begins with a look that
-    acknowledges nothing: no order for one life, and no acknowledgement of its ends, is carried out
-    by another. That costs one call of 1 to 3 ms a connection.
+    Calls carry the worker's ID, which a later incarnation may reuse, and only the answer to a poll
+    identifies the incarnation. Each connection to an incarnation that reports its start time
+    therefore begins with a poll that acknowledges nothing, so that no other incarnation carries out
+    an order or an acknowledgement meant for this one. This costs one call of 1 to 3 ms per
+    connection.
     """
 
-    def __init__(self, life: str, address: str, port: int, *, dialer: Dialer | None = None) -> None:
+    def __init__(
+        self, incarnation: str, address: str, port: int, *, dialer: Dialer | None = None
+    ) -> None:
         self._http = HttpClient(address, port, dialer=dialer, max_idle=MAX_IDLE_CONNECTIONS)
-        self._headers = ((INSTANCE_HEADER, worker_id_of(life)),)
-        self._born = started_ms_of(life)
+        self._headers = ((INSTANCE_HEADER, worker_id_of(incarnation)),)
+        self._started_ms = started_ms_of(incarnation)
 
     async def start(self, order: StartOrder, timeout_s: float) -> StartReply:
         """Start a run."""
@@ -82,41 +85,41 @@
         response = await self._call(paths.START, body, order.fence, timeout_s)
         if response.status == 400:
             return StartReply(None, Refusal.INVALID)
-        answer = _read(response, OrderAnswer, (200, 409))
+        answer = _decode(response, OrderAnswer, (200, 409))
         if response.status == 200:
             return StartReply(answer.clock_ms, None)
         return StartReply(answer.clock_ms, _REFUSALS.get(answer.reason, Refusal.STALE))
 
     async def stop(self, task: str, run: int, fence: int, timeout_s: float) -> None:
-        """Stop a run; one that is not there yet will be refused when it comes."""
+        """Stop a run; if it has not arrived yet, the worker refuses it when it does."""
         response = await self._call(paths.STOP, StopBody(task, run, fence), fence, timeout_s)
-        _not_fenced(response)
-        _read(response, OrderAnswer, (200, 409))
+        _check_not_fenced(response)
+        _decode(response, OrderAnswer, (200, 409))
 
     async def pace(self, task: str, run: int, percent: int, fence: int, timeout_s: float) -> None:
-        """Let a run work at a share of its full speed, 0 to 100."""
+        """Limit a run to a percentage of its full speed, 0 to 100."""
         body = PaceBody(task, run, percent, fence)
         response = await self._call("/api/pace", body, fence, timeout_s)
-        _not_fenced(response)
-        _read(response, OrderAnswer, (200, 409))
+        _check_not_fenced(response)
+        _decode(response, OrderAnswer, (200, 409))
 
     async def hold(
         self, fence: int, deadline_ms: int | None, seen: int, wait_s: float, timeout_s: float
     ) -> WorkerReport:
-        """Renew the lease of what runs, acknowledge ends up to ``seen``, and look."""
+        """Renew the lease of all runs, acknowledge ends up to ``seen``, and poll the worker."""
         body = HoldBody(fence, seen, deadline_ms, round(wait_s * 1000))
         response = await self._call(paths.HOLD, body, fence, timeout_s)
-        report = self._report(response)
+        report = self._decode_report(response)
         running = tuple(
             RunningTask(r.task, r.run, r.saved, int(r.percent), r.figure) for r in report.running
         )
-        ended = tuple(_end_of(row) for row in report.ended)
+        ended = tuple(_decode_end(row) for row in report.ended)
         return WorkerReport(
             report.clock_ms,
             running,
             ended,
             more=len(ended) >= MAX_ENDS_PER_REPORT,
-            born=_born(report),
+            born=_started_ms(report),
         )
 
     def close(self) -> None:
@@ -137,58 +140,60 @@
             raise WorkerNotReached(str(error)) from error
         except AnswerLost as error:
             raise WorkerUnreachable(str(error)) from error
-        _taken(response)
+        _check_accepted(response)
         return response
 
     def _connection_check(self, fence: int) -> ConnectionCheck | None:
-        """Learns which life a connection leads to, where lives tell their birth."""
-        if not self._born:
+        """The check of a new connection's incarnation; ``None`` if its start time is unknown."""
+        if not self._started_ms:
             return None
-        return ConnectionCheck("POST", paths.HOLD, HoldBody(fence, last_seen=0), self._check)
+        return ConnectionCheck(
+            "POST", paths.HOLD, HoldBody(fence, last_seen=0), self._check_incarnation
+        )
 
-    def _check(self, response: Response) -> None:
-        """Check the first look on a connection.
+    def _check_incarnation(self, response: Response) -> None:
+        """Check the answer to the first poll on a connection.
 
-        :raises WorkerNotReached: it tells nothing, and what was to follow it never left.
+        :raises WorkerNotReached: the answer is unusable; the order that was to follow was not sent.
         """
-        _taken(response)
+        _check_accepted(response)
         try:
-            self._report(response)
+            self._decode_report(response)
         except WorkerUnreachable as error:
             raise WorkerNotReached(str(error)) from error
 
-    def _report(self, response: Response) -> ReportBody:
-        """What the life lists.
+    def _decode_report(self, response: Response) -> ReportBody:
+        """Decode the answer to a poll and check who sent it.
 
-        :raises WorkerReplaced: it is another life.
+        :raises WorkerReplaced: another incarnation answered.
         """
-        _not_fenced(response)
-        report = _read(response, ReportBody, (200,))
-        check_start_time(self._born, _born(report))
+        _check_not_fenced(response)
+        report = _decode(response, ReportBody, (200,))
+        check_start_time(self._started_ms, _started_ms(report))
         return report
 
 
-def check_start_time(known: int, told: int) -> None:
-    """Check that a list of runs is that of the life that was asked for.
+def check_start_time(expected_ms: int, reported_ms: int) -> None:
+    """Check that a poll was answered by the expected incarnation.
 
-    :param known: when that life was born, in milliseconds since 1970; 0 where it does not tell.
-    :param told: the same, as the list tells it.
-    :raises WorkerReplaced: it is another life's.
-    :raises WorkerUnreachable: one of the two tells no birth, which tells nothing of the life: its
-        record may be another writer's.
+    :param expected_ms: its start time, in milliseconds since 1970; 0 if it reports none.
+    :param reported_ms: the start time in the answer.
+    :raises WorkerReplaced: another incarnation answered.
+    :raises WorkerUnreachable: only one of the two start times is known. This does not identify the
+        incarnation, since the record with the expected one may come from another writer.
     """
-    if known == told:
+    if expected_ms == reported_ms:
         return
-    if known and told:
+    if expected_ms and reported_ms:
         raise WorkerReplaced
-    raise WorkerUnreachable("a birth is told where none was, or none where one was")
+    raise WorkerUnreachable("only one of the expected and the reported start time is known")
 
 
-def _taken(response: Response) -> None:
-    """Check that a call was taken by a worker that goes by the id.
+def _check_accepted(response: Response) -> None:
+    """Check that a worker with the expected ID accepted a call.
 
-    :raises WorkerReplaced: another worker answers.
-    :raises WorkerBusy: it is unhealthy.
+    :raises WorkerReplaced: a worker with another ID answered.
+    :raises WorkerBusy: the worker is unhealthy.
     """
     if response.status == 421:
         raise WorkerReplaced
@@ -196,14 +201,14 @@
         raise WorkerBusy(f"answered {response.status}")
 
 
-def _born(report: ReportBody) -> int:
+def _started_ms(report: ReportBody) -> int:
     return 0 if isinstance(report.born, msgspec.UnsetType) else report.born
 
 
-def _end_of(row: EndedRow) -> EndedTask:
-    """An end that a worker lists.
+def _decode_end(row: EndedRow) -> EndedTask:
+    """Decode an end that a worker lists.
 
-    :raises WorkerUnreachable: it tells of an end that there is not: the answer cannot be read.
+    :raises WorkerUnreachable: the kind of the end is unknown, so the answer is unreadable.
     """
     try:
         return EndedTask(row.number, row.task, row.run, EndKind(row.how), row.saved)
@@ -211,12 +216,12 @@
         raise WorkerUnreachable(str(error)) from error
 
 
-def _not_fenced(response: Response) -> None:
-    if response.status == 409 and _read(response, OrderAnswer, (409,)).reason == "fence":
+def _check_not_fenced(response: Response) -> None:
+    if response.status == 409 and _decode(response, OrderAnswer, (409,)).reason == "fence":
         raise WorkerFenced
 
 
-def _read(response: Response, kind: type[T], statuses: tuple[int, ...]) -> T:
+def _decode(response: Response, kind: type[T], statuses: tuple[int, ...]) -> T:
     if response.status not in statuses:
         raise WorkerUnreachable(f"answered {response.status}")
     try:
--- a/src/saddlestack/platform/paths.py
+++ b/src/saddlestack/platform/paths.py
@@ -1,4 +1,4 @@
-"""Paths of the platform's calls, for both sides of them. See the platform's protocol page."""
+"""Paths of the platform's calls, for clients and stand-ins. See the platform's protocol page."""
 
 from __future__ import annotations
 
@@ -7,5 +7,5 @@
 HOLD = "/api/hold"
 TRANSACTION = "/api/kv-txn"
 KEEP_LEASE = "/api/kv-keep/"
-"""A lease's number follows."""
+"""Followed by the number of the lease."""
 READY = "/api/ready"
--- a/src/saddlestack/platform/store.py
+++ b/src/saddlestack/platform/store.py
@@ -1,8 +1,8 @@
-"""Client of the platform's key-value store: compare-and-swap, watches, and doubt.
+"""Client of the platform's key-value store: compare-and-swap, watches, and writes in doubt.
 
-A write that was not answered may have taken effect. :meth:`StoreClient.swap` says so with
-:class:`WriteInDoubt`; callers read back and compare the writer and sequence they put into
-every value. Every call counts against the VM's share of the store's rates.
+A write without an answer may have taken effect. :meth:`StoreClient.swap` then raises
+:class:`WriteInDoubt`; callers read the key back and compare the writer and sequence that they put
+into every value. Every call counts against the VM's share of the store's rate limits.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 MAX_VALUE = 1_000_000
 CALL_TIMEOUT_S = 2.0
 BUDGET_SHARE = 0.8
-"""How much of the store's rates saddlestack plans to use at most."""
+"""Largest share of the store's rate limits that saddlestack uses."""
 
 
 class StoreUnavailable(Exception):
-    """The store did not take the call: nothing was written."""
+    """The store did not accept the call: nothing was written."""
 
 
 class WriteInDoubt(Exception):
@@ -72,13 +72,18 @@
 
 
 class SwapReply(msgspec.Struct):
-    """The version that a write made."""
+    """The key's version after a write."""
 
     version: int
 
 
 class StoreClient:
-    """The platform's store, within this VM's share of its rates."""
+    """Client of the platform's store that stays within this VM's share of its rate limits.
+
+    :ivar available: whether the store served the last call, or only limited its rate.
+    :ivar calls: number of calls made.
+    :ivar writes: number of writes made.
+    """
 
     def __init__(
         self,
@@ -98,31 +103,31 @@
         self.writes = 0
 
     def share_among(self, members: int) -> None:
-        """Take an equal share of the store's rates among the live VMs."""
+        """Set the number of live VMs that share the store's rate limits equally."""
         share = BUDGET_SHARE / max(members, 1)
         self._writes.configure(STORE_WRITES_S * share, max(2.0, STORE_WRITES_S * share))
         self._reads.configure(STORE_READS_S * share, max(10.0, STORE_READS_S * share))
 
     async def get(self, key: str) -> Entry:
-        """A key's value; version 0 where it is absent.
+        """Read a key; its version is 0 if it is absent.
 
         :raises StoreUnavailable: the store did not answer.
         """
         response = await self._read(f"/v1/kv/{quote(key, safe='')}", CALL_TIMEOUT_S)
         if response.status == 404:
             return Entry(key, b"", 0)
-        return _entry(from_json(response.body, KeyValue))
+        return _decode_entry(from_json(response.body, KeyValue))
 
     async def range(self, prefix: str) -> list[Entry]:
-        """All keys under a prefix, in one call.
+        """Read all keys under a prefix, in one call.
 
         :raises StoreUnavailable: the store did not answer.
         """
         response = await self._read(f"/v1/range?prefix={quote(prefix, safe='')}", CALL_TIMEOUT_S)
-        return [_entry(entry) for entry in from_json(response.body, KeyValues).entries]
+        return [_decode_entry(entry) for entry in from_json(response.body, KeyValues).entries]
 
     async def watch(self, key: str, after: int, wait: float) -> Entry | None:
-        """Wait until a key's version is above ``after``; ``None`` when time is up.
+        """Wait until a key's version is above ``after``; ``None`` after ``wait`` seconds.
 
         :raises StoreUnavailable: the store did not answer.
         """
@@ -130,19 +135,19 @@
         response = await self._read(path, wait + CALL_TIMEOUT_S)
         if response.status == 204:
             return None
-        return _entry(from_json(response.body, KeyValue))
+        return _decode_entry(from_json(response.body, KeyValue))
 
     async def swap(self, key: str, value: bytes, expect: int) -> int:
         """Write a key if its version is the expected one.
 
         :return: the new version.
-        :raises VersionMoved: it was another.
+        :raises VersionConflict: the key has another version.
         :raises StoreUnavailable: nothing was written.
         :raises WriteInDoubt: it may have been written.
         """
         if len(value) > MAX_VALUE:
             raise SaddlestackError(ErrorKind.TOO_LARGE, f"{key}: over {MAX_VALUE} bytes")
-        await self._within(self._writes)
+        await self._acquire(self._writes)
         self.calls += 1
         self.writes += 1
         body = SwapBody(base64.b64encode(value).decode(), expect)
@@ -156,7 +161,7 @@
         except AnswerLost as error:
             self.available = False
             raise WriteInDoubt(str(error)) from error
-        return self._swapped(response)
+        return self._decode_swap(response)
 
     @property
     def bytes(self) -> int:
@@ -168,7 +173,7 @@
         self._http.close()
 
     async def _read(self, path: str, timeout: float) -> Response:
-        await self._within(self._reads)
+        await self._acquire(self._reads)
         self.calls += 1
         try:
             response = await self._http.request("GET", path, timeout=timeout)
@@ -176,28 +181,28 @@
             self.available = False
             raise StoreUnavailable(str(error)) from error
         if response.status not in {200, 204, 404}:
-            self._note(response)
+            self._update_available(response)
             raise StoreUnavailable(error_from_response(response).message)
         self.available = True
         return response
 
-    def _swapped(self, response: Response) -> int:
+    def _decode_swap(self, response: Response) -> int:
         if response.status == 409:
             self.available = True
             raise VersionConflict
         if response.status != 200:
-            self._note(response)
+            self._update_available(response)
             raise StoreUnavailable(error_from_response(response).message)
         self.available = True
         return from_json(response.body, SwapReply).version
 
-    def _note(self, response: Response) -> None:
+    def _update_available(self, response: Response) -> None:
         self.available = response.status == 429
 
-    async def _within(self, budget: TokenBucket) -> None:
+    async def _acquire(self, budget: TokenBucket) -> None:
         while not budget.take(self._clock.now()):
             await asyncio.sleep(budget.wait(self._clock.now()))
 
 
-def _entry(entry: KeyValue) -> Entry:
+def _decode_entry(entry: KeyValue) -> Entry:
     return Entry(entry.key, base64.b64decode(entry.value), entry.version)
--- a/src/saddlestack/platform/vms.py
+++ b/src/saddlestack/platform/vms.py
@@ -1,4 +1,4 @@
-"""Client of the platform's list of VMs, which lags behind."""
+"""Client of the platform's list of VMs, which lags behind the actual state."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
     """One VM as the platform lists it.
 
     :param role: ``entry`` or ``endpoint``.
-    :param port: where it serves HTTP.
-    :param peer_port: where an entry VM accepts peer streams; 0 for endpoints.
-    :param leaving: whether it is to receive no new work.
+    :param port: its HTTP port.
+    :param peer_port: port on which an entry VM accepts peer streams; 0 for endpoints.
+    :param leaving: whether it must receive no new work.
     """
 
     name: str
@@ -30,14 +30,14 @@
 
 
 class VmList(msgspec.Struct):
-    """The list, with the platform's version of it."""
+    """The list of VMs and its version."""
 
     version: int
     vms: list[VmEntry]
 
 
 class VmListUnavailable(Exception):
-    """The platform did not answer; the last list stays in use."""
+    """The platform did not answer; callers keep using the last list."""
 
 
 class VmListClient:
@@ -49,11 +49,11 @@
         self._http = HttpClient(address, port, dialer=dialer, token=token)
 
     async def read(self, data_hall: str, after: int) -> VmList | None:
-        """The list as the platform knows it now, or ``None`` where it has not changed.
+        """Read the current list, or ``None`` if it has not changed.
 
-        :param data_hall: endpoints of this hall only, to keep the answer small.
-        :param after: the version last seen, -1 where none was.
-        :raises VmListUnavailable: no answer.
+        :param data_hall: list only the endpoints of this hall, to keep the answer small.
+        :param after: the last version received, or -1.
+        :raises VmListUnavailable: no valid answer.
         """
         path = f"/v1/vms?data_hall={data_hall}"
         if after >= 0:
--- a/src/saddlestack/services/ownership.py
+++ b/src/saddlestack/services/ownership.py
@@ -199,7 +199,7 @@
     async def _raise_term(self, cell: str) -> int:
         """Raise the cell's term in our name.
 
-        :raises VersionMoved: somebody else was first.
+        :raises VersionConflict: somebody else was first.
         :raises StoreUnavailable: the store does not answer.
         """
         key = f"cells/{cell}"
--- a/src/saddlestack/wire/__init__.py
+++ b/src/saddlestack/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Transport: HTTP by h11 and msgpack streams, with typed messages."""
+"""Transport: HTTP with h11, and msgpack streams with typed messages."""
--- a/src/saddlestack/wire/dialer.py
+++ b/src/saddlestack/wire/dialer.py
@@ -1,4 +1,4 @@
-"""Opening connections. One small class, so that tests can put a faulty network in its place."""
+"""Opens TCP connections. A class of its own, so that tests can replace it by a faulty network."""
 
 from __future__ import annotations
 
@@ -12,11 +12,14 @@
     """The reading side of a connection."""
 
     async def read(self, size: int) -> bytes:
-        """Up to ``size`` bytes; empty at the end."""
+        """Read up to ``size`` bytes; empty at the end of the stream."""
         ...
 
     async def readexactly(self, size: int) -> bytes:
-        """Exactly ``size`` bytes, or :class:`asyncio.IncompleteReadError`."""
+        """Read exactly ``size`` bytes.
+
+        :raises asyncio.IncompleteReadError: the stream ended before.
+        """
         ...
 
 
@@ -28,7 +31,7 @@
         ...
 
     async def drain(self) -> None:
-        """Wait until the other side keeps up."""
+        """Wait until the write buffer has room again."""
         ...
 
     def close(self) -> None:
@@ -37,12 +40,12 @@
 
 
 class Dialer:
-    """Opens TCP connections by IP number."""
+    """Opens TCP connections to IP addresses."""
 
     async def open(
         self, address: str, port: int, timeout: float = CONNECT_TIMEOUT_S
     ) -> tuple[Reader, Writer]:
-        """Connect.
+        """Open a connection.
 
         :raises OSError: refused, unreachable or timed out.
         """
--- a/src/saddlestack/wire/http.py
+++ b/src/saddlestack/wire/http.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 by h11: a small server and a client with kept connections."""
+"""HTTP/1.1 with h11: a small server and a client with a connection pool."""
 
 from __future__ import annotations
 
@@ -28,8 +28,8 @@
 MAX_CONNECTIONS = 4096
 MAX_IDLE_CONNECTIONS = 64
 WRITE_TIMEOUT_S = 10.0
-"""A client that takes in nothing of an answer for so long is gone; as long as it may take to send
-its headers."""
+"""A client that reads nothing of a response for this long is considered gone. It is as long as a
+client may take to send its headers."""
 
 
 @dataclass(slots=True)
@@ -71,7 +71,7 @@
 
 @dataclass(slots=True)
 class Response:
-    """An answer: status, body and further headers."""
+    """A response: status, body and additional headers."""
 
     status: int = 200
     body: bytes = b""
@@ -83,7 +83,7 @@
 
 
 def json_response(value: object, status: int = 200) -> Response:
-    """An answer that carries a model as JSON.
+    """Build a response with a model encoded as JSON.
 
     :rtype: Response
     """
@@ -91,7 +91,7 @@
 
 
 def error_response(error: SaddlestackError) -> Response:
-    """The answer for an error, as the table of kinds says.
+    """Build the response for an error, with the status of its kind.
 
     :rtype: Response
     """
@@ -113,7 +113,7 @@
 class HttpServer:
     """Serves requests on one address; each connection is a task of its own.
 
-    :param max_body: bytes a request's body may have.
+    :param max_body: maximum size of a request's body, in bytes.
     :param max_connections: connections beyond this are closed at once.
     """
 
@@ -135,17 +135,17 @@
         self.port = 0
 
     async def start(self, address: str, port: int) -> None:
-        """Listen; port 0 takes a free one, found in :attr:`port` afterwards."""
+        """Listen; port 0 selects a free port, which :attr:`port` then holds."""
         self._server = await asyncio.start_server(self._accept, address, port, backlog=1024)
         self.port = self._server.sockets[0].getsockname()[1]
 
     @property
     def active_requests(self) -> int:
-        """Requests in hand."""
+        """Number of requests in progress."""
         return self._active_requests
 
     async def drain(self) -> None:
-        """Take no new connections and wait until every request in hand is answered."""
+        """Accept no new connections and wait until every request in progress is answered."""
         self._closing = True
         if self._server is not None:
             self._server.close()
@@ -153,12 +153,12 @@
             await asyncio.sleep(0.02)
 
     async def stop(self) -> None:
-        """Close everything."""
+        """Close all sockets and cancel all requests."""
         self.abort()
         await self._tasks.cancel()
 
     def abort(self) -> None:
-        """Close all sockets at once, as when the process dies."""
+        """Close all sockets immediately, as if the process had died."""
         self._closing = True
         if self._server is not None:
             self._server.close()
@@ -196,7 +196,7 @@
             await self._answer(connection, writer, error_response(error), last=True)
             return False
         except h11.RemoteProtocolError as error:
-            await self._refuse(connection, writer, error)
+            await self._reject(connection, writer, error)
             return False
         if request is None:
             return False
@@ -227,8 +227,8 @@
         while True:
             event = connection.next_event()
             if event is h11.NEED_DATA:
-                limit = IDLE_TIMEOUT_S if head is None else HEADER_TIMEOUT_S
-                async with asyncio.timeout(limit):
+                timeout = IDLE_TIMEOUT_S if head is None else HEADER_TIMEOUT_S
+                async with asyncio.timeout(timeout):
                     connection.receive_data(await reader.read(READ_SIZE))
             elif isinstance(event, h11.Request):
                 head = event
@@ -239,11 +239,11 @@
                         ErrorKind.TOO_LARGE, f"the body is over {self._max_body} bytes"
                     )
             elif isinstance(event, h11.EndOfMessage) and head is not None:
-                return _request(head, bytes(body))
+                return _build_request(head, bytes(body))
             else:
                 return None
 
-    async def _refuse(
+    async def _reject(
         self,
         connection: h11.Connection,
         writer: asyncio.StreamWriter,
@@ -277,7 +277,7 @@
             await writer.drain()
 
 
-def _request(head: h11.Request, body: bytes) -> Request:
+def _build_request(head: h11.Request, body: bytes) -> Request:
     target = urlsplit(head.target.decode("ascii"))
     query = {name: values[-1] for name, values in parse_qs(target.query).items()}
     headers = {name.decode(): value.decode("latin-1") for name, value in head.headers}
@@ -286,11 +286,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionCheck:
-    """What is asked first on each connection, to learn who answers there.
+    """First request on each new connection, which verifies the server's identity.
 
-    A connection ends with the process that it leads to, so the answer holds for all of it.
+    A connection ends with the server's process, so the result holds for the whole connection.
 
-    :param check: takes the answer; what it raises ends the call, which is then not sent.
+    :param check: called with the response; if it raises, the caller's request is not sent.
     """
 
     method: str
@@ -300,22 +300,24 @@
 
 
 class NotSent(Exception):
-    """No byte of the request left, though its opening may have: it was truly not run."""
+    """No byte of the request was sent, so it was not run; the connection check may have been."""
 
 
 class AnswerLost(Exception):
-    """The request may have arrived; its answer did not, or not whole."""
+    """The request may have arrived; its response did not, or is incomplete."""
 
 
 class HttpClient:
-    """A client for one server, with kept connections.
+    """A client for one server, with a pool of idle connections.
 
-    Connections may go silent for good while new ones work. A call that is not answered, or that its
-    caller gives up, therefore closes all kept connections that were not heard since it was sent:
-    silence costs one call's time-out, not one a kept connection. ``bytes`` counts what was sent and
-    received.
+    Open connections may become unresponsive for good while new ones work. A call that is not
+    answered, or that its caller cancels, therefore closes all idle connections on which nothing was
+    received since it was sent: the failure then costs the timeout of one call, not one timeout per
+    idle connection.
 
     :param token: bearer token, or ``None``.
+    :param max_idle: maximum number of idle connections.
+    :ivar bytes: bytes sent and received.
     """
 
     def __init__(
@@ -350,38 +352,38 @@
         """Send a request and read the whole answer.
 
         :param body: a model, sent as JSON, or ``None``.
-        :param timeout: seconds for the whole exchange, the opening included.
-        :param headers: sent besides the usual ones.
-        :param host: the host that is asked for, where it is not the address.
-        :param connection_check: sent before the request on a connection that was not checked yet.
-        :raises NotSent: nothing left, or nothing but the opening.
-        :raises AnswerLost: the answer did not come, or not whole.
+        :param timeout: seconds for the whole exchange, including the connection check.
+        :param headers: additional headers.
+        :param host: value of the ``Host`` header, if it is not the address.
+        :param connection_check: sent before the request on a connection that is not checked yet.
+        :raises NotSent: nothing was sent, or only the connection check.
+        :raises AnswerLost: no response arrived, or an incomplete one.
         """
         connection = await self._connect(timeout)
         sent = _now()
-        asked = answered = False
+        sending = answered = False
         try:
             async with asyncio.timeout(timeout):
                 if connection_check is not None and not connection.checked:
-                    await self._open_with(connection, connection_check, headers, host)
-                asked = True
+                    await self._check_connection(connection, connection_check, headers, host)
+                sending = True
                 response = await connection.exchange(
                     self._encode(method, path, body, headers, host)
                 )
-            self.bytes += connection.count()
+            self.bytes += connection.take_byte_count()
             answered = True
         except (OSError, TimeoutError, h11.ProtocolError) as error:
             reason = f"{method} {path}: {type(error).__name__}"
-            raise (AnswerLost(reason) if asked else NotSent(reason)) from error
+            raise (AnswerLost(reason) if sending else NotSent(reason)) from error
         finally:
-            self._keep(connection)
+            self._release(connection)
             if not answered:
-                self._drop_unheard(sent)
+                self._drop_unresponsive(sent)
         return response
 
     def reconnect(self) -> None:
-        """Use new connections from now on."""
-        self._drop_unheard(math.inf)
+        """Close idle connections, so that later requests open new ones."""
+        self._drop_unresponsive(math.inf)
 
     def close(self) -> None:
         """Close all connections."""
@@ -393,7 +395,7 @@
     async def _connect(self, timeout: float) -> _Connection:
         while self._idle:
             connection = self._idle.pop()
-            if connection.usable:
+            if connection.is_usable:
                 return connection
             self._open.discard(connection)
         try:
@@ -404,7 +406,7 @@
         self._open.add(connection)
         return connection
 
-    async def _open_with(
+    async def _check_connection(
         self,
         connection: _Connection,
         connection_check: ConnectionCheck,
@@ -416,17 +418,17 @@
         )
         connection_check.check(await connection.exchange(message))
         if not connection.ready:
-            raise ConnectionResetError("closed after its opening")
+            raise ConnectionResetError("closed after the connection check")
         connection.checked = True
 
-    def _drop_unheard(self, since: float) -> None:
-        """Close the kept connections that were not heard after some moment."""
+    def _drop_unresponsive(self, since: float) -> None:
+        """Close the idle connections on which nothing was received after ``since``."""
         for connection in [each for each in self._idle if each.last_received_s <= since]:
             self._idle.remove(connection)
             self._open.discard(connection)
             connection.close()
 
-    def _keep(self, connection: _Connection) -> None:
+    def _release(self, connection: _Connection) -> None:
         if connection.ready and len(self._idle) < self._max_idle:
             self._idle.append(connection)
             return
@@ -438,22 +440,27 @@
         method: str,
         path: str,
         body: object,
-        extra: Sequence[tuple[str, str]],
+        extra_headers: Sequence[tuple[str, str]],
         host: str | None,
     ) -> tuple[h11.Request, bytes]:
         data = b"" if body is None else to_json(body)
-        asked = host or f"{self.address}:{self.port}"
-        headers = [("host", asked), ("content-length", str(len(data)))]
+        host_header = host or f"{self.address}:{self.port}"
+        headers = [("host", host_header), ("content-length", str(len(data)))]
         if body is not None:
             headers.append(("content-type", "application/json"))
         if self._token is not None:
             headers.append(("authorization", f"Bearer {self._token}"))
-        headers.extend(extra)
+        headers.extend(extra_headers)
         return h11.Request(method=method, target=path, headers=headers), data
 
 
 class _Connection:
-    """One connection of a client."""
+    """One connection of a client.
+
+    :ivar ready: whether another request can be sent.
+    :ivar checked: whether the connection check has passed.
+    :ivar last_received_s: time of the last complete response, or of the connection's start.
+    """
 
     def __init__(self, reader: Reader, writer: Writer) -> None:
         self._reader = reader
@@ -465,12 +472,12 @@
         self.last_received_s = _now()
 
     @property
-    def usable(self) -> bool:
-        """Whether the server has not closed it meanwhile."""
+    def is_usable(self) -> bool:
+        """Whether the server has not closed the connection."""
         at_eof = getattr(self._reader, "at_eof", None)
         return not (at_eof is not None and at_eof())
 
-    def count(self) -> int:
+    def take_byte_count(self) -> int:
         """Bytes sent and received since the last call."""
         counted, self._bytes = self._bytes, 0
         return counted
@@ -510,7 +517,7 @@
                 response.body = b"".join(chunks)
                 return response
             else:
-                raise ConnectionResetError("closed before the answer was whole")
+                raise ConnectionResetError("closed before the response was complete")
 
     def close(self) -> None:
         with contextlib.suppress(Exception):
@@ -522,7 +529,7 @@
 
 
 def error_from_response(response: Response) -> SaddlestackError:
-    """The error that an answer carries.
+    """Decode the error in a response.
 
     :rtype: SaddlestackError
     """
--- a/src/saddlestack/wire/messages.py
+++ b/src/saddlestack/wire/messages.py
@@ -1,4 +1,4 @@
-"""The messages between daemons, msgpack on the wire."""
+"""Messages between daemons, encoded as msgpack."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class Hello(Frame, tag="he"):
-    """The dialling side names itself and proves that it knows the shared key."""
+    """The dialing side identifies itself and proves that it knows the shared key."""
 
     vm: str
     data_hall: str
@@ -31,7 +31,7 @@
 
 
 class Welcome(Frame, tag="we"):
-    """The accepting side names itself and proves the same."""
+    """The accepting side identifies itself and proves that it knows the shared key."""
 
     vm: str
     data_hall: str
@@ -40,7 +40,7 @@
 
 
 class CellBeat(msgspec.Struct, array_like=True):
-    """What an owner says of a cell in each heartbeat.
+    """Summary of a cell that its owner sends in each heartbeat.
 
     ``largest``, ``free`` and ``queued`` are as in
     :class:`saddlestack.policy.router.CellSummary`.
@@ -64,9 +64,9 @@
 
 
 class Beat(Frame, tag="b", omit_defaults=True):
-    """A heartbeat: configuration revision, whether the VM leaves, the cells it schedules.
+    """A heartbeat: configuration revision, whether the VM is leaving, the cells it schedules.
 
-    :param hall: towards other halls, now and then: all cells of the sender's hall.
+    :param hall: all cells of the sender's hall; only in some heartbeats to other halls.
     """
 
     revision: int
@@ -76,7 +76,7 @@
 
 
 class Call(Frame, tag="c"):
-    """A request to a method of the other daemon."""
+    """A request that calls a method of the other daemon."""
 
     call: int
     method: str
@@ -97,7 +97,7 @@
 
 
 class Submit(msgspec.Struct):
-    """Give a job to the scheduler of a cell."""
+    """Submit a job to the scheduler of a cell."""
 
     cell: str
     spec: JobSpec
@@ -105,7 +105,7 @@
 
 
 class JobQuery(msgspec.Struct):
-    """Ask the scheduler of a cell for a job, waiting until it is final or time is up."""
+    """Read a job from the scheduler of a cell, waiting up to ``wait_s`` for its final state."""
 
     cell: str
     job_id: str
@@ -134,25 +134,25 @@
 
 
 class PullDocument(msgspec.Struct):
-    """Ask for the configuration if it is newer than a revision."""
+    """Request the configuration if it is newer than a revision."""
 
     after: int
 
 
 class DocumentReply(msgspec.Struct):
-    """The configuration, or nothing newer."""
+    """The configuration, or ``None`` if there is no newer one."""
 
     document: Document | None
 
 
 class CellStatusRequest(msgspec.Struct):
-    """Ask an owner for the state of a cell."""
+    """Request the state of a cell from its owner."""
 
     cell: str
 
 
 class AccountFormable(msgspec.Struct):
-    """Whether an account's guarantee is formable in a cell now."""
+    """Whether an account's guarantee can be formed in a cell now."""
 
     account: str
     units: int
@@ -178,7 +178,7 @@
 
 
 class ClaimRequest(msgspec.Struct):
-    """Ask the VM that writes a claim's bucket to claim a request id for a cell."""
+    """Ask the VM that writes a claim's bucket to claim a request ID for a cell."""
 
     job_id: str
     cell: str
@@ -186,6 +186,6 @@
 
 
 class ClaimReply(msgspec.Struct):
-    """The cell that has the claim."""
+    """The cell that holds the claim."""
 
     cell: str
--- a/src/saddlestack/wire/streams.py
+++ b/src/saddlestack/wire/streams.py
@@ -40,22 +40,22 @@
 HANDSHAKE_TIMEOUT_S = 3.0
 MAX_CALLS = 4096
 UNRESPONSIVE_AFTER_S = 0.2
-"""A link that has said nothing for so long while a call waited may have gone silent for good: it
-gets no further calls until it is heard. VMs answer in 1 to 3 ms, in 0.1 s where they run slow, and
-callers give a question up after 0.25 s at the earliest."""
+"""A link on which nothing was received for this long while a call waited may never recover: it gets
+no further calls until something is received. VMs answer in 1 to 3 ms, slow ones in 0.1 s, and
+callers time out after 0.25 s at the earliest."""
 ACCEPTED_IDLE_S = 75.0
-"""An accepted link on which nothing was said for so long is closed, as idle HTTP connections are;
-the other side dials again when it needs one."""
+"""An accepted link on which nothing was received for this long is closed, like idle HTTP
+connections; the other side dials again when it needs one."""
 _LENGTH = struct.Struct(">I")
 
 
 class LinkLost(Exception):
-    """The stream ended before the reply came: the call may have been carried out."""
+    """No reply was received: the call may have been carried out."""
 
 
 @dataclass(frozen=True, slots=True)
 class PeerIdentity:
-    """Who is at the other end of a stream."""
+    """Identity of the VM at one end of a stream."""
 
     vm: str
     data_hall: str
@@ -63,7 +63,7 @@
 
 
 CallHandler = Callable[[str, msgspec.Raw], Awaitable[object]]
-"""Answers a call: method and body in, reply model out."""
+"""Handles a call: takes its method and body, returns the model of the reply."""
 
 
 class FrameStream:
@@ -76,9 +76,9 @@
         self.bytes_in = 0
 
     async def read(self) -> AnyFrame:
-        """The next frame.
+        """Read the next frame.
 
-        :raises SaddlestackError: a frame that is too large or malformed.
+        :raises SaddlestackError: the frame is too large or malformed.
         :raises asyncio.IncompleteReadError: the stream ended.
         """
         (size,) = _LENGTH.unpack(await self._reader.readexactly(_LENGTH.size))
@@ -90,9 +90,9 @@
         return frame
 
     def write(self, frame: AnyFrame) -> None:
-        """Queue a frame.
+        """Queue a frame to be sent.
 
-        :raises SaddlestackError: larger than a frame may be; nothing was sent.
+        :raises SaddlestackError: the frame is too large; nothing was sent.
         """
         data = to_msgpack(frame)
         if len(data) > MAX_FRAME:
@@ -101,7 +101,7 @@
         self.bytes_out += len(data) + _LENGTH.size
 
     async def drain(self) -> None:
-        """Wait until the other side keeps up."""
+        """Wait until the write buffer has room again."""
         await self._writer.drain()
 
     def close(self) -> None:
@@ -113,24 +113,24 @@
 class Handshake:
     """Proves to each side of a new stream that the other knows the shared key."""
 
-    def __init__(self, me: PeerIdentity, key: str) -> None:
-        self._me = me
+    def __init__(self, own: PeerIdentity, key: str) -> None:
+        self._own_identity = own
         self._key = key.encode()
 
     async def dial(self, stream: FrameStream) -> PeerIdentity:
-        """Handshake as the dialling side.
+        """Handshake as the dialing side.
 
-        :raises SaddlestackError: the other side does not know the key or speaks otherwise.
+        :raises SaddlestackError: the other side does not know the key or violates the protocol.
         """
         async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
             challenge = await self._expect(stream, Challenge)
             nonce = secrets.token_bytes(NONCE_SIZE)
-            proof = self._proof("dial", challenge.nonce + nonce, self._me)
+            proof = self._proof("dial", challenge.nonce + nonce, self._own_identity)
             stream.write(
                 Hello(
-                    vm=self._me.vm,
-                    data_hall=self._me.data_hall,
-                    incarnation=self._me.incarnation,
+                    vm=self._own_identity.vm,
+                    data_hall=self._own_identity.data_hall,
+                    incarnation=self._own_identity.incarnation,
                     nonce=nonce,
                     proof=proof,
                 )
@@ -143,7 +143,7 @@
     async def accept(self, stream: FrameStream) -> PeerIdentity:
         """Handshake as the accepting side.
 
-        :raises SaddlestackError: the other side does not know the key or speaks otherwise.
+        :raises SaddlestackError: the other side does not know the key or violates the protocol.
         """
         async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
             nonce = secrets.token_bytes(NONCE_SIZE)
@@ -153,10 +153,10 @@
             self._check(hello.proof, self._proof("dial", nonce + hello.nonce, other))
             stream.write(
                 Welcome(
-                    vm=self._me.vm,
-                    data_hall=self._me.data_hall,
-                    incarnation=self._me.incarnation,
-                    proof=self._proof("accept", hello.nonce, self._me),
+                    vm=self._own_identity.vm,
+                    data_hall=self._own_identity.data_hall,
+                    incarnation=self._own_identity.incarnation,
+                    proof=self._proof("accept", hello.nonce, self._own_identity),
                 )
             )
             return other
@@ -169,8 +169,8 @@
             raise SaddlestackError(ErrorKind.MALFORMED, f"peer protocol {frame.protocol}")
         return frame
 
-    def _proof(self, side: str, nonce: bytes, who: PeerIdentity) -> bytes:
-        text = f"{side}\0{who.vm}\0{who.data_hall}\0{who.incarnation}\0".encode()
+    def _proof(self, side: str, nonce: bytes, peer: PeerIdentity) -> bytes:
+        text = f"{side}\0{peer.vm}\0{peer.data_hall}\0{peer.incarnation}\0".encode()
         return hmac.new(self._key, text + nonce, hashlib.sha256).digest()
 
     def _check(self, proof: bytes, expected: bytes) -> None:
@@ -181,9 +181,9 @@
 class PeerLink:
     """An open stream to another daemon: heartbeats and calls, both ways.
 
-    :param serve: answers the other side's calls.
-    :param on_heartbeat: told of each heartbeat.
-    :param idle_s: closed when nothing was heard for so long; ``None`` for never.
+    :param serve: handles the other side's calls.
+    :param on_heartbeat: called with each heartbeat received.
+    :param idle_s: seconds without a frame after which the link is closed; ``None`` for never.
     :ivar is_unresponsive: whether a call has waited and nothing was received since it was sent.
         Callers that need a link should then dial again; pending calls may still be answered.
     """
@@ -201,7 +201,7 @@
         self._serve = serve
         self._on_heartbeat = on_heartbeat
         self._tasks = TaskGroup(f"link to {peer.vm}")
-        self._calls: dict[int, asyncio.Future[Reply]] = {}
+        self._pending: dict[int, asyncio.Future[Reply]] = {}
         self._ids = itertools.count(1)
         self._idle_s = idle_s
         self._last_received_s = _now()
@@ -209,14 +209,14 @@
         self.closed = False
 
     async def run(self) -> None:
-        """Read until the stream ends; then every open call is lost."""
+        """Read frames until the stream ends; every pending call then fails."""
         try:
             while True:
                 async with asyncio.timeout(self._idle_s):
                     frame = await self.stream.read()
                 self._last_received_s = _now()
                 self.is_unresponsive = False
-                self._take(frame)
+                self._dispatch(frame)
         except (OSError, EOFError, TimeoutError, SaddlestackError) as error:
             log.info(
                 "link ended",
@@ -225,22 +225,22 @@
         finally:
             self.close()
 
-    def send_heartbeat(self, beat: Beat) -> None:
+    def send_heartbeat(self, heartbeat: Beat) -> None:
         """Send a heartbeat."""
         if not self.closed:
-            self.stream.write(beat)
+            self.stream.write(heartbeat)
 
     async def call(self, method: str, body: object, reply: type[T], timeout: float) -> T:
         """Call a method of the other daemon.
 
         :raises SaddlestackError: the other daemon's answer is an error.
-        :raises LinkLost: no answer came; the call may have been carried out.
+        :raises LinkLost: no reply was received; the call may have been carried out.
         """
-        if self.closed or len(self._calls) >= MAX_CALLS:
+        if self.closed or len(self._pending) >= MAX_CALLS:
             raise LinkLost(f"no link to {self.peer.vm}")
         number = next(self._ids)
         future: asyncio.Future[Reply] = asyncio.get_running_loop().create_future()
-        self._calls[number] = future
+        self._pending[number] = future
         sent = _now()
         try:
             self.stream.write(Call(call=number, method=method, body=msgspec.Raw(to_msgpack(body))))
@@ -250,34 +250,37 @@
         except (TimeoutError, OSError) as error:
             raise LinkLost(f"{method} to {self.peer.vm}: {type(error).__name__}") from error
         finally:
-            self._calls.pop(number, None)
-            self._judge(sent)
+            self._pending.pop(number, None)
+            self._update_responsiveness(sent)
         return _decode(answer, reply)
 
     def close(self) -> None:
-        """Close the stream and fail every open call."""
+        """Close the stream and fail every pending call."""
         self.closed = True
         self.stream.close()
-        for future in self._calls.values():
+        for future in self._pending.values():
             if not future.done():
                 future.set_exception(LinkLost(f"link to {self.peer.vm} ended"))
-        self._calls.clear()
+        self._pending.clear()
 
-    def _judge(self, sent: float) -> None:
-        """Note whether nothing was heard since a call was sent; close what nobody waits for."""
+    def _update_responsiveness(self, sent: float) -> None:
+        """Update ``is_unresponsive`` after a call.
+
+        An unresponsive link is closed once it has no pending calls.
+        """
         self.is_unresponsive = (
             self._last_received_s <= sent and _now() - sent >= UNRESPONSIVE_AFTER_S
         )
-        if self.is_unresponsive and not self._calls:
+        if self.is_unresponsive and not self._pending:
             self.close()
 
-    def _take(self, frame: AnyFrame) -> None:
+    def _dispatch(self, frame: AnyFrame) -> None:
         if isinstance(frame, Beat):
             self._on_heartbeat(self, frame)
         elif isinstance(frame, Call):
             self._tasks.spawn(self._answer(frame))
         elif isinstance(frame, Reply):
-            future = self._calls.get(frame.call)
+            future = self._pending.get(frame.call)
             if future is not None and not future.done():
                 future.set_result(frame)
         else:
