--- a/src/saddlestack/policy/cluster/candidates.py
+++ b/src/saddlestack/policy/cluster/candidates.py
@@ -1,4 +1,4 @@
-"""Candidates: the workers that a step's tasks may go to, by label, leave, data and what is kept."""
+"""Candidate workers for a step by label, approval, data locality and workers kept for gangs."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 class Candidates:
-    """Looks up the workers for each step of a round.
+    """Looks up the candidate workers of each step in a round.
 
-    :param is_open: whether a task is to be started beside others in this round.
+    :param is_open: tells whether a task is to be started and need not be isolated.
     """
 
     def __init__(
@@ -35,11 +35,11 @@
         self._is_open = is_open
 
     def service_capacity(self, step: StepState) -> ServiceCapacity:
-        """The room of the service that a step runs on."""
+        """Capacity of the service that a step runs on."""
         return self._index.service(self._cluster_state.service_of(step.occurrence.job))
 
     def places(self, step: StepState, now: float) -> Places:
-        """The workers that a step may go to."""
+        """The workers that a step may run on."""
         if step.step.per_worker or self._cluster_state.is_advised(step.occurrence.job):
             return ListedPlaces(step, self.listed(step, now))
         fit = self.fit(step)
@@ -50,7 +50,7 @@
         return IndexedPlaces(step, self._fits.of(fit), kept)
 
     def all_places(self, step: StepState, now: float) -> Places:
-        """The workers that a step may go to once it prefers none of them."""
+        """The workers that a step may run on if its preferences are ignored."""
         fit = self.fit(step)
         if self._cluster_state.is_advised(step.occurrence.job):
             return ListedPlaces(step, self.with_approval(step, self.eligible(fit, now), now))
@@ -59,11 +59,11 @@
         return IndexedPlaces(step, self._fits.of(fit), None, spread=True)
 
     def copies(self, step: StepState) -> int:
-        """Tasks of a step's size that fit now, on all workers together."""
+        """Number of tasks like those of a step that fit now, on all workers together."""
         return self._fits.of(self.fit(step)).total
 
     def fit(self, step: StepState) -> FitKey:
-        """What a step shares with others that fit where it does."""
+        """The requirements that a step shares with all others that fit on the same workers."""
         return FitKey(
             service=self._cluster_state.service_of(step.occurrence.job),
             room=step.step.room,
@@ -72,7 +72,7 @@
         )
 
     def listed(self, step: StepState, now: float) -> list[Worker]:
-        """The workers that a step may go to, each looked at."""
+        """List the workers that a step may run on. This checks each worker of the service."""
         kept = self.kept(step)
         eligible = self.eligible(self.fit(step), now)
         eligible = [worker for worker in eligible if kept is None or not kept(worker)]
@@ -87,7 +87,7 @@
     def _near_data(
         self, step: StepState, fit: FitKey, kept: IsKept | None, now: float
     ) -> list[Worker] | None:
-        """The workers near a step's data; ``None`` where it does not wait for them."""
+        """The workers near a step's data; ``None`` if it does not wait for them."""
         if not step.step.data_rack or not prefers_near(step, now):
             return None
         rack = self.service_capacity(step).rack(step.step.data_rack)
@@ -99,14 +99,15 @@
         return [worker for worker in eligible if kept is None or not kept(worker)]
 
     def eligible(self, fit: FitKey, now: float) -> list[Worker]:
-        """Workers that take work of a fit, whatever the step prefers."""
+        """Workers that accept tasks with these requirements, regardless of preferences."""
         racks = self._index.service(fit.service).racks
         return [w for rack in racks for w in rack.eligible if fit.allows(w, now)]
 
     def with_approval(self, step: StepState, eligible: list[Worker], now: float) -> list[Worker]:
-        """The workers that may run a step; the adviser is asked about more where it does not fit.
+        """The workers approved for a step. If it does not fit there, requests advice on more.
 
-        Which racks could ever hold a gang of one rack is told by all of them, allowed or not.
+        Which racks could hold a gang that needs a single rack is decided by all eligible workers,
+        approved or not.
         """
         advice = step.advice
         allowed = [w for w in eligible if advice.ticket(w.worker_id, now) is not None]
@@ -119,14 +120,18 @@
         return allowed
 
     def _fits_on(self, step: StepState, workers: list[Worker]) -> bool:
-        """Whether all tasks of a step that wait fit on some workers."""
+        """Whether all waiting tasks of a step fit on these workers."""
         if step.step.gang:
             return ListedPlaces(step, workers).choose_gang() is not None
-        room = sum(worker.copies(step, worker.free) for worker in workers)
-        return room >= sum(1 for task in step.tasks if self._is_open(task))
+        fitting = sum(worker.copies(step, worker.free) for worker in workers)
+        return fitting >= sum(1 for task in step.tasks if self._is_open(task))
 
     def kept(self, step: StepState) -> IsKept | None:
-        """Tells workers that a gang of higher priority waits for; an idle pool keeps none."""
+        """Test for workers that are kept for gangs of higher priority.
+
+        ``None`` if none are kept from the step. An idle pool keeps none, and long-running steps
+        may use all.
+        """
         priority = step.occurrence.job.priority
         if step.step.long_running or not self._backfill.keeps_from(priority):
             return None
@@ -136,5 +141,5 @@
 
 
 def prefers_near(step: StepState, now: float) -> bool:
-    """Whether a step still waits for a place near its data, if it has any."""
+    """Whether a step, if it has data, still waits for workers near it."""
     return step.waited_s(now) < NEAR_PATIENCE_S
--- a/src/saddlestack/policy/cluster/changes.py
+++ b/src/saddlestack/policy/cluster/changes.py
@@ -1,4 +1,4 @@
-"""What follows from events: records to write, and orders to give."""
+"""Changes that events cause: records to write, and orders and questions to send."""
 
 from __future__ import annotations
 
@@ -14,7 +14,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """A run to be started, once its record is in the store."""
+    """A run to be started once its record is in the store.
+
+    :param payload: the payload of its job.
+    :param saved: checkpoint to resume from, or empty.
+    :param ticket: the adviser's ticket for the worker, or empty.
+    """
 
     run: Run
     payload: str
@@ -24,7 +29,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AdviceRequest:
-    """The adviser is to be asked which of some workers may run a step."""
+    """A request to the adviser: which of these workers may run the step.
+
+    :param workers: ids of the workers.
+    """
 
     step: StepState
     workers: tuple[str, ...]
@@ -46,7 +54,8 @@
 class Stop:
     """A run to be stopped.
 
-    :param cause: the job that takes the room, where one does.
+    :param number: number of the run.
+    :param cause: id of the job that it is preempted for, or empty.
     """
 
     worker_id: str
@@ -58,11 +67,11 @@
 
 @dataclass(slots=True)
 class JobChanges:
-    """What has followed for one job, and waits for its records alone.
+    """Changes of one job, which depend only on the writes of its own records.
 
-    :param records: its occurrences to be written, by key.
-    :param starts: to be ordered after the records are written.
-    :param state_updates: its state, which may be shown after the records are written.
+    :param records: records of its occurrences to be written, by key.
+    :param starts: starts to be ordered after the records are written.
+    :param state_updates: its state, to be published after the records are written.
     """
 
     job_id: str
@@ -73,15 +82,15 @@
 
 @dataclass(slots=True)
 class Changes:
-    """What has followed since the last call of :meth:`ClusterState.take_changes`.
-
-    :param records: occurrences to be written, by key.
-    :param starts: to be ordered after the records are written.
-    :param stops: to be ordered at once.
-    :param paces: to be ordered at once.
-    :param advice_requests: to be asked of the adviser.
-    :param state_updates: jobs whose state may be shown after the records are written.
-    :param verdicts: on tasks under which workers crashed, to be told.
+    """All changes since the last call of :meth:`ClusterState.take_changes`.
+
+    :param records: records of occurrences to be written, by key.
+    :param starts: starts to be ordered after the records are written.
+    :param stops: stops to be ordered at once.
+    :param paces: paces to be ordered at once.
+    :param advice_requests: requests to the adviser.
+    :param state_updates: jobs and their states, to be published after the records are written.
+    :param verdicts: on tasks under which workers crashed, to be logged.
     """
 
     records: dict[str, OccurrenceRecord] = field(default_factory=dict)
@@ -93,7 +102,7 @@
     verdicts: list[Verdict] = field(default_factory=list)
 
     def by_job(self) -> list[JobChanges]:
-        """What waits for records, for each job by itself."""
+        """The records, and what depends on their writes, grouped by job."""
         found: dict[str, JobChanges] = {}
 
         def of(job_id: str) -> JobChanges:
--- a/src/saddlestack/policy/cluster/jobs.py
+++ b/src/saddlestack/policy/cluster/jobs.py
@@ -1,4 +1,7 @@
-"""Jobs, occurrences, steps, tasks and runs as the board keeps them in memory."""
+"""Jobs, occurrences, steps, tasks and runs as the leader holds them in memory.
+
+Times are in seconds on the monotonic clock of the cluster state unless stated otherwise.
+"""
 
 from __future__ import annotations
 
@@ -17,33 +20,40 @@
 from saddlestack.work import FINAL_STATES, AcceptedJob, JobState, Resources, Step, TaskName
 
 TOP_PRIORITY = 0
-"""Jobs of this priority go first, and may take room back."""
+"""The most urgent priority. Jobs of it may preempt others."""
 WORKING_PERCENT = 100
+"""Progress that a long-running task reports while it works."""
+"""Progress that a long-running task reports while it works."""
 ACCELERATOR_CORES = 8
-"""An accelerator counts as this many cores where work is compared."""
+"""Cores that an accelerator counts as where amounts of work are compared."""
 
 
 @dataclass(slots=True, eq=False)
 class Run:
-    """One run of a task at one life of a worker.
-
-    :param inherited: an earlier leader assigned it; what became of it is not known yet.
-    :param assigned_s: when it was decided, seconds on the board's clock.
-    :param ordered_s: when its order first left for the worker, or ``None``.
-    :param started_s: when the worker confirmed it, or ``None``.
-    :param isolated: nothing else may join it at its worker while it may crash that.
-    :param stopping: a stop was ordered.
-    :param lent_by: steps for which the room that it fills is reserved; it is stopped for them.
-    :param awaited_s: since when other work has waited for it to end, on the board's clock.
-    :param never_began: it is known that the worker never began it.
+    """One run of a task on one incarnation of a worker.
+
+    :param allocation: the resources that it holds.
+    :param assigned_s: when it was assigned.
+    :param inherited: an earlier leader assigned it, and its outcome is not yet known.
+    :param ordered_s: when its start order was first sent to the worker, or ``None``.
+    :param started_s: when the worker confirmed its start, or ``None``.
+    :param isolated: no other run may join it on its worker, since it may crash the worker.
+    :param stopping: whether a stop was ordered.
+    :param lent_by: steps that have reserved the resources which it borrows; it is preempted for
+        them.
+    :param awaited_s: since when other work has waited for it to end, or ``None``.
+    :param never_began: the worker is known never to have begun it.
     :param saved: the latest checkpoint that the worker reported.
-    :param percent: of the work done, as the worker reported; a lasting task works at 100.
-    :param reported_s: when it said so, on the board's clock.
-    :param progressed_s: when it first did, on the board's clock; ``None`` before it said anything.
-    :param figure: the worker's figure of the last half second.
-    :param pace: the share of full speed that it was last ordered to work at.
-    :param address: where that life of the worker was reached when it was given the run, or has
-        answered since; empty where neither is known.
+    :param percent: progress that the worker reported; a long-running task reports 100 while it
+        works.
+    :param reported_s: when progress was last reported.
+    :param progressed_s: when the current ``percent`` was first reported; ``None`` before any
+        report.
+    :param figure: over the last half second, the tail latency of a serving task in milliseconds,
+        else the processor use in thousandths of a core.
+    :param pace: the share of full speed in percent that it was last ordered to work at.
+    :param address: where the worker incarnation was reached when it was given the run, or has
+        answered since; empty if neither is known.
     """
 
     task: Task
@@ -72,8 +82,8 @@
 class Task:
     """One task of one occurrence.
 
-    :param avoid: workers on which it failed.
-    :param crashed_on: machines whose workers crashed under it, as far as this leader saw.
+    :param avoid: ids of workers on which it failed.
+    :param crashed_on: machines whose workers crashed under it in this leader's term.
     """
 
     name: TaskName
@@ -85,7 +95,7 @@
 
     @property
     def status(self) -> TaskStatus:
-        """Where it stands."""
+        """Status of the task in its record."""
         return self.record.status
 
 
@@ -93,14 +103,18 @@
 class StepState:
     """One step of one occurrence.
 
+    :param done: number of tasks that are done.
     :param has_avoided_workers: whether a task failed on some worker and avoids it.
-    :param shapes: the numbers of its shapes, once they were asked for.
-    :param moves: how often it was begun again elsewhere since it stood still.
-    :param waiting_since_s: when one of its tasks was first to be started, on the board's clock.
-    :param stalled_since_s: since when it has had tasks to start and none that began, on the same.
-    :param preempts_since_s: since when room has been reserved for it, on the same; kept while one
-        reservation follows another, until a task of it is assigned.
-    :param times_delayed: how often since then runs that it had lent room had to be stopped.
+    :param shapes: the numbers of its shapes, once they were computed.
+    :param moves: how often it was restarted elsewhere because it had stalled.
+    :param waiting_since_s: when one of its tasks first waited to be started, or ``None``.
+    :param stalled_since_s: since when it has had tasks to start of which none has begun, or
+        ``None``.
+    :param preempts_since_s: since when resources have been reserved for it, or ``None``. Not reset
+        when one reservation follows another, only when a task of it is assigned.
+    :param times_delayed: how often since then runs that had borrowed its reserved resources had to
+        be preempted.
+    :param advice: the adviser's answers for it.
     """
 
     step: Step
@@ -120,25 +134,25 @@
 
     @property
     def key(self) -> str:
-        """Names the step of one occurrence."""
+        """Unique name of this step of this occurrence."""
         return f"{self.occurrence.key}.{self.number}"
 
     @property
     def at_once(self) -> int:
-        """Tasks that have to start together."""
+        """Number of tasks that have to start together."""
         return self.step.count if self.step.gang else 1
 
     def waited_s(self, now: float) -> float:
-        """For how long a task of it has waited since the first one did."""
+        """Seconds since one of its tasks first waited to be started."""
         return 0.0 if self.waiting_since_s is None else now - self.waiting_since_s
 
     def stalled_s(self, now: float) -> float:
-        """For how long it has had tasks to start without a break."""
+        """Seconds for which it has had tasks to start of which none has begun."""
         return 0.0 if self.stalled_since_s is None else now - self.stalled_since_s
 
     @property
     def disruption_budget(self) -> int | None:
-        """Tasks that may be taken away now; ``None`` where nothing limits them."""
+        """Number of tasks that may be preempted now; ``None`` for no limit."""
         if not self.step.may_miss:
             return None
         away = sum(1 for task in self.tasks if not _at_work(task.run))
@@ -146,48 +160,48 @@
 
     @property
     def failures(self) -> int:
-        """Failed runs of the gang, or of the task that has most of them."""
+        """Number of failed runs of the gang, or of the task with the most of them."""
         if self.step.gang:
             return self.record.gang_failures
         return max(task.record.failures for task in self.tasks)
 
     @property
     def on_last_attempt(self) -> bool:
-        """Whether its job fails with its next failure."""
+        """Whether it has failed before and its next failure fails the job."""
         if self.step.long_running or not self.failures:
             return False
         return self.failures + 1 >= self.occurrence.job.accepted.attempts
 
     @property
     def needs_proven_worker(self) -> bool:
-        """Whether it goes to no worker that is on probation."""
+        """Whether it must not run on workers on probation."""
         top = self.occurrence.job.priority == TOP_PRIORITY
         return self.step.gang or top or self.on_last_attempt
 
     @property
     def next_failure_is_final(self) -> bool:
-        """Whether its job fails with its next failure, the first one included."""
+        """Whether its next failure fails the job, even if it is its first one."""
         if self.step.long_running:
             return False
         return self.step.once or self.failures + 1 >= self.occurrence.job.accepted.attempts
 
     @property
     def finished(self) -> bool:
-        """Whether every task has ended done."""
+        """Whether all its tasks are done."""
         return self.done == len(self.tasks)
 
     @property
     def next_run(self) -> int:
-        """The number of a gang's next run."""
+        """Number of the gang's next run."""
         return max(task.record.run for task in self.tasks) + 1
 
 
 @dataclass(slots=True, eq=False)
 class Occurrence:
-    """One time that the steps of a job run.
+    """One execution of all steps of a job.
 
-    :param due_ms: wall time before which nothing may start; 0 means at once.
-    :param cause: why it failed, a :class:`FailureCause`; empty where that is not known.
+    :param due_ms: milliseconds since 1970 before which nothing may start; 0 means at once.
+    :param cause: why it failed, a :class:`FailureCause`; empty if it has not, or if unknown.
     """
 
     job: Job
@@ -199,23 +213,23 @@
 
     @property
     def key(self) -> str:
-        """Names the occurrence in the store."""
+        """Name of the occurrence in the store."""
         return f"{self.job.job_id}.{self.number}"
 
     @property
     def open(self) -> bool:
-        """Whether work is left to do."""
+        """Whether it has work left and its job is not cancelled."""
         return self.status is OccurrenceStatus.OPEN and not self.job.cancelled
 
     def to_record(self) -> OccurrenceRecord:
-        """What the store is to keep."""
+        """The record to be written to the store."""
         if self.status is not OccurrenceStatus.OPEN:
             return OccurrenceRecord(self.status, cause=self.cause)
         steps = [step.record for step in self.steps]
         return OccurrenceRecord(self.status, steps, self._addresses())
 
     def _addresses(self) -> dict[str, str]:
-        """Where the workers are reached that were given runs of it."""
+        """Addresses of the workers that hold its runs, by worker id."""
         return {
             task.run.worker_id: task.run.address
             for step in self.steps
@@ -226,10 +240,11 @@
 
 @dataclass(slots=True, eq=False)
 class Job:
-    """A job that was accepted.
+    """An accepted job.
 
-    :param published_state: its state as far as the store has it; what clients are told.
-    :param over_since_s: since when it is known to be over, on the board's clock.
+    :param begun: whether a run of it has started, or the store has progress of it.
+    :param published_state: its state according to the records in the store. Clients see this one.
+    :param over_since_s: since when it is known to be over, or ``None``.
     """
 
     accepted: AcceptedJob
@@ -241,12 +256,12 @@
 
     @property
     def job_id(self) -> str:
-        """The job's name."""
+        """Id of the job."""
         return self.accepted.job_id
 
     @property
     def priority(self) -> int:
-        """0 goes first and may take room back."""
+        """Priority of the job; 0 is the most urgent and may preempt others."""
         return self.accepted.priority
 
     @property
@@ -256,12 +271,12 @@
 
     @property
     def cause(self) -> str:
-        """Why it failed, a :class:`FailureCause`; empty where it has not, or that is not known."""
+        """Why it failed, a :class:`FailureCause`; empty if it has not, or if unknown."""
         return next((each.cause for each in self.occurrences if each.cause), "")
 
     @property
     def state(self) -> JobState:
-        """Its state, with what is not yet in the store."""
+        """Its current state, including changes that are not yet in the store."""
         if self.failed:
             return JobState.FAILED
         if all(each.status is OccurrenceStatus.DONE for each in self.occurrences):
@@ -272,18 +287,18 @@
 
     @property
     def over(self) -> bool:
-        """Whether nothing more is to run."""
+        """Whether nothing of it is to start any more."""
         return self.state in FINAL_STATES
 
     @property
     def settled(self) -> bool:
-        """Whether it is shown as over and nothing of it is present anywhere."""
+        """Whether it is published as over and none of its runs is left."""
         if self.published_state not in FINAL_STATES:
             return False
         return next(self.runs(), None) is None
 
     def runs(self) -> Iterator[Run]:
-        """Its runs that are present somewhere, or may be."""
+        """Its runs that are, or may be, on some worker."""
         for occurrence in self.occurrences:
             for step in occurrence.steps:
                 for task in step.tasks:
@@ -292,7 +307,7 @@
 
     @property
     def accelerators(self) -> int:
-        """Accelerators that its widest open occurrence takes at once, at most."""
+        """Accelerators that the first step of its largest open occurrence takes at once."""
         return max(
             (
                 sum(s.step.count * s.step.needs.accelerators for s in each.steps[:1])
@@ -304,9 +319,9 @@
 
 
 def new_job(accepted: AcceptedJob, records: dict[int, OccurrenceRecord]) -> Job:
-    """A job with the progress that the store has of it.
+    """Build a job from its request and its progress in the store.
 
-    :param records: by number of the occurrence; missing ones have not begun.
+    :param records: by number of the occurrence; those without a record have not begun.
     """
     job = Job(accepted)
     for number in range(accepted.request.occurrences):
@@ -341,6 +356,6 @@
     return run is not None and not run.stopping and run.percent >= WORKING_PERCENT
 
 
-def weight(room: Resources) -> float:
-    """Cores that some room stands for, accelerators included."""
-    return room.cpu / 1000 + room.accelerators * ACCELERATOR_CORES
+def weight(resources: Resources) -> float:
+    """Resources as a number of cores, with accelerators converted."""
+    return resources.cpu / 1000 + resources.accelerators * ACCELERATOR_CORES
--- a/src/saddlestack/policy/cluster/planner.py
+++ b/src/saddlestack/policy/cluster/planner.py
@@ -1,4 +1,4 @@
-"""What starts next, and what has to give room for it."""
+"""Planning rounds: which waiting tasks start where, and which runs are preempted for them."""
 
 from __future__ import annotations
 
@@ -40,26 +40,27 @@
 from saddlestack.policy.cluster.workers import Worker
 
 MAX_STARTS_PER_ROUND = 400
-"""A round decides no more, by whole steps. Deciding and ordering a start takes 0.1 to 0.15 ms of a
-core: a new leader of 3,000 workers with a backlog of 11,000 tasks held its process for over a
-second, longer than its lease. So bounded it holds it for 0.06 s, 0.2 s on a third of a core."""
+"""A round begins no further step after this many starts. Deciding and ordering a start takes 0.1 to
+0.15 ms of a core: without a limit, a new leader of 3,000 workers with a backlog of 11,000 tasks
+blocked its process for over a second, longer than its lease. With it, a round blocks for 0.06 s, or
+for 0.2 s on a third of a core."""
 MAX_ISOLATED_PER_ROUND = 20
-"""For so many tasks or gangs that are to be alone a round looks at all workers."""
+"""Tasks or gangs that are to be isolated for which a round searches all workers."""
 
 
 class Planner:
-    """Goes through the waiting work of all jobs in order and gives it workers."""
+    """Assigns the waiting steps of all jobs to workers, in priority order."""
 
     def __init__(
         self,
         cluster_state: PlannerContext,
         index: CapacityIndex,
-        caution: Caution,
+        worker_preferences: Caution,
         crashes: Crashes,
     ) -> None:
         self._cluster_state = cluster_state
         self._index = index
-        self._worker_preferences = caution
+        self._worker_preferences = worker_preferences
         self._isolation = Isolation(crashes)
         self._isolated: set[Task] = set()
         self._waiting = WaitingSteps()
@@ -70,45 +71,45 @@
         self._failed_shapes = FailedShapes()
         self._stalled = Stalled(cluster_state, self._candidates, self._reservations, self._lending)
         self._shapes = ShapeNumbers()
-        self._started = 0
-        self._sought_alone = 0
+        self._starts = 0
+        self._isolation_searches = 0
 
     @property
     def next_loan_s(self) -> float | None:
-        """When work that waits may next be lent reserved room, on the board's clock."""
+        """When waiting work may next borrow reserved resources, on the monotonic clock."""
         return self._stalled.next_loan_s
 
     def add(self, job: Job) -> None:
-        """A job with work left."""
+        """Add a job with work left."""
         self._waiting.add(job)
 
     def requeue(self, step: StepState, *, ran: bool) -> None:
-        """A task of a step waits again.
+        """Queue a step again whose task has to run again.
 
-        :param ran: whether its run may have begun.
+        :param ran: whether the task's last run may have begun.
         """
         self._waiting.requeue(step, ran=ran)
 
     def step_finished(self, step: StepState) -> None:
-        """Tasks of a step are done; what it reserved is given up."""
+        """Release the reservation of a finished step, and queue the steps that follow it."""
         if step.finished:
             self._release(step)
             self._waiting.step_finished(step)
 
     def run_ended(self, run: Run, how: EndKind, now: float) -> None:
-        """A run is over, as its worker tells."""
+        """Record how long a run took to stop or to finish, as its worker reported it."""
         if how is EndKind.STOPPED:
             self._lending.note_stopped(run, now)
         elif how is EndKind.DONE:
             self._lending.note_done(run, now)
 
     def plan(self, now: float, wall_ms: float) -> bool:
-        """Decide what starts and what has to give room, the most urgent first.
+        """Decide what starts and what is preempted, in priority order.
 
-        :return: whether the round was full, so that more may be decided at once.
+        :return: whether the round reached its limit, so that another may follow at once.
         """
-        self._started = 0
-        self._sought_alone = 0
+        self._starts = 0
+        self._isolation_searches = 0
         self._stalled.begin()
         self._backfill.clear()
         self._failed_shapes.clear()
@@ -116,15 +117,15 @@
         self._isolation.refresh(now)
         entitled = self._waiting.entitled(self._cluster_state.guaranteed)
         for step in self._waiting.in_order(now, wall_ms, entitled):
-            if self._started >= MAX_STARTS_PER_ROUND:
+            if self._starts >= MAX_STARTS_PER_ROUND:
                 return True
             self._place(step, entitled, now)
         return False
 
-    # What a diagnosis reads
+    # Read by the diagnosis
 
     def kept_from(self, step: StepState) -> IsKept | None:
-        """Tells workers that were kept from a step in the last round; ``None`` for none."""
+        """Test for workers that were kept from a step in the last round; ``None`` if none were."""
         with self._index.without_refresh():
             return self._candidates.kept(step)
 
@@ -134,16 +135,16 @@
             return bool(step.step.data_rack) and prefers_near(step, now)
 
     def reserved_until(self, step: StepState) -> float | None:
-        """How long room is being made for a step at most; ``None`` where none is."""
+        """When a step's reservation expires; ``None`` if it has none."""
         reservation = self._reservations.of(step)
         return None if reservation is None else reservation.expires_s
 
     def may_open(self, step: StepState, places: list[Worker], now: float) -> bool:
-        """Whether the headroom that the last round has left lets a step go to some workers."""
+        """Whether a step may take these workers by the headroom that the last round has left."""
         with self._index.without_refresh():
             return self._may_open(step, places, now)
 
-    # Placing
+    # Placement
 
     def _place(self, step: StepState, entitled: set[str], now: float) -> None:
         top = step.occurrence.job.priority == TOP_PRIORITY
@@ -156,8 +157,8 @@
             return
         hopeless = full or self._failed_shapes.is_shut(shape, step.waited_s(now))
         if hopeless and not top:
-            if not self._place_anywhere(step, now):
-                self._keep_for(step, shape, now)
+            if not self._place_without_preferences(step, now):
+                self._keep_workers(step, shape, now)
             return
         if self._use_reservation(step, now):
             return
@@ -166,19 +167,19 @@
         places = self._candidates.places(step, now)
         if not full and self._place_on(step, shape, places, now):
             return
-        if self._place_anywhere(step, now):
+        if self._place_without_preferences(step, now):
             return
         if not top:
-            self._keep_for(step, shape, now)
+            self._keep_workers(step, shape, now)
         elif self._reservations.of(step) is None:
             self._preempt(step, places, entitled, now)
 
     # Isolation
 
     def _isolate(self, step: StepState, now: float) -> bool:
-        """Start those tasks of a step alone that may crash their workers.
+        """Start tasks of a step that may crash their workers in isolation.
 
-        :return: whether the step has others to start.
+        :return: whether the step has other tasks to start.
         """
         self._isolated.clear()
         suspects = self._isolation.suspects(step)
@@ -188,15 +189,17 @@
         self._isolated.update(suspects)
         pool = self._service_pool(step)
         eligible = (
-            self._able_alone(step, now) if self._sought_alone < MAX_ISOLATED_PER_ROUND else []
+            self._eligible_for_isolation(step, now)
+            if self._isolation_searches < MAX_ISOLATED_PER_ROUND
+            else []
         )
         for tasks in [suspects] if step.step.gang else [[task] for task in suspects]:
-            self._sought_alone += 1
-            if self._sought_alone > MAX_ISOLATED_PER_ROUND:
+            self._isolation_searches += 1
+            if self._isolation_searches > MAX_ISOLATED_PER_ROUND:
                 break
             found = self._isolation.find(tasks, eligible, pool, now)
             if found.places:
-                self._assign_apart(tasks, found, now)
+                self._assign_isolated(tasks, found, now)
                 eligible = [worker for worker in eligible if not worker.isolating]
             elif not found.keeps:
                 self._isolated.difference_update(tasks)
@@ -212,14 +215,14 @@
             not self._cluster_state.is_advised(job),
         )
 
-    def _able_alone(self, step: StepState, now: float) -> list[Worker]:
-        """Workers that a step's tasks may go to whatever they prefer."""
+    def _eligible_for_isolation(self, step: StepState, now: float) -> list[Worker]:
+        """Workers that may run a step's tasks, regardless of the step's preferences."""
         eligible = self._candidates.eligible(self._candidates.fit(step), now)
         if self._cluster_state.is_advised(step.occurrence.job):
             eligible = self._candidates.with_approval(step, eligible, now)
         return eligible
 
-    def _assign_apart(self, tasks: Sequence[Task], found: Isolated, now: float) -> None:
+    def _assign_isolated(self, tasks: Sequence[Task], found: Isolated, now: float) -> None:
         number = max(task.record.run for task in tasks) + 1
         for task, worker in zip(tasks, found.places, strict=True):
             self._assign(task, worker, number, now)
@@ -227,15 +230,15 @@
                 task.run.isolated = found.alone
 
     def _is_open(self, task: Task) -> bool:
-        """Whether a task is to be started where others may be."""
+        """Whether a task is to be started, and need not be isolated."""
         return is_waiting(task) and task not in self._isolated
 
     def awaits_isolation(self, step: StepState) -> bool:
-        """Whether tasks of a step wait to be started alone."""
+        """Whether tasks of a step wait for workers to run isolated on."""
         return self._isolation.is_waited_for(step)
 
-    def _keep_for(self, step: StepState, shape: int | None, now: float) -> None:
-        """Keep the workers where a gang fits soonest; once for those of a shape."""
+    def _keep_workers(self, step: StepState, shape: int | None, now: float) -> None:
+        """Keep the workers where a gang fits soonest, for one gang of each shape."""
         if not step.step.gang or self._backfill.is_full or self._failed_shapes.is_kept(shape):
             return
         self._failed_shapes.note_kept(shape)
@@ -243,7 +246,7 @@
         self._backfill.keep(soonest, step.occurrence.job.priority)
 
     def _place_with_caution(self, step: StepState, now: float) -> bool:
-        """Place a step on workers that it had better go to, if there are such and it fits."""
+        """Place a step on preferred workers only, if there are such and it fits there."""
         for preferred in self._worker_preferences.preferences(step, now):
             eligible = self._candidates.listed(step, now)
             chosen = [worker for worker in eligible if preferred(worker)]
@@ -253,27 +256,27 @@
                 return True
         return False
 
-    def _place_anywhere(self, step: StepState, now: float) -> bool:
-        """Place something of a job that would stall beside a pool that is mostly free.
+    def _place_without_preferences(self, step: StepState, now: float) -> bool:
+        """Place work of a job that would stall although the pool is mostly free.
 
-        Neither its data, one rack, the headroom nor waiting gangs hold it up any more, nor does
-        what failed lately on workers. Of tasks that run alone one is placed, so that the others
-        still get the better places.
+        Data locality, a single rack, the headroom, workers kept for gangs and recent failures on
+        workers are ignored. Of a step without a gang one task is placed, so that the others can
+        still get better places.
         """
-        service_capacity = self._stalled.choices(step, now)
-        return any(self._place_first(step, room, now) for room in service_capacity)
+        choices = self._stalled.choices(step, now)
+        return any(self._place_first(step, choice, now) for choice in choices)
 
-    def _place_first(self, step: StepState, room: WorkerChoice, now: float) -> bool:
-        """Place a gang, or one task that runs alone."""
+    def _place_first(self, step: StepState, choice: WorkerChoice, now: float) -> bool:
+        """Place a gang, or one task of a step without a gang."""
         if step.step.gang:
-            chosen = room.choose_gang()
+            chosen = choice.choose_gang()
             if chosen is None:
                 return False
             self._release(step)
             self._assign_gang(step, chosen, now)
             return True
         for task in step.tasks:
-            worker = room.choose_worker(task.avoid) if self._is_open(task) else None
+            worker = choice.choose_worker(task.avoid) if self._is_open(task) else None
             if worker is not None:
                 self._assign(task, worker, task.record.run + 1, now)
                 return True
@@ -285,7 +288,7 @@
         return self._place_tasks(step, shape, places, now)
 
     def _shape(self, step: StepState, now: float) -> int | None:
-        """What decides whether a step fits; ``None`` where more does than its shape."""
+        """Number of the step's shape; ``None`` if its shape alone doesn't tell whether it fits."""
         if self._cluster_state.is_advised(step.occurrence.job):
             return None
         if not step.step.gang and (step.step.per_worker or step.has_avoided_workers):
@@ -333,7 +336,7 @@
             run.lent_by = lenders
 
     def _place_tasks(self, step: StepState, shape: int | None, places: Places, now: float) -> bool:
-        """Place tasks that run alone; one that has failed on what is free holds up no others."""
+        """Place tasks one by one. A task that avoids all free workers does not block the others."""
         left = False
         for task in step.tasks:
             if not self._is_open(task):
@@ -355,18 +358,18 @@
         return True
 
     def _assign(self, task: Task, worker: Worker, number: int, now: float) -> None:
-        self._started += 1
+        self._starts += 1
         self._stalled.note_started(task.name.job_id)
         self._cluster_state.assign(task, worker, number, now)
         task.step.preempts_since_s = None
         task.step.times_delayed = 0
-        if task.run is not None and worker.is_overbooked and _may_be_taken_back(task.run):
+        if task.run is not None and worker.is_overbooked and _is_reclaimable(task.run):
             task.run.lent_by = self._reservations.lenders(worker)
 
-    # The headroom
+    # Headroom
 
     def _may_open(self, step: StepState, places: list[Worker], now: float) -> bool:
-        """Whether a step may take these workers, some of them empty."""
+        """Whether a step may take these workers, some of which may be empty."""
         if step.occurrence.job.priority == TOP_PRIORITY or step.step.long_running:
             return True
         waited_s = step.waited_s(now)
@@ -378,17 +381,17 @@
 
     def _preempt(self, step: StepState, places: Places, entitled: set[str], now: float) -> None:
         job = step.occurrence.job
-        within = job.job_id in entitled
+        is_entitled = job.job_id in entitled
 
         def may_stop(run: Run) -> bool:
             other = run.task.step.occurrence.job
-            if other is job or is_overdue(run, now) or _lost_if_stopped(run):
+            if other is job or is_overdue(run, now) or _loses_work_if_stopped(run):
                 return False
             if run.isolated or self._isolation.is_counted(run):
                 return False
             if run.stopping or gives_back(run) or other.priority > job.priority:
                 return True
-            return within and other.job_id not in entitled
+            return is_entitled and other.job_id not in entitled
 
         def gives_back(run: Run) -> bool:
             return step in run.lent_by
@@ -404,15 +407,15 @@
         for run in found.victims:
             if not gives_back(run):
                 self._cluster_state.preempt(run, job)
-        self._take_back(self._reservations.reserve(step, found.places, now), now)
+        self._reclaim_loans(self._reservations.reserve(step, found.places, now), now)
 
     def _release(self, step: StepState) -> None:
         if self._reservations.release(step):
             self._failed_shapes.clear()
             self._stalled.note_released()
 
-    def _take_back(self, held: Reservation, now: float) -> None:
-        """Stop what was lent of a reservation, once it alone has kept the step for long enough."""
+    def _reclaim_loans(self, held: Reservation, now: float) -> None:
+        """Preempt the borrowers of a reservation once they alone have delayed the step too long."""
         if held.awaits_stops:
             return
         for run in held.borrowers:
@@ -425,12 +428,12 @@
         held.step.times_delayed += bool(due)
 
     def _use_reservation(self, step: StepState, now: float) -> bool:
-        """Start what has its room by now; ``True`` where all of it could."""
+        """Start tasks whose reserved resources are free; ``True`` if all that wait have started."""
         held = self._reservations.of(step)
         if held is None or held.is_suspected:
             return False
         if not held.is_free:
-            self._take_back(held, now)
+            self._reclaim_loans(held, now)
             return False
         places = held.places
         self._release(step)
@@ -443,12 +446,12 @@
         return len(waiting) <= len(places)
 
 
-def _may_be_taken_back(run: Run) -> bool:
-    """Whether a run can give room back that it was lent, whatever else runs of its step."""
-    return not _lost_if_stopped(run) and not run.task.step.step.may_miss
+def _is_reclaimable(run: Run) -> bool:
+    """Whether a run can be preempted to return a loan, regardless of its step's other runs."""
+    return not _loses_work_if_stopped(run) and not run.task.step.step.may_miss
 
 
-def _lost_if_stopped(run: Run) -> bool:
-    """Work that may run only once and saves nothing cannot be taken back."""
+def _loses_work_if_stopped(run: Run) -> bool:
+    """Whether a run may not be repeated and has no checkpoint, so that stopping loses its work."""
     step = run.task.step.step
     return step.once and not (step.checkpoint and run.saved)
--- a/src/saddlestack/policy/cluster/records.py
+++ b/src/saddlestack/policy/cluster/records.py
@@ -1,7 +1,7 @@
-"""What the store keeps of a job's progress: one record for each occurrence.
+"""Stored progress of a job: one record for each occurrence.
 
-A record is written before anything follows from it: an assignment before the worker hears
-of it, an end before it is acknowledged or shown.
+A record is written before it takes effect: an assignment before the start order is sent to the
+worker, an end before it is acknowledged or published.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class TaskStatus(enum.IntEnum):
-    """Where a task stands. Only ``ASSIGNED`` may be running somewhere."""
+    """Status of a task. Only an ``ASSIGNED`` task may be running on some worker."""
 
     WAITING = 0
     ASSIGNED = 1
@@ -21,7 +21,7 @@
 
 
 class OccurrenceStatus(enum.IntEnum):
-    """Where one occurrence of a job stands. The last two are final."""
+    """Status of one occurrence of a job. The last two are final."""
 
     OPEN = 0
     DONE = 1
@@ -32,15 +32,15 @@
     """Why a job failed."""
 
     ATTEMPTS = "attempts"
-    """A task, or a gang, has failed as often as it may."""
+    """A task or a gang has used up its attempts."""
     ONCE = "once"
-    """A task that runs only once may have begun, and was lost."""
+    """A task that may run only once was lost after it may have begun."""
     CRASHES = "crashes"
-    """A task crashes its workers."""
+    """A task crashed its workers."""
 
     @property
     def sentence(self) -> str:
-        """What its caller is told."""
+        """Explanation for the client."""
         return _SENTENCES[self]
 
 
@@ -54,9 +54,9 @@
 class TaskRecord(msgspec.Struct, array_like=True):
     """Progress of one task.
 
-    :param run: number of its latest run; 0 where it never ran.
-    :param worker: life of the worker that the run was given to.
-    :param failures: runs that ended as failed.
+    :param run: number of its latest run; 0 if it never ran.
+    :param worker: id of the worker incarnation that was given that run.
+    :param failures: number of failed runs.
     :param saved: checkpoint to resume from, or empty.
     """
 
@@ -68,12 +68,12 @@
 
 
 class CrashRecord(msgspec.Struct, array_like=True):
-    """What crashes of workers tell of a task.
+    """Evidence from crashes of workers that a task causes them.
 
-    :param crashes: workers that crashed under it and count.
-    :param log_odds: natural logarithm of how much likelier it crashes its workers than not.
+    :param crashes: number of counted crashes of workers that ran it.
+    :param log_odds: natural logarithm of the odds that it crashes its workers.
     :param span_s: the longest time from a start of it to such a crash, in seconds.
-    :param later_starts: starts since the crash from which on they are counted.
+    :param later_starts: number of starts since the crash from which on starts are counted.
     """
 
     crashes: int = 0
@@ -83,25 +83,26 @@
 
     @property
     def odds(self) -> float:
-        """How much likelier it crashes its workers than not."""
+        """Odds that it crashes its workers."""
         return math.exp(clamp_log_odds(self.log_odds))
 
 
 MAX_LOG_ODDS = 50.0
-"""Beyond this, either way, the odds say no more; beyond 709 they are too large for a float."""
+"""Bound for log odds of either sign. Larger values carry no more information, and from 710 on the
+odds overflow a float."""
 
 
 def clamp_log_odds(log_odds: float) -> float:
-    """Log odds within what says anything."""
+    """Limit log odds to :data:`MAX_LOG_ODDS` in either direction."""
     return max(-MAX_LOG_ODDS, min(MAX_LOG_ODDS, log_odds))
 
 
 class StepRecord(msgspec.Struct, array_like=True):
     """Progress of one step.
 
-    :param gang_failures: runs of the gang in which a member failed.
-    :param failed_run: the latest such run.
-    :param crashes: of tasks under which workers crashed, by index.
+    :param gang_failures: number of runs of the gang in which a member failed.
+    :param failed_run: number of the latest such run.
+    :param crashes: evidence on tasks under which workers crashed, by index of the task.
     """
 
     tasks: list[TaskRecord]
@@ -111,12 +112,12 @@
 
 
 class OccurrenceRecord(msgspec.Struct, array_like=True):
-    """Progress of one occurrence; final ones keep no steps.
+    """Progress of one occurrence. Final ones hold no steps.
 
-    :param addresses: where the lives of workers are reached that were given its runs, by id. Their
-        own records may lapse, and a new leader is to ask there what became of the runs. Once a
-        life rather than once a task: many tasks of a wide step run on one worker.
-    :param cause: a :class:`FailureCause`; empty where it has not failed, or none was kept.
+    :param addresses: addresses of the worker incarnations that hold its runs, by id. A worker's own
+        record may lapse, and a new leader has to poll the worker for the outcome of the runs.
+        Stored per worker rather than per task, since many tasks of a wide step run on one worker.
+    :param cause: a :class:`FailureCause`; empty if it has not failed or no cause was stored.
     """
 
     status: OccurrenceStatus
--- a/src/saddlestack/policy/cluster/state.py
+++ b/src/saddlestack/policy/cluster/state.py
@@ -1,8 +1,8 @@
-"""The board: everything a leader knows, and what follows from each event.
+"""State of the cluster as its leader knows it, and the changes that each event causes.
 
-Pure: events and times come in as arguments; what is to be written, started and stopped is
-collected and taken with :meth:`ClusterState.take_changes`. ``now`` is in seconds on a
-monotonic clock, ``wall_ms`` in milliseconds since 1970.
+Does no I/O: events and times are arguments, and the resulting writes, starts and stops are
+collected until :meth:`ClusterState.take_changes`. ``now`` is in seconds on a monotonic clock,
+``wall_ms`` in milliseconds since 1970.
 """
 
 from __future__ import annotations
@@ -35,21 +35,21 @@
 
 
 class ClusterState:
-    """Jobs, workers and decisions of one leader."""
+    """Jobs and workers of a cluster, and the scheduling decisions of its leader."""
 
     def __init__(self) -> None:
         self.jobs: dict[str, Job] = {}
         self.workers: dict[str, Worker] = {}
         self._guaranteed: dict[str, int] = {}
         self._services: dict[str, str] = {}
-        self._dirty: dict[str, Occurrence] = {}
+        self._changed_occurrences: dict[str, Occurrence] = {}
         self._starts: list[Start] = []
         self._stops: list[Stop] = []
         self._paces: list[Pace] = []
         self._advice_requests: list[AdviceRequest] = []
         self._advised: frozenset[str] = frozenset()
         self._evacuated: frozenset[str] = frozenset()
-        self._touched: dict[str, Job] = {}
+        self._changed_jobs: dict[str, Job] = {}
         self._index = CapacityIndex()
         self._worker_preferences = Caution()
         self._fault_attribution = Blame(self.workers)
@@ -57,34 +57,32 @@
         self._findings: list[Verdict] = []
         self._planner = Planner(self, self._index, self._worker_preferences, self._crashes)
 
-    # Configuration
-
     def configure(
         self,
         guaranteed: Mapping[str, int],
         services: Mapping[str, str],
         advised: Iterable[str] = (),
     ) -> None:
-        """Take over what the configuration says.
+        """Apply the configuration.
 
-        :param guaranteed: accelerators by client account.
-        :param services: the service of each queue.
-        :param advised: queues whose starts need the adviser's leave.
+        :param guaranteed: guaranteed accelerators, by client account.
+        :param services: service names, by queue.
+        :param advised: queues whose starts need the adviser's approval.
         """
         self._advised = frozenset(advised)
         self._guaranteed = dict(guaranteed)
         self._services = dict(services)
 
     def guaranteed(self, account: str) -> int:
-        """Accelerators that an account owns for jobs of priority 0."""
+        """Accelerators that are guaranteed to an account for jobs of priority 0."""
         return self._guaranteed.get(account, 0)
 
     def is_advised(self, job: Job) -> bool:
-        """Whether a start of a job's tasks needs the adviser's leave."""
+        """Whether starts of a job's tasks need the adviser's approval."""
         return job.accepted.queue in self._advised
 
     def request_advice(self, step: StepState, workers: tuple[str, ...]) -> None:
-        """Have the adviser asked which of some workers may run a step."""
+        """Queue a request to the adviser: which of these workers may run the step."""
         step.advice.asking = True
         self._advice_requests.append(AdviceRequest(step, workers))
 
@@ -94,13 +92,11 @@
 
     @property
     def planner(self) -> Planner:
-        """What decides; to others a thing to read."""
+        """The planner. Callers outside this class only read from it."""
         return self._planner
 
-    # Jobs
-
     def add_job(self, accepted: AcceptedJob, records: Mapping[int, OccurrenceRecord]) -> Job:
-        """A job that the store has, with its progress; known ones stay as they are."""
+        """Add a job from the store with its progress. A job that is already known is unchanged."""
         job = self.jobs.get(accepted.job_id)
         if job is not None:
             return job
@@ -111,7 +107,7 @@
             addresses = {} if record is None else record.addresses
             for step in occurrence.steps:
                 for task in step.tasks:
-                    self._restore(task, addresses)
+                    self._restore_run(task, addresses)
                 for index in step.record.crashes:
                     self._crashes.inherit(step.tasks[index])
         self._stop_leftovers(job)
@@ -120,7 +116,7 @@
         return job
 
     def _stop_leftovers(self, job: Job) -> None:
-        """Stop what an earlier leader was about to stop when it was lost: stops are not kept."""
+        """Stop runs that an earlier leader had yet to stop. The store holds no pending stops."""
         for occurrence in job.occurrences:
             if job.failed:
                 self._stop_all(occurrence, StopReason.JOB_FAILED)
@@ -129,58 +125,62 @@
                 if step.step.gang and any(is_waiting(task) for task in step.tasks):
                     self._stop_step(step, StopReason.GANG_BROKEN)
 
-    def _restore(self, task: Task, addresses: Mapping[str, str]) -> None:
+    def _restore_run(self, task: Task, addresses: Mapping[str, str]) -> None:
         record = task.record
         if record.status is not TaskStatus.ASSIGNED:
             return
         address = addresses.get(record.worker, "")
-        worker = self._worker_at(record.worker, address)
+        worker = self._incarnation_at(record.worker, address)
         run = Run(task, record.run, worker.worker_id, task.step.step.room, 0.0, inherited=True)
         run.saved = record.saved
         run.address = address
         task.run = run
         worker.add(run)
 
-    def _worker_at(self, worker_id: str, address: str) -> Worker:
-        """The life that a run was given to at some address; it is asked there and nowhere else.
+    def _incarnation_at(self, worker_id: str, address: str) -> Worker:
+        """Return the worker incarnation that was ordered a run at an address.
 
-        Its record may name another address since. What answers there tells nothing of the run, so
-        the life counts as one that is in no list until a record names the address again.
+        The worker's record may have changed its address since then. A process at the new address
+        knows nothing of the run, so only the original address is polled: the worker counts as
+        unlisted until a record names that address again.
 
-        :param address: where the run was ordered, or empty where that is not known.
+        :param address: where the run was ordered; empty if unknown.
         """
         worker = self.workers.get(worker_id)
         if worker is None:
-            return self._ghost(worker_id, address)
+            return self._add_unlisted_worker(worker_id, address)
         if address and not worker.runs and worker.record.address != address:
             worker.record = replace(worker.record, address=address)
             worker.listed = False
             worker.reachable = False
         return worker
 
-    def _ghost(self, worker_id: str, address: str) -> Worker:
-        """A life that is not in the list, but may still run something.
+    def _add_unlisted_worker(self, worker_id: str, address: str) -> Worker:
+        """Add a worker incarnation that is not listed but may still run tasks.
 
-        :param address: where to ask it, or empty.
+        :param address: where to poll it; empty if unknown.
         """
-        record = _unlisted(worker_id, address)
+        record = _unlisted_record(worker_id, address)
         worker = Worker(record, listed=False, reachable=False)
-        self._know(worker)
+        self._add_worker(worker)
         return worker
 
     def cancel(self, job_id: str) -> None:
-        """A client has cancelled a job: nothing of it starts again, what runs is stopped."""
+        """Cancel a job: none of its tasks starts again, and its runs are stopped."""
         job = self.jobs.get(job_id)
         if job is None or job.over:
             return
         job.cancelled = True
         self._crashes.forget_job(job_id)
-        self._touched[job_id] = job
+        self._changed_jobs[job_id] = job
         for occurrence in job.occurrences:
             self._stop_all(occurrence, StopReason.CANCELLED)
 
     def expired_jobs(self, now: float, retention_s: float) -> list[Job]:
-        """Jobs that have been over for longer than they have to be known."""
+        """Jobs that have been over for longer than the retention time.
+
+        The time starts when a call first finds the job settled.
+        """
         found = []
         for job in self.jobs.values():
             if not job.settled:
@@ -192,19 +192,17 @@
         return found
 
     def remove_job(self, job_id: str) -> None:
-        """A job that the store no longer has."""
+        """Remove a job that is no longer in the store."""
         self.jobs.pop(job_id, None)
         self._fault_attribution.forget_job(job_id)
         self._crashes.forget_job(job_id)
 
-    # Workers
-
     def set_worker(self, record: WorkerRecord, now: float) -> Worker:
-        """A life of a worker is in the list, or its record changed."""
+        """Add a listed worker incarnation, or update its record."""
         worker = self.workers.get(record.worker_id)
         if worker is None:
             worker = Worker(record)
-            self._know(worker)
+            self._add_worker(worker)
         worker.note(record, now)
         worker.evacuated = record.data_hall in self._evacuated
         if worker.is_cold(now):
@@ -216,106 +214,107 @@
         return worker
 
     def unlist_worker(self, worker_id: str) -> None:
-        """A life is no longer in the list; what it runs may go on."""
+        """Mark a worker incarnation as no longer listed. Its runs may go on.
+
+        It is removed once it has no runs.
+        """
         worker = self.workers.get(worker_id)
         if worker is None:
             return
         if worker.listed:
-            self._follow(self._crashes.unlisted(worker))
+            self._apply_assessment(self._crashes.unlisted(worker))
         worker.listed = False
         if not worker.runs:
-            self._lose(worker)
+            self._remove_worker(worker)
 
     def worker_ended(self, worker_id: str, end: LifeEnd | None = None) -> None:
-        """A life has ended, or its lease has lapsed for sure: nothing runs there.
+        """End all runs of a worker incarnation that has ended or whose lease has certainly lapsed.
 
-        :param end: when it may have ended, where it may have crashed.
+        :param end: when it may have ended, if it may have crashed.
         """
         worker = self.workers.get(worker_id)
         if worker is None:
             return
-        judgement = Judgement() if end is None else self._crashes.life_over(worker, end)
+        assessment = Judgement() if end is None else self._crashes.life_over(worker, end)
         lost = list(worker.runs.values())
         for run in lost:
             worker.remove(run.task.name, run.number)
-        self._follow(judgement)
+        self._apply_assessment(assessment)
         for run in lost:
-            self._run_over(run, EndKind.LAPSED, run.saved)
+            self._finish_run(run, EndKind.LAPSED, run.saved)
         if not worker.listed:
-            self._lose(worker)
+            self._remove_worker(worker)
 
     def record_answer(self, worker: Worker, now: float) -> None:
-        """A life has answered."""
+        """Record that a worker incarnation has answered."""
         worker.heard_s = now
         worker.silent_s = None
         worker.outlived_record = not worker.listed
-        self._follow(self._crashes.heard(worker.worker_id))
+        self._apply_assessment(self._crashes.heard(worker.worker_id))
 
     def clear_suspects(self, job_id: str) -> int:
-        """Start the tasks of a job as any others, though workers crashed under them.
+        """Clear the suspicion that tasks of a job crash their workers; they start normally again.
 
-        Crashes still count: what bounds a task's starts does not depend on what is held of it.
+        Their crashes still count: the limit on a task's starts does not depend on suspicion.
 
-        :return: so many tasks were suspects.
+        :return: number of tasks that were suspects.
         """
         job = self.jobs.get(job_id)
         if job is None or job.over:
             return 0
-        judgement = self._crashes.clear(job)
-        self._follow(judgement)
-        return len(judgement.touched)
-
-    def _follow(self, judgement: Judgement) -> None:
-        """Keep what a crash tells, and give up the jobs of those that caused it."""
-        self._findings += judgement.verdicts
-        for task in judgement.touched:
+        assessment = self._crashes.clear(job)
+        self._apply_assessment(assessment)
+        return len(assessment.touched)
+
+    def _apply_assessment(self, assessment: Judgement) -> None:
+        """Record findings about crashes, and fail the jobs whose tasks caused them."""
+        self._findings += assessment.verdicts
+        for task in assessment.touched:
             if task.step.occurrence.open:
-                self._mark(task.step.occurrence)
-        for task in judgement.culprits:
-            self._give_up(task.step.occurrence, FailureCause.CRASHES)
+                self._mark_changed(task.step.occurrence)
+        for task in assessment.culprits:
+            self._fail_job(task.step.occurrence, FailureCause.CRASHES)
 
     def evacuate(self, halls: frozenset[str]) -> None:
-        """Start nothing in some data halls from now on, and in all others again.
+        """Set the data halls in which nothing starts.
 
-        What runs there goes on: it holds its room until it ends, and is stopped only for the
-        reasons for which it would be anywhere.
+        Runs in these halls go on and keep their resources until they end. They are stopped only
+        for the same reasons as runs elsewhere.
 
-        :param halls: all that are being evacuated.
+        :param halls: all data halls that are being evacuated; starts resume in all others.
         """
         self._evacuated = halls
         for worker in self.workers.values():
             worker.evacuated = worker.record.data_hall in halls
 
-    def _know(self, worker: Worker) -> None:
+    def _add_worker(self, worker: Worker) -> None:
         self.workers[worker.worker_id] = worker
         self._index.add(worker)
 
-    def _lose(self, worker: Worker) -> None:
+    def _remove_worker(self, worker: Worker) -> None:
         del self.workers[worker.worker_id]
         self._fault_attribution.forget_worker(worker.worker_id)
         self._index.remove(worker)
 
-    # Runs
-
     def run_started(self, run: Run, now: float) -> None:
-        """The worker has confirmed a run."""
+        """Record that a worker has confirmed the start of a run."""
         if run.started_s is None:
             run.started_s = now
         run.task.step.occurrence.job.begun = True
-        self._touched[run.task.name.job_id] = run.task.step.occurrence.job
+        self._changed_jobs[run.task.name.job_id] = run.task.step.occurrence.job
 
     def run_not_started(self, run: Run) -> None:
-        """A run never began, and never will."""
+        """End a run that never began and never will."""
         worker = self.workers.get(run.worker_id)
         if worker is not None:
             worker.remove(run.task.name, run.number)
         run.never_began = True
         if run.ordered_s is None and not run.inherited:
             self._crashes.started(run.task, -1)
-        self._run_over(run, EndKind.STOPPED, "")
+        self._finish_run(run, EndKind.STOPPED, "")
 
     def worker_reported(self, worker_id: str, running: Iterable[RunningTask], now: float) -> None:
-        """A worker tells what it runs; what we do not know of is stopped."""
+        """Update the runs that a worker reports, and stop those that are unknown."""
         worker = self.workers[worker_id]
         for row in running:
             name = TaskName.parse(row.task)
@@ -332,21 +331,21 @@
             run.figure = row.figure
             if row.saved:
                 run.saved = row.saved
-        self._move_stuck(worker, now)
+        self._restart_stalled(worker, now)
         self._paces += paces(worker, now)
 
-    def _move_stuck(self, worker: Worker, now: float) -> None:
-        """Stop what stands still on a worker, so that it begins again elsewhere."""
+    def _restart_stalled(self, worker: Worker, now: float) -> None:
+        """Stop stalled runs on a worker, so that they restart elsewhere."""
         if not needs_looks(worker) or worker.is_cold(now):
             return
         for run in list(worker.runs.values()):
             if is_stuck(run, self.members(run), now):
-                self._charge(worker, run, FailureKind.STUCK, now)
+                self._attribute_failure(worker, run, FailureKind.STUCK, now)
                 run.task.step.moves += 1
                 self.stop_group(run, StopReason.STUCK)
 
     def run_ended(self, worker_id: str, end: EndedTask, now: float) -> None:
-        """A worker tells that a run is over."""
+        """Record the end of a run as its worker reported it."""
         worker = self.workers[worker_id]
         run = worker.remove(TaskName.parse(end.task), end.run)
         if run is None:
@@ -355,63 +354,63 @@
             worker.succeeded(now)
             self._fault_attribution.ended_well(worker_id)
         elif end.how is EndKind.FAILED:
-            self._note_failure(worker, run, now)
+            self._record_failure(worker, run, now)
         self._planner.run_ended(run, end.how, now)
-        self._follow(self._crashes.survived(run, end.how, now))
-        self._run_over(run, end.how, end.saved or run.saved)
+        self._apply_assessment(self._crashes.survived(run, end.how, now))
+        self._finish_run(run, end.how, end.saved or run.saved)
 
-    def _note_failure(self, worker: Worker, run: Run, now: float) -> None:
+    def _record_failure(self, worker: Worker, run: Run, now: float) -> None:
         run.task.avoid.add(worker.worker_id)
         run.task.step.has_avoided_workers = True
         kind = FailureKind.EARLY if _is_early(run, now) else FailureKind.LATE
-        self._charge(worker, run, kind, now)
+        self._attribute_failure(worker, run, kind, now)
 
-    def _charge(self, worker: Worker, run: Run, kind: FailureKind, now: float) -> None:
+    def _attribute_failure(self, worker: Worker, run: Run, kind: FailureKind, now: float) -> None:
         if run.task.name.job_id not in self.jobs:
             return
         at_fault = self._fault_attribution.failed(worker, run, kind, now)
         if at_fault and kind is not FailureKind.LATE:
             self._worker_preferences.note_faulty(worker, now)
 
-    def _run_over(self, run: Run, how: EndKind, saved: str) -> None:
+    def _finish_run(self, run: Run, how: EndKind, saved: str) -> None:
         task = run.task
         if task.run is not run:
             return
         task.run = None
         step = task.step
         occurrence = step.occurrence
-        self._mark(occurrence)
+        self._mark_changed(occurrence)
         if task.status is not TaskStatus.ASSIGNED:
             return
         if how is EndKind.DONE and not step.step.long_running:
-            self._done(task)
+            self._complete_task(task)
             return
         task.record.status = TaskStatus.WAITING
         if step.step.checkpoint and saved:
-            self._save(task, saved)
+            self._save_checkpoint(task, saved)
         if self._crashes.is_spent(task):
-            self._spent(task)
+            self._fail_out_of_starts(task)
         elif step.step.once and _has_begun(run, how) and not task.record.saved:
-            self._give_up(occurrence, FailureCause.ONCE)
+            self._fail_job(occurrence, FailureCause.ONCE)
         elif how is EndKind.FAILED:
-            self._failed(task, run)
+            self._record_task_failure(task, run)
         elif step.step.gang:
             self._stop_step(step, StopReason.GANG_BROKEN)
         if occurrence.open:
             self._planner.requeue(step, ran=not run.never_began)
 
-    def _spent(self, task: Task) -> None:
-        """A task that may crash its workers has been started as often as it may be."""
+    def _fail_out_of_starts(self, task: Task) -> None:
+        """Fail the job of a task that may crash its workers and has used up its starts."""
         if task.step.occurrence.open:
             self._findings.append(self._crashes.verdict(task))
-            self._give_up(task.step.occurrence, FailureCause.CRASHES)
+            self._fail_job(task.step.occurrence, FailureCause.CRASHES)
 
-    def _save(self, task: Task, saved: str) -> None:
+    def _save_checkpoint(self, task: Task, saved: str) -> None:
         tasks = task.step.tasks if task.step.step.gang else [task]
         for each in tasks:
             each.record.saved = saved
 
-    def _done(self, task: Task) -> None:
+    def _complete_task(self, task: Task) -> None:
         step = task.step
         tasks = step.tasks if step.step.gang else [task]
         for each in tasks:
@@ -422,10 +421,10 @@
         occurrence = step.occurrence
         if occurrence.status is OccurrenceStatus.OPEN and all(s.finished for s in occurrence.steps):
             occurrence.status = OccurrenceStatus.DONE
-            self._touched[occurrence.job.job_id] = occurrence.job
+            self._changed_jobs[occurrence.job.job_id] = occurrence.job
         self._planner.step_finished(step)
 
-    def _failed(self, task: Task, run: Run) -> None:
+    def _record_task_failure(self, task: Task, run: Run) -> None:
         step = task.step
         task.record.failures += 1
         failures = task.record.failures
@@ -437,24 +436,22 @@
             self._stop_step(step, StopReason.GANG_BROKEN)
         if step.step.long_running or failures < step.occurrence.job.accepted.attempts:
             return
-        self._give_up(step.occurrence, FailureCause.ATTEMPTS)
+        self._fail_job(step.occurrence, FailureCause.ATTEMPTS)
 
-    def _give_up(self, occurrence: Occurrence, cause: FailureCause) -> None:
-        """A job can no longer be done: nothing of it starts again, what runs is stopped."""
+    def _fail_job(self, occurrence: Occurrence, cause: FailureCause) -> None:
+        """Fail a job: none of its tasks starts again, and its runs are stopped."""
         if occurrence.status is not OccurrenceStatus.OPEN:
             return
         occurrence.status = OccurrenceStatus.FAILED
         occurrence.cause = cause.value
         self._crashes.forget_job(occurrence.job.job_id)
-        self._mark(occurrence)
-        self._touched[occurrence.job.job_id] = occurrence.job
+        self._mark_changed(occurrence)
+        self._changed_jobs[occurrence.job.job_id] = occurrence.job
         for other in occurrence.job.occurrences:
             self._stop_all(other, StopReason.JOB_FAILED)
 
-    # Stopping
-
     def stop_run(self, run: Run, reason: StopReason, cause: str = "") -> None:
-        """Order a run to stop; its room is free when its end is reported."""
+        """Order a run to stop. Its resources are free once its end is reported."""
         worker = self.workers.get(run.worker_id)
         if worker is None or (run.task.name, run.number) not in worker.runs:
             return
@@ -463,23 +460,23 @@
             self._stops.append(Stop(run.worker_id, run.task.name, run.number, reason, cause))
 
     def stop_group(self, run: Run, reason: StopReason, cause: str = "") -> None:
-        """Stop a run and all that it cannot run without."""
+        """Stop a run together with the other runs of its gang."""
         for member in self.members(run):
             self.stop_run(member, reason, cause)
 
     def preempt(self, run: Run, job: Job) -> None:
-        """Stop a run, and its gang, for a job that may take the room back."""
+        """Preempt a run, and its gang, for a job that may reclaim the resources."""
         self.stop_group(run, StopReason.PREEMPTED, job.job_id)
 
     def members(self, run: Run) -> Sequence[Run]:
-        """The runs that stop together with a run."""
+        """The runs that stop together with a run: those of its gang, or it alone."""
         step = run.task.step
         if not step.step.gang:
             return [run]
         return [task.run for task in step.tasks if task.run is not None]
 
     def is_worker_reachable(self, run: Run) -> bool:
-        """Whether a run is on a worker that answers."""
+        """Whether a run's worker is reachable."""
         worker = self.workers.get(run.worker_id)
         return worker is not None and worker.reachable
 
@@ -492,12 +489,10 @@
         for step in occurrence.steps:
             self._stop_step(step, reason)
 
-    # Decisions
-
     def plan(self, now: float, wall_ms: float) -> bool:
-        """Decide what starts and what has to give room.
+        """Run one planning round: decide what starts and what is preempted.
 
-        :return: whether more may be decided at once: a round decides so much.
+        :return: whether the round reached its limit, so that another may follow at once.
         """
         self._index.begin_round(now)
         self._crashes.tick(now)
@@ -506,7 +501,10 @@
         return self._planner.plan(now, wall_ms)
 
     def assign(self, task: Task, worker: Worker, number: int, now: float) -> None:
-        """Give a run of a task to a worker."""
+        """Assign a new run of a task to a worker.
+
+        :param number: number of the run.
+        """
         run = Run(task, number, worker.worker_id, task.step.step.room, assigned_s=now)
         run.address = worker.record.address
         task.run = run
@@ -516,25 +514,25 @@
         worker.add(run)
         self._crashes.started(task, 1)
         occurrence = task.step.occurrence
-        self._mark(occurrence)
+        self._mark_changed(occurrence)
         saved = task.record.saved if task.step.step.checkpoint else ""
         ticket = task.step.advice.ticket(worker.worker_id, now) or ""
         self._starts.append(Start(run, occurrence.job.accepted.request.payload, saved, ticket))
 
-    def _mark(self, occurrence: Occurrence) -> None:
-        self._dirty[occurrence.key] = occurrence
-        self._touched[occurrence.job.job_id] = occurrence.job
+    def _mark_changed(self, occurrence: Occurrence) -> None:
+        self._changed_occurrences[occurrence.key] = occurrence
+        self._changed_jobs[occurrence.job.job_id] = occurrence.job
 
     @property
     def has_changes(self) -> bool:
-        """Whether something is to be taken that follows from events since the last plan."""
+        """Whether :meth:`take_changes` would return anything."""
         orders = (
             self._findings or self._starts or self._stops or self._paces or self._advice_requests
         )
-        return bool(orders or self._dirty or self._touched)
+        return bool(orders or self._changed_occurrences or self._changed_jobs)
 
     def take_changes(self) -> Changes:
-        """What has followed since the last call."""
+        """Return the changes since the last call."""
         changes = Changes(
             starts=self._starts,
             stops=self._stops,
@@ -542,15 +540,15 @@
             advice_requests=self._advice_requests,
             verdicts=self._findings,
         )
-        for key, occurrence in self._dirty.items():
+        for key, occurrence in self._changed_occurrences.items():
             changes.records[key] = occurrence.to_record()
-        changes.state_updates = [(job, job.state) for job in self._touched.values()]
+        changes.state_updates = [(job, job.state) for job in self._changed_jobs.values()]
         self._starts, self._stops, self._paces, self._advice_requests = [], [], [], []
-        self._dirty, self._touched, self._findings = {}, {}, []
+        self._changed_occurrences, self._changed_jobs, self._findings = {}, {}, []
         return changes
 
     def pending(self, queue: str) -> int:
-        """Accepted jobs of a queue none of whose tasks has begun."""
+        """Number of accepted jobs of a queue of which no task has started."""
         return sum(
             1
             for job in self.jobs.values()
@@ -559,7 +557,10 @@
 
 
 def _is_early(run: Run, now: float) -> bool:
-    """Whether a run that fails can have done no work; short work may be at its end by then."""
+    """Whether a failed run ended too early to have done any work.
+
+    The limit is lower for tasks with a short estimate, which may have been near their end.
+    """
     since_s = run.started_s if run.started_s is not None else run.assigned_s
     estimate_ms = run.task.step.step.estimate_ms
     if not estimate_ms:
@@ -568,11 +569,11 @@
 
 
 def _has_begun(run: Run, how: EndKind) -> bool:
-    """Whether a run may have done some of its work."""
+    """Whether a run may have begun its work."""
     return not run.never_began and how is not EndKind.ALONE
 
 
-def _unlisted(worker_id: str, address: str) -> WorkerRecord:
+def _unlisted_record(worker_id: str, address: str) -> WorkerRecord:
     return WorkerRecord(
         worker_id=worker_id,
         service="",
--- a/src/saddlestack/policy/cluster/waiting.py
+++ b/src/saddlestack/policy/cluster/waiting.py
@@ -1,4 +1,4 @@
-"""The work that waits: which steps may start, since when they wait, and in which order."""
+"""Queue of waiting steps: which steps may start, since when they wait, and their order."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
 from saddlestack.policy.cluster.records import TaskStatus
 
 _Order = tuple[int, int]
-"""Priority, and when the job was accepted; of equals the one that came first goes first."""
+"""Sort key: priority, then when the job was accepted. Equal steps keep their order of arrival."""
 
 Guaranteed = Callable[[str], int]
-"""Accelerators that a client account owns for jobs of top priority."""
+"""Returns the accelerators that are guaranteed to a client account for jobs of top priority."""
 
 
 class WaitingSteps:
-    """Steps some of whose tasks may wait, in order; what runs or is over costs nothing here."""
+    """Ordered steps that may have waiting tasks. Steps that run or are over cost nothing here."""
 
     def __init__(self) -> None:
         self._steps: SortedKeyList[StepState, _Order] = SortedKeyList(key=_order)
-        self._known: set[StepState] = set()
-        self._fresh: list[StepState] = []
+        self._queued: set[StepState] = set()
+        self._newly_queued: list[StepState] = []
         self._due: list[tuple[int, int, Occurrence]] = []
-        self._top: dict[str, Job] = {}
+        self._top_jobs: dict[str, Job] = {}
         self._count = 0
 
     def add(self, job: Job) -> None:
-        """A job with work left."""
+        """Queue the steps of a job that may start, unless the job is over."""
         if job.over:
             return
         if job.priority == TOP_PRIORITY:
-            self._top[job.job_id] = job
+            self._top_jobs[job.job_id] = job
         for occurrence in job.occurrences:
             if not occurrence.open:
                 continue
@@ -44,41 +44,42 @@
                 self._open(occurrence)
 
     def requeue(self, step: StepState, *, ran: bool) -> None:
-        """A task of a step waits again.
+        """Queue a step again whose task has to run again.
 
-        :param ran: whether its run may have begun; else the step has waited all the while.
+        :param ran: whether the task's last run may have begun; otherwise the step counts as having
+            waited throughout.
         """
         if ran:
             step.stalled_since_s = None
         self._add(step)
-        if step in self._known:
-            self._fresh.append(step)
+        if step in self._queued:
+            self._newly_queued.append(step)
 
     def remove(self, step: StepState) -> None:
-        """No task of a step waits any more, or none may start."""
-        if step in self._known:
-            self._known.discard(step)
+        """Remove a step of which no task waits any more, or none may start."""
+        if step in self._queued:
+            self._queued.discard(step)
             self._steps.remove(step)
 
     def step_finished(self, step: StepState) -> None:
-        """All tasks of a step are done: steps that waited for it may start."""
+        """Queue the steps that may start now that a step is finished."""
         for later in step.occurrence.steps:
             if step.number in later.step.after:
                 self._add(later)
 
     def in_order(self, now: float, wall_ms: float, entitled: set[str]) -> list[StepState]:
-        """Steps that may have tasks to start, those that go first first.
+        """Steps that may have tasks to start, the first to be placed first.
 
-        :param entitled: jobs of top priority that lie within their account's guarantee.
+        :param entitled: ids of top-priority jobs that are within their account's guarantee.
         """
         while self._due and self._due[0][0] <= wall_ms:
             self._open(heapq.heappop(self._due)[2])
-        for step in self._fresh:
+        for step in self._newly_queued:
             if step.stalled_since_s is None:
                 step.stalled_since_s = now
             if step.waiting_since_s is None:
                 step.waiting_since_s = now
-        self._fresh.clear()
+        self._newly_queued.clear()
         top = self._steps.bisect_key_left((TOP_PRIORITY + 1, 0))
         urgent = sorted(
             self._steps[:top], key=lambda step: step.occurrence.job.job_id not in entitled
@@ -86,17 +87,17 @@
         return urgent + self._steps[top:]
 
     def entitled(self, guaranteed: Guaranteed) -> set[str]:
-        """Jobs of top priority that lie within their account's guarantee."""
-        for job_id in [job_id for job_id, job in self._top.items() if job.over]:
-            del self._top[job_id]
+        """Ids of top-priority jobs that are within their account's guarantee."""
+        for job_id in [job_id for job_id, job in self._top_jobs.items() if job.over]:
+            del self._top_jobs[job_id]
         found: set[str] = set()
         left: dict[str, int] = {}
-        for job in sorted(self._top.values(), key=lambda job: job.accepted.accepted_ms):
+        for job in sorted(self._top_jobs.values(), key=lambda job: job.accepted.accepted_ms):
             account = job.accepted.account
-            room = left.get(account)
-            if room is None:
-                room = guaranteed(account)
-            left[account] = room - job.accelerators
+            available = left.get(account)
+            if available is None:
+                available = guaranteed(account)
+            left[account] = available - job.accelerators
             if left[account] >= 0:
                 found.add(job.job_id)
         return found
@@ -107,19 +108,19 @@
                 self._add(step)
 
     def _add(self, step: StepState) -> None:
-        if step not in self._known and may_start(step):
-            self._known.add(step)
+        if step not in self._queued and may_start(step):
+            self._queued.add(step)
             self._steps.add(step)
-            self._fresh.append(step)
+            self._newly_queued.append(step)
 
 
 def is_waiting(task: Task) -> bool:
-    """Whether a task is to be started."""
+    """Whether a task waits to be started."""
     return task.status is TaskStatus.WAITING and task.run is None
 
 
 def may_start(step: StepState) -> bool:
-    """Whether tasks of a step are to be started, and may be now."""
+    """Whether tasks of a step wait and may start now."""
     if step.finished or not step.occurrence.open:
         return False
     steps = step.occurrence.steps
--- a/tests/test_waits_board.py
+++ b/tests/test_waits_board.py
@@ -257,7 +257,7 @@
 
     def forgotten(self, cluster_state: ClusterState) -> list[str]:
         """Steps that may start, and that no round would try."""
-        tried = cluster_state._planner._waiting._known
+        tried = cluster_state._planner._waiting._queued
         steps = [
             step
             for job in cluster_state.jobs.values()
