--- a/src/saddlestack/policy/cluster/__init__.py
+++ b/src/saddlestack/policy/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""The board: jobs, tasks and workers of one pool, and every decision about them."""
+"""State of a cluster of workers, and the scheduling decisions on its jobs and tasks."""
--- a/src/saddlestack/policy/cluster/exclusion.py
+++ b/src/saddlestack/policy/cluster/exclusion.py
@@ -1,6 +1,7 @@
-"""What a worker is kept from since runs failed on it, as a diagnosis reads it.
+"""Which work a worker is excluded from because runs failed on it.
 
-The other modules read here how :mod:`saddlestack.policy.cluster.workers` excludes such workers.
+Other modules, such as the diagnosis, read here how :mod:`saddlestack.policy.cluster.workers`
+excludes such workers.
 """
 
 from __future__ import annotations
@@ -12,11 +13,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Exclusion:
-    """What failed runs keep a worker from. Times are seconds on the board's clock.
+    """Which work a worker is excluded from. Times are in seconds on the monotonic clock.
 
-    :param quarantine_s: no work until then; ``None`` where it is over.
-    :param probation_s: neither urgent work nor gangs until then; ``None`` where it is over.
-    :param on_trial: it takes one task at a time.
+    :param quarantine_s: it gets no work until then; ``None`` if the quarantine is over.
+    :param probation_s: it gets neither urgent work nor gangs until then; ``None`` if the probation
+        is over.
+    :param on_trial: whether it gets only one task at a time.
     """
 
     quarantine_s: float | None
@@ -24,13 +26,13 @@
     on_trial: bool
 
     def proven_s(self) -> float | None:
-        """When urgent work and gangs may go there; ``None`` where they may now."""
+        """When the worker may get urgent work and gangs; ``None`` if it may now."""
         ends = [end for end in (self.quarantine_s, self.probation_s) if end is not None]
         return max(ends, default=None)
 
 
 def exclusion_of(worker: Worker, now: float) -> Exclusion:
-    """What a worker is kept from now."""
+    """Return which work a worker is excluded from now."""
     closed_s = max(worker.busy_s, worker.quarantine_s)
     return Exclusion(
         quarantine_s=closed_s if now < closed_s else None,
--- a/src/saddlestack/policy/cluster/fits.py
+++ b/src/saddlestack/policy/cluster/fits.py
@@ -1,7 +1,7 @@
-"""How many tasks of one size each rack holds, kept from round to round.
+"""How many tasks with the same requirements fit in each rack, cached from round to round.
 
-Work that waits asks the same again and again; only racks of which something changed since it last
-asked are counted anew.
+Waiting work needs the same counts in each round. Only racks that have changed since the last query
+are counted again.
 """
 
 from __future__ import annotations
@@ -18,16 +18,17 @@
 from saddlestack.work import Resources
 
 MAX_FITS = 64
-"""Sizes of tasks that are remembered, those asked for last. At 350 workers in 18 racks one takes
-5 KB, and 0.6 ms to count anew (median of 20)."""
+"""Number of cached :class:`FitCapacity`; the least recently used one is evicted. With 350 workers
+in 18 racks one takes 5 KB, and 0.6 ms to count again (median of 20)."""
 
 
 @dataclass(frozen=True, slots=True)
 class FitKey:
-    """What tasks have to share so that a worker holds as many of the one as of the other.
+    """Requirements by which tasks are equal: a worker holds as many of one as of the other.
 
-    :param label: that the worker must have, or empty.
-    :param proven: whether they go to no worker on probation.
+    :param room: resources of a task.
+    :param label: label that the worker must have, or empty.
+    :param proven: whether they must not run on workers on probation.
     """
 
     service: str
@@ -36,7 +37,7 @@
     proven: bool
 
     def allows(self, worker: Worker, now: float) -> bool:
-        """Whether such tasks may go to a worker that takes work."""
+        """Whether a worker that accepts work may run such tasks."""
         if self.proven and now < worker.probation_s:
             return False
         return not self.label or self.label in worker.record.labels
@@ -44,12 +45,13 @@
 
 @dataclass(slots=True)
 class RackFit:
-    """What a rack holds of tasks of one size.
+    """How many tasks with the same requirements fit in a rack.
 
-    :param copies: that fit now.
-    :param most: that would fit if it were empty.
-    :param free: accelerators that its workers have left.
-    :param releasable: by priority, what fits once lower work has ended; counted where asked for.
+    :param copies: number of tasks that fit now.
+    :param most: number of tasks that would fit if the rack were empty.
+    :param free: free accelerators of its workers.
+    :param releasable: by priority, what fits once work of lower priority has ended. Computed on
+        demand.
     """
 
     copies: int = 0
@@ -59,7 +61,7 @@
 
 
 class FitCapacity:
-    """What each rack of a service holds of tasks of one size."""
+    """How many tasks with the same requirements fit in each rack of a service."""
 
     def __init__(self, fit: FitKey, service_capacity: ServiceCapacity) -> None:
         self.fit = fit
@@ -67,30 +69,30 @@
         self.racks: list[RackFit] = []
         self.total = 0
         self._now = 0.0
-        self._seen = -1
+        self._counted_version = -1
         self._by_copies: SortedList[tuple[int, int]] = SortedList()
         self._by_most: SortedList[int] = SortedList()
 
     @property
     def most(self) -> int:
-        """Tasks that the largest rack would hold if it were empty."""
+        """Number of tasks that would fit in the largest rack if it were empty."""
         return self._by_most[-1] if self._by_most else 0
 
     def holding(self, wanted: int) -> Iterator[Rack]:
-        """Racks where so many tasks fit now."""
+        """Racks where the wanted number of tasks fits now."""
         for _, number in self._by_copies.irange((wanted, -1)):
             yield self.service_capacity.racks[number]
 
     def allows(self, worker: Worker) -> bool:
-        """Whether such tasks may go to a worker that takes work."""
+        """Whether a worker that accepts work may run such tasks."""
         return self.fit.allows(worker, self._now)
 
     def workers(self, rack: Rack) -> list[Worker]:
-        """The workers of a rack that such tasks may go to."""
+        """The workers of a rack that may run such tasks."""
         return [worker for worker in rack.eligible if self.allows(worker)]
 
     def releasable(self, rack: Rack, priority: int) -> ReleasableRack:
-        """What a rack holds once all work of lower priority there has ended."""
+        """What fits in a rack once all work of lower priority there has ended."""
         found = self.racks[rack.number].releasable
         known = found.get(priority)
         if known is None:
@@ -98,22 +100,22 @@
         return known
 
     def soonest(self, priority: int) -> Iterator[ReleasableWorker]:
-        """Workers of all racks, those with the least lower work for each task first."""
+        """Workers of all racks, ordered by :func:`by_release_cost`."""
         lists = [self.releasable(rack, priority).workers for rack in self.service_capacity.racks]
         return merge(*lists, key=by_release_cost)
 
     def refresh(self, now: float) -> None:
-        """Count the racks anew of which something changed."""
+        """Count the racks again that have changed."""
         self._now = now
-        if self._seen == self.service_capacity.version:
+        if self._counted_version == self.service_capacity.version:
             return
         while len(self.racks) < len(self.service_capacity.racks):
             self._by_copies.add((0, len(self.racks)))
             self._by_most.add(0)
             self.racks.append(RackFit())
-        for rack in self.service_capacity.changed_since(self._seen):
+        for rack in self.service_capacity.changed_since(self._counted_version):
             self._count(rack)
-        self._seen = self.service_capacity.version
+        self._counted_version = self.service_capacity.version
 
     def _count(self, rack: Rack) -> None:
         old = self.racks[rack.number]
@@ -141,14 +143,14 @@
 
 
 class FitCache:
-    """The sizes that were asked for lately."""
+    """Cache of :class:`FitCapacity` by requirements."""
 
     def __init__(self, index: CapacityIndex) -> None:
         self._index = index
         self._known: dict[FitKey, FitCapacity] = {}
 
     def of(self, fit: FitKey) -> FitCapacity:
-        """The room for tasks of one size, with all changes up to now."""
+        """Capacity for tasks with some requirements, with all changes up to now."""
         service_capacity = self._index.service(fit.service)
         known = self._known.pop(fit, None)
         if known is None:
--- a/src/saddlestack/policy/cluster/headroom.py
+++ b/src/saddlestack/policy/cluster/headroom.py
@@ -1,4 +1,4 @@
-"""The headroom: empty workers that are kept for urgent work, so that it need not stop others."""
+"""Headroom: empty workers that are kept for urgent work, so that it need not preempt others."""
 
 from __future__ import annotations
 
@@ -9,18 +9,23 @@
 from saddlestack.policy.cluster.workers import Worker
 
 HEADROOM_SHARE = 0.25
-"""Share of a pool's accelerators, on empty workers, that only urgent work may open; data halls that
-are being evacuated do not count..."""
+"""Share of a service's accelerators, on empty workers, that is kept for urgent work. Data halls
+that are being evacuated do not count."""
 HEADROOM_PER_RACK = 32
-"""...of which so many, half a rack at most, lie in one rack, so that urgent gangs fit there."""
+"""Accelerators of the headroom, at most half a rack, that lie in one rack, so that urgent gangs
+fit there."""
 
 
 def may_open(service_capacity: ServiceCapacity, places: Sequence[Worker], waited_s: float) -> bool:
-    """Whether work of lower priority may take some workers and still leave the headroom.
+    """Whether less urgent work may take some workers.
 
-    :param service_capacity: the room of all workers of the service.
-    :param places: where the work would go.
-    :param waited_s: for how long it has waited.
+    It may if it uses no empty worker or leaves the headroom. Otherwise it may if less than half of
+    the service is used, or if it has waited for long enough. The wait is shorter if the pool is
+    mostly free and at least as many empty accelerators remain as the work takes.
+
+    :param service_capacity: capacity of the service.
+    :param places: the workers that the work would go to.
+    :param waited_s: seconds for which it has waited.
     """
     opened: dict[str, int] = {}
     for worker in {worker: None for worker in places if not worker.runs}:
--- a/src/saddlestack/policy/cluster/index.py
+++ b/src/saddlestack/policy/cluster/index.py
@@ -1,8 +1,8 @@
-"""An index of the room of a pool, kept up to date by each change of a worker.
+"""Index of the capacity of a cluster, updated by each change of a worker.
 
-Sums over a service and over each rack are kept rather than taken anew, and workers lie in order of
-the room that they have left. A round of planning looks at the workers that changed and at those
-that it uses; what it costs grows with the work that waits, no longer with the pool.
+Totals of each service and rack are updated rather than recomputed, and workers are ordered by their
+free capacity. A planning round reads only the workers that have changed and those that it uses, so
+its cost grows with the waiting work rather than with the size of the cluster.
 """
 
 from __future__ import annotations
@@ -18,14 +18,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Standing:
-    """What the sums hold of one worker.
-
-    :param service: of its record, as is the rack.
-    :param eligible: whether it takes work and is not suspected.
-    :param empty: its accelerators where it takes work and runs nothing, else 0.
-    :param evacuated: whether its data hall is; such a worker counts in the sums of all alone.
-    :param present: whether it is in the platform's list and answers.
+class _Contribution:
+    """What one worker contributes to the totals.
+
+    :param service: the service in its record.
+    :param rack: the rack in its record.
+    :param eligible: whether it accepts work and is not suspected.
+    :param empty: its accelerators if it accepts work and runs nothing, otherwise 0.
+    :param evacuated: whether its data hall is being evacuated. Such a worker does not count in
+        :attr:`ServiceCapacity.open`.
+    :param present: whether it is listed by the platform and reachable.
     """
 
     service: str
@@ -45,7 +47,7 @@
 class Rack:
     """Workers of one service in one rack.
 
-    :param number: rises with each rack that becomes known.
+    :param number: index of the rack in :attr:`ServiceCapacity.racks`.
     """
 
     def __init__(self, name: str, number: int) -> None:
@@ -58,12 +60,12 @@
 
     @property
     def eligible(self) -> list[Worker]:
-        """Its workers that take work and are not suspected."""
+        """Its workers that accept work and are not suspected."""
         return [worker for worker, eligible in self.workers.items() if eligible]
 
 
 class Usage:
-    """Accelerators and processors of some workers, and how many of them are held."""
+    """Total and used accelerators and processors of some workers."""
 
     def __init__(self) -> None:
         self.accelerators = 0
@@ -73,32 +75,36 @@
 
     @property
     def is_half_used(self) -> bool:
-        """Whether half of the accelerators or of the processors is held."""
+        """Whether at least half of the accelerators or of the processors is used."""
         if self._used_accelerators * 2 >= self.accelerators:
             return True
         return self._used_cpu * 2 >= self._cpu
 
     @property
     def is_mostly_free(self) -> bool:
-        """Whether under half of what counts is held: accelerators, or processors without any."""
+        """Whether under half of the accelerators, or without any of the processors, is used."""
         if self.accelerators:
             return self._used_accelerators * 2 < self.accelerators
         return self._used_cpu * 2 < self._cpu
 
-    def add(self, standing: _Standing, sign: int) -> None:
-        """Count a worker, or count it no longer."""
-        self.accelerators += sign * standing.accelerators
-        self._cpu += sign * standing.cpu
-        self._used_accelerators += sign * standing.used_accelerators
-        self._used_cpu += sign * standing.used_cpu
+    def add(self, contribution: _Contribution, sign: int) -> None:
+        """Add or subtract the contribution of a worker.
+
+        :param sign: 1 or -1.
+        """
+        self.accelerators += sign * contribution.accelerators
+        self._cpu += sign * contribution.cpu
+        self._used_accelerators += sign * contribution.used_accelerators
+        self._used_cpu += sign * contribution.used_cpu
 
 
 class ServiceCapacity:
-    """The room of the workers of one service.
+    """Capacity of the workers of one service.
 
-    :ivar all: what all of its workers have.
-    :ivar open: what those have whose data hall is not being evacuated.
-    :ivar present: what those have that are in the platform's list and answer.
+    :ivar empty: accelerators of workers that accept work and run nothing.
+    :ivar all: usage of all workers.
+    :ivar open: usage of workers whose data hall is not being evacuated.
+    :ivar present: usage of workers that are listed by the platform and reachable.
     """
 
     def __init__(self) -> None:
@@ -112,27 +118,27 @@
         self._by_free: dict[int, SortedList[tuple[int, int]]] = {}
         self._by_number: dict[int, Worker] = {}
         self._by_empty: SortedList[tuple[int, int]] = SortedList()
-        self._by_width: SortedList[int] = SortedList()
+        self._by_accelerators: SortedList[int] = SortedList()
         self._changed: dict[Rack, None] = {}
 
     @property
     def largest_rack(self) -> int:
-        """Accelerators of the widest rack."""
-        return self._by_width[-1] if self._by_width else 0
+        """Accelerators of the rack that has most of them."""
+        return self._by_accelerators[-1] if self._by_accelerators else 0
 
     @property
     def count(self) -> int:
-        """Its workers."""
+        """Number of its workers."""
         return sum(len(rack.workers) for rack in self.racks)
 
     def rack(self, name: str) -> Rack | None:
-        """A rack by its name."""
+        """The rack with a name, or ``None``."""
         return self._by_name.get(name)
 
     def largest_empty_rack(self, opened: Mapping[str, int]) -> int:
-        """Empty accelerators of the rack that has most of them.
+        """Accelerators on empty workers of the rack that has most of them.
 
-        :param opened: by rack, empty ones that are not to be counted.
+        :param opened: accelerators to leave out, by name of the rack.
         """
         best = 0
         for empty, number in reversed(self._by_empty):
@@ -142,68 +148,68 @@
         return best
 
     def changed_since(self, version: int) -> Iterator[Rack]:
-        """Racks of which something changed after a version."""
+        """Racks that have changed since a version, the latest first."""
         for rack in reversed(self._changed):
             if rack.version <= version:
                 return
             yield rack
 
     def tightest_first(self, accelerators: int, cpu: int) -> Iterator[Worker]:
-        """Workers that take work and have so much free, those with the least of it first."""
+        """Eligible workers with at least this much free, those with the least free first."""
         for free in sorted(self._by_free):
             if free < accelerators:
                 continue
             for _, number in self._by_free[free].irange((cpu, -1)):
                 yield self._by_number[number]
 
-    def put(self, worker: Worker, number: int, standing: _Standing) -> None:
-        """Count a worker as it stands."""
-        rack = self._known_rack(standing.rack)
-        rack.workers[worker] = standing.eligible
-        self._add(rack, standing, 1)
-        if standing.eligible:
-            places = self._by_free.setdefault(standing.free_accelerators, SortedList())
-            places.add((standing.free_cpu, number))
+    def put(self, worker: Worker, number: int, contribution: _Contribution) -> None:
+        """Add a worker with its contribution."""
+        rack = self._get_or_add_rack(contribution.rack)
+        rack.workers[worker] = contribution.eligible
+        self._add(rack, contribution, 1)
+        if contribution.eligible:
+            places = self._by_free.setdefault(contribution.free_accelerators, SortedList())
+            places.add((contribution.free_cpu, number))
             self._by_number[number] = worker
         self._touch(rack)
 
-    def drop(self, worker: Worker, number: int, standing: _Standing) -> None:
-        """Leave a worker out that was counted so."""
-        rack = self._by_name[standing.rack]
+    def drop(self, worker: Worker, number: int, contribution: _Contribution) -> None:
+        """Remove a worker that was added with a contribution."""
+        rack = self._by_name[contribution.rack]
         del rack.workers[worker]
-        self._add(rack, standing, -1)
-        if standing.eligible:
-            places = self._by_free[standing.free_accelerators]
-            places.remove((standing.free_cpu, number))
+        self._add(rack, contribution, -1)
+        if contribution.eligible:
+            places = self._by_free[contribution.free_accelerators]
+            places.remove((contribution.free_cpu, number))
             del self._by_number[number]
             if not places:
-                del self._by_free[standing.free_accelerators]
+                del self._by_free[contribution.free_accelerators]
         self._touch(rack)
 
-    def _known_rack(self, name: str) -> Rack:
+    def _get_or_add_rack(self, name: str) -> Rack:
         rack = self._by_name.get(name)
         if rack is None:
             rack = self._by_name[name] = Rack(name, len(self.racks))
             self.racks.append(rack)
             self._by_empty.add((0, rack.number))
-            self._by_width.add(0)
+            self._by_accelerators.add(0)
         return rack
 
-    def _add(self, rack: Rack, standing: _Standing, sign: int) -> None:
-        self.empty += sign * standing.empty
-        self.all.add(standing, sign)
-        if not standing.evacuated:
-            self.open.add(standing, sign)
-        if standing.present:
-            self.present.add(standing, sign)
-        if standing.empty:
+    def _add(self, rack: Rack, contribution: _Contribution, sign: int) -> None:
+        self.empty += sign * contribution.empty
+        self.all.add(contribution, sign)
+        if not contribution.evacuated:
+            self.open.add(contribution, sign)
+        if contribution.present:
+            self.present.add(contribution, sign)
+        if contribution.empty:
             self._by_empty.remove((rack.empty, rack.number))
-            rack.empty += sign * standing.empty
+            rack.empty += sign * contribution.empty
             self._by_empty.add((rack.empty, rack.number))
-        if standing.accelerators and not standing.evacuated:
-            self._by_width.remove(rack.accelerators)
-            rack.accelerators += sign * standing.accelerators
-            self._by_width.add(rack.accelerators)
+        if contribution.accelerators and not contribution.evacuated:
+            self._by_accelerators.remove(rack.accelerators)
+            rack.accelerators += sign * contribution.accelerators
+            self._by_accelerators.add(rack.accelerators)
 
     def _touch(self, rack: Rack) -> None:
         self.version += 1
@@ -213,64 +219,65 @@
 
 
 class CapacityIndex:
-    """The room of all workers, by service.
+    """Capacity of all workers, by service.
 
-    :param leaving: workers that are about to leave.
+    :ivar now: when the current round began, in seconds on the monotonic clock.
+    :ivar leaving: workers that are about to leave.
     """
 
     def __init__(self) -> None:
         self.now = 0.0
         self.leaving: dict[Worker, None] = {}
         self._services: dict[str, ServiceCapacity] = {}
-        self._standings: dict[Worker, _Standing] = {}
+        self._contributions: dict[Worker, _Contribution] = {}
         self._numbers: dict[Worker, int] = {}
         self._next_number = 0
         self._changed: dict[Worker, None] = {}
-        self._asleep: list[tuple[float, int, Worker]] = []
-        self._wakes: dict[Worker, float] = {}
-        self._is_read = False
+        self._timers: list[tuple[float, int, Worker]] = []
+        self._timer_times: dict[Worker, float] = {}
+        self._is_frozen = False
 
     @contextmanager
     def without_refresh(self) -> Iterator[None]:
-        """Read it as the last round has left it.
+        """Read the index as the last round has left it, without later changes.
 
-        To count a change earlier would have the next round choose otherwise among equal workers.
+        Counting changes earlier would alter which of equal workers the next round chooses.
         """
-        self._is_read = True
+        self._is_frozen = True
         try:
             yield
         finally:
-            self._is_read = False
+            self._is_frozen = False
 
     def add(self, worker: Worker) -> None:
-        """Count a worker from now on."""
+        """Add a worker."""
         self._numbers[worker] = self._next_number
         self._next_number += 1
         worker.changed = self._changed
         self._changed[worker] = None
 
     def remove(self, worker: Worker) -> None:
-        """Count a worker no longer."""
+        """Remove a worker."""
         worker.changed = None
         self._changed.pop(worker, None)
         self._drop(worker)
         self.leaving.pop(worker, None)
-        self._wakes.pop(worker, None)
+        self._timer_times.pop(worker, None)
         del self._numbers[worker]
 
     def begin_round(self, now: float) -> None:
-        """Begin a round: what ends with time counts as it is now."""
+        """Begin a planning round: count all changes, including those that are due by time."""
         self.now = now
-        while self._asleep and self._asleep[0][0] <= now:
-            worker = heapq.heappop(self._asleep)[2]
-            self._wakes.pop(worker, None)
+        while self._timers and self._timers[0][0] <= now:
+            worker = heapq.heappop(self._timers)[2]
+            self._timer_times.pop(worker, None)
             if worker in self._numbers:
                 worker.see_trial(now)
                 self._changed[worker] = None
         self._refresh()
 
     def service(self, name: str) -> ServiceCapacity:
-        """The room of a service's workers, with all changes up to now."""
+        """Capacity of a service, with all changes up to now."""
         self._refresh()
         service_capacity = self._services.get(name)
         if service_capacity is None:
@@ -278,7 +285,7 @@
         return service_capacity
 
     def _refresh(self) -> None:
-        if self._is_read:
+        if self._is_frozen:
             return
         for worker in self._changed:
             self._drop(worker)
@@ -287,31 +294,31 @@
 
     def _put(self, worker: Worker) -> None:
         number = self._numbers[worker]
-        standing = self._standings[worker] = _standing(worker, self.now)
-        service_capacity = self._services.get(standing.service)
+        contribution = self._contributions[worker] = _contribution(worker, self.now)
+        service_capacity = self._services.get(contribution.service)
         if service_capacity is None:
-            service_capacity = self._services[standing.service] = ServiceCapacity()
-        service_capacity.put(worker, number, standing)
-        wake_s = worker.next_change_s(self.now)
-        if wake_s is not None and self._wakes.get(worker) != wake_s:
-            self._wakes[worker] = wake_s
-            heapq.heappush(self._asleep, (wake_s, number, worker))
+            service_capacity = self._services[contribution.service] = ServiceCapacity()
+        service_capacity.put(worker, number, contribution)
+        due_s = worker.next_change_s(self.now)
+        if due_s is not None and self._timer_times.get(worker) != due_s:
+            self._timer_times[worker] = due_s
+            heapq.heappush(self._timers, (due_s, number, worker))
         if worker.leaves_s is None:
             self.leaving.pop(worker, None)
         else:
             self.leaving[worker] = None
 
     def _drop(self, worker: Worker) -> None:
-        standing = self._standings.pop(worker, None)
-        if standing is not None:
-            self._services[standing.service].drop(worker, self._numbers[worker], standing)
+        contribution = self._contributions.pop(worker, None)
+        if contribution is not None:
+            self._services[contribution.service].drop(worker, self._numbers[worker], contribution)
 
 
-def _standing(worker: Worker, now: float) -> _Standing:
+def _contribution(worker: Worker, now: float) -> _Contribution:
     record = worker.record
     takes_work = worker.takes_work(now)
     free = worker.free
-    return _Standing(
+    return _Contribution(
         service=record.service,
         rack=record.rack,
         eligible=takes_work and not worker.suspected,
--- a/src/saddlestack/policy/cluster/lending.py
+++ b/src/saddlestack/policy/cluster/lending.py
@@ -1,9 +1,9 @@
-"""Lending: which work may fill reserved room while the runs that hold the rest of it stop.
+"""Lending: which work may use reserved resources until the runs that hold the rest have stopped.
 
-Lending keeps short work from stalling beside idle room. It must not hold up the step that has the
-room reserved, so only work is lent room that is expected to end before the stops do. Expectations
-come from estimates, else from the runs of the same queue. A queue of which no run has ended yet
-counts as short until a run that was lent room shows otherwise.
+Lending keeps short work from stalling beside idle resources. It must not delay the step that has
+the reservation, so only work that is expected to end before the stops may borrow. Durations are
+expected by the step's estimate, otherwise by earlier runs of the same queue. A queue of which no
+run has ended yet counts as short until one of its borrowers runs longer.
 """
 
 from __future__ import annotations
@@ -17,73 +17,79 @@
 from saddlestack.policy.cluster.reservations import Reservation
 
 DEFAULT_STOP_S = 5.0
-"""Runs are expected to take this long to stop until one has."""
+"""Expected time for a run to stop, before any stop has been observed."""
 LOAN_GRACE_S = 0.4
-"""A run that was lent room may be expected to end so much later than the stops."""
+"""A borrower may be expected to end this much later than the stops."""
 MAX_DELAYS = 2
-"""A step that was delayed so often by runs that it had lent room lends none any more."""
+"""A step lends no more after its borrowers have delayed it this often."""
 MAX_SAMPLES = 16
-"""So many of the last stops, and of the last runs of a queue, are remembered."""
+"""Number of latest stops, and of latest runs of each queue, that are kept as samples."""
 
 
 class Lending:
-    """What is known of how long runs take, and what may be lent room by it."""
+    """Decides which work may borrow, by how long earlier runs and stops took."""
 
     def __init__(self) -> None:
         self._stops_s: deque[float] = deque(maxlen=MAX_SAMPLES)
         self._runs_s: dict[str, deque[float]] = {}
 
     def note_stopped(self, run: Run, now: float) -> None:
-        """A run has ended by an order to stop."""
+        """Record that a run has stopped as ordered."""
         if run.awaited_s is not None:
             self._stops_s.append(now - run.awaited_s)
 
     def note_done(self, run: Run, now: float) -> None:
-        """A run has ended well."""
+        """Record that a run has ended successfully."""
         if run.started_s is not None:
-            known = self._runs_s.setdefault(_queue(run.task.step), deque(maxlen=MAX_SAMPLES))
-            known.append(now - run.started_s)
+            samples = self._runs_s.setdefault(_queue(run.task.step), deque(maxlen=MAX_SAMPLES))
+            samples.append(now - run.started_s)
 
     def lenders(
         self, step: StepState, reservations: Iterable[Reservation], now: float
     ) -> frozenset[str]:
-        """The ids of workers that may lend a step what is reserved there for others."""
+        """Ids of workers on which a step may borrow what is reserved for others.
+
+        A worker counts only if all reservations on it may lend.
+        """
         held = list(reservations)
-        known_s = self._known_s(step)
-        takes_s = self._seen_s(step, held, now) if known_s is None else known_s
+        expected_s = self._expected_run_s(step)
+        run_s = self._observed_run_s(step, held, now) if expected_s is None else expected_s
         lending: set[str] = set()
         closed: set[str] = set()
         for each in held:
-            is_open = each.step is not step and (each.awaits_stops or known_s is not None)
-            fits = is_open and takes_s < self._left_s(each, now) + LOAN_GRACE_S
+            is_open = each.step is not step and (each.awaits_stops or expected_s is not None)
+            fits = is_open and run_s < self._lendable_s(each, now) + LOAN_GRACE_S
             (lending if fits else closed).update(worker.worker_id for worker in each.places)
         return frozenset(lending - closed)
 
-    def _known_s(self, step: StepState) -> float | None:
-        """How long a run of a step takes; ``None`` where nothing tells."""
+    def _expected_run_s(self, step: StepState) -> float | None:
+        """Expected seconds that a run of a step takes; ``None`` if unknown."""
         if step.step.long_running:
             return math.inf
         if step.step.estimate_ms:
             return step.step.estimate_ms / 1000
         return max(self._runs_s.get(_queue(step), ()), default=None)
 
-    def _seen_s(self, step: StepState, held: Iterable[Reservation], now: float) -> float:
-        """How long runs of a step's queue have taken so far that were lent room."""
+    def _observed_run_s(self, step: StepState, held: Iterable[Reservation], now: float) -> float:
+        """Longest time that a current borrower of the step's queue has run so far, in seconds."""
         lent = (run for each in held for run in each.borrowers)
         alike = (run for run in lent if _queue(run.task.step) == _queue(step))
         return max((now - run.assigned_s for run in alike), default=0.0)
 
-    def _left_s(self, held: Reservation, now: float) -> float:
-        """For how long a reservation may lend yet: until its stops are through, within bounds."""
+    def _lendable_s(self, held: Reservation, now: float) -> float:
+        """Seconds for which a reservation may still lend: until its last stop is expected to end.
+
+        Negative infinity if it may not lend.
+        """
         if held.step.times_delayed >= MAX_DELAYS:
             return -math.inf
-        return max((self._stop_left_s(run, now) for run in held.stopping), default=-math.inf)
+        return max((self._remaining_stop_s(run, now) for run in held.stopping), default=-math.inf)
 
-    def _stop_left_s(self, run: Run, now: float) -> float:
-        """How long a run takes to stop yet.
+    def _remaining_stop_s(self, run: Run, now: float) -> float:
+        """Seconds until a run is expected to have stopped.
 
-        That is told by the median of the stops that took longer than this one so far. One that
-        takes twice as long as any before is expected to take as long again.
+        Estimated by the median of the earlier stops that took longer than this one has so far. A
+        stop that has taken twice as long as any before is expected to take as long again.
         """
         elapsed_s = 0.0 if run.awaited_s is None else now - run.awaited_s
         stops_s = self._stops_s or (DEFAULT_STOP_S,)
--- a/src/saddlestack/policy/cluster/placement.py
+++ b/src/saddlestack/policy/cluster/placement.py
@@ -1,4 +1,4 @@
-"""Where tasks go: near their data, on one rack where they must, and as tight as possible."""
+"""Placement: near the data, in one rack if required, and packed as tightly as possible."""
 
 from __future__ import annotations
 
@@ -10,30 +10,30 @@
 from saddlestack.work import Resources
 
 Copies = Callable[[Worker], int]
-"""How many tasks of the step in question a worker may take."""
+"""Returns how many tasks of a given step fit on a worker."""
 
 
 def domains(step: StepState, workers: Sequence[Worker]) -> list[list[Worker]]:
-    """Groups of workers that a gang may lie in, the best first.
+    """Groups of workers of which a gang may use one, the best first.
 
-    A gang that wants one rack gets one group a rack; near its data first. Only where no rack
-    could ever hold it do all workers form the group.
+    For a gang that needs a single rack each rack is a group, the one near its data first. If no
+    rack could ever hold the gang, all workers form one group.
     """
     if not step.step.same_rack:
-        return [_near_first(step, workers)]
-    eligible = _able_racks(step, workers)
+        return [_nearest_first(step, workers)]
+    eligible = _gang_racks(step, workers)
     if not eligible:
-        return [_near_first(step, workers)]
+        return [_nearest_first(step, workers)]
     near = step.step.data_rack
     return sorted(eligible, key=lambda rack: rack[0].record.rack != near)
 
 
 def whole_racks(step: StepState, workers: Iterable[Worker]) -> list[Worker]:
-    """Those of some workers that lie in racks where they could hold a whole gang."""
-    return [worker for rack in _able_racks(step, workers) for worker in rack]
+    """The workers in racks that could hold the whole gang if these workers were empty."""
+    return [worker for rack in _gang_racks(step, workers) for worker in rack]
 
 
-def _able_racks(step: StepState, workers: Iterable[Worker]) -> list[list[Worker]]:
+def _gang_racks(step: StepState, workers: Iterable[Worker]) -> list[list[Worker]]:
     return [
         rack
         for rack in by_rack(workers).values()
@@ -42,7 +42,7 @@
 
 
 def by_rack(workers: Iterable[Worker]) -> dict[str, list[Worker]]:
-    """Workers by the rack they stand in."""
+    """Group workers by rack."""
     racks: dict[str, list[Worker]] = {}
     for worker in workers:
         racks.setdefault(worker.record.rack, []).append(worker)
@@ -50,7 +50,7 @@
 
 
 def place_gang(step: StepState, workers: Sequence[Worker], copies: Copies) -> list[Worker] | None:
-    """A worker for each task of a gang, or ``None`` where it does not fit whole."""
+    """Choose a worker for each task of a gang; ``None`` if it does not fit completely."""
     best: list[Worker] | None = None
     best_key: tuple[bool, int] | None = None
     for domain in domains(step, workers):
@@ -65,10 +65,10 @@
 
 
 def soonest(step: StepState, workers: Sequence[Worker]) -> list[Worker]:
-    """Workers that a gang would fit on once all work of lower priority there has ended.
+    """Choose workers on which a gang fits once all work of lower priority there has ended.
 
-    Empty where the gang would not fit even then. Of the domains, the one with the least such
-    work; of its workers, those with the least such work for each task.
+    Chooses the domain with the least such work, and in it the workers with the least such work for
+    each task. Empty if the gang would not fit even then.
     """
     best: list[Worker] = []
     best_key: tuple[bool, float] | None = None
@@ -94,7 +94,7 @@
 
 
 def place_task(step: StepState, workers: Iterable[Worker], copies: Copies) -> Worker | None:
-    """The worker for one task: near its data, then the one that it fills best."""
+    """Choose the worker for one task: near its data, then the one with the least capacity left."""
     best: Worker | None = None
     best_key: tuple[bool, int, int] | None = None
     near = step.step.data_rack
@@ -108,7 +108,7 @@
     return best
 
 
-def _near_first(step: StepState, workers: Sequence[Worker]) -> list[Worker]:
+def _nearest_first(step: StepState, workers: Sequence[Worker]) -> list[Worker]:
     near = step.step.data_rack
     if not near:
         return list(workers)
@@ -124,13 +124,15 @@
 
 
 def fill_one_hall(eligible: Iterable[tuple[Worker, int]], wanted: int) -> list[Worker] | None:
-    """A worker for each task of a gang, in one data hall if that opens no more empty workers.
+    """Choose a worker for each task of a gang, in one data hall if that uses no more empty workers.
 
-    A gang that lies in several halls is lost with each of them: on a pool of five halls seven wide
-    ones, 42,000 core-seconds, were stopped when one hall was cut off for longer than its workers'
-    leases. On a pool of 24 workers gangs that opened empty ones for it cost 0.04 of a calm day.
+    A gang that spans several halls is lost with each of them: in a pool of five halls, seven wide
+    gangs with 42,000 core-seconds of work were stopped when one hall was unreachable for longer
+    than its workers' leases. Using more empty workers for it is not worthwhile: in a pool of 24
+    workers it cost 0.04 of a calm day.
 
-    :param eligible: workers and how many tasks each holds, the fullest first.
+    :param eligible: workers and how many tasks fit on each, the fullest worker first.
+    :return: ``None`` if the gang does not fit.
     """
     chosen: list[Worker] = []
     by_hall: dict[str, list[Worker]] = {}
@@ -146,7 +148,7 @@
 
 
 def _opened(places: Iterable[Worker]) -> int:
-    """How many empty workers some places open."""
+    """Number of empty workers among those chosen."""
     return sum(1 for worker in set(places) if not worker.runs)
 
 
--- a/src/saddlestack/policy/cluster/places.py
+++ b/src/saddlestack/policy/cluster/places.py
@@ -1,4 +1,4 @@
-"""Where a step's tasks may go now, and where they would fit soonest."""
+"""Where a step's tasks fit now, where they would fit soonest, and what to search for victims."""
 
 from __future__ import annotations
 
@@ -22,47 +22,52 @@
 from saddlestack.work import Resources
 
 MAX_RACKS_SEARCHED = 32
-"""Racks that are searched for what to stop: all of a pool of 640 workers, 20 a rack, and a bound
-for larger ones."""
+"""Racks that are searched for runs to preempt. Covers a pool of 640 workers with 20 in each rack,
+and bounds the search in larger ones."""
 MAX_WORKERS_SEARCHED = 160
-"""Workers that are searched where the tasks may lie in several racks, and no more are needed."""
+"""Workers that are searched for runs to preempt if the tasks may be in several racks. More are
+searched only if the tasks need them."""
 
 IsKept = Callable[[Worker], bool]
-"""Whether a worker is kept for others."""
+"""Tells whether a worker is kept for other work."""
 
 
 class WorkerChoice(Protocol):
-    """Workers that a step's tasks may go to now."""
+    """Chooses workers for a step's tasks among those where they fit now."""
 
     def choose_gang(self) -> list[Worker] | None:
-        """A worker for each task of a gang, or ``None`` where it does not fit whole."""
+        """Choose a worker for each task of a gang; ``None`` if it does not fit completely."""
         ...
 
     def choose_worker(self, avoid: set[str]) -> Worker | None:
-        """The worker for one task.
+        """Choose the worker for one task; ``None`` if it does not fit.
 
-        :param avoid: workers on which it failed; they get it only where no other could hold it.
+        :param avoid: ids of workers on which it failed. They are used only if no other worker could
+            hold the task, even if empty.
         """
         ...
 
 
 class Places(WorkerChoice, Protocol):
-    """The workers that a step's tasks may go to."""
+    """Workers for a step's tasks, including those where they do not fit yet."""
 
     def soonest(self) -> Sequence[Worker]:
-        """Workers where a gang fits once all work of lower priority there has ended.
+        """Choose workers where a gang fits once all work of lower priority there has ended.
 
-        Empty where it does not fit even then.
+        Empty if it does not fit even then.
         """
         ...
 
     def domains(self, wanted: int) -> Iterable[Sequence[Worker]]:
-        """Groups of workers to search for what to stop, so that so many tasks fit in one."""
+        """Groups of workers to search for runs to preempt.
+
+        :param wanted: number of tasks that have to fit in one group.
+        """
         ...
 
 
 class ListedPlaces:
-    """Some workers, each looked at: for what no index tells, and few workers."""
+    """A list of workers, each of which is checked. For short lists and what no index covers."""
 
     def __init__(self, step: StepState, workers: Sequence[Worker]) -> None:
         self._step = step
@@ -88,13 +93,13 @@
 
 
 class IndexedPlaces:
-    """All workers of a service, found by the index of their room.
+    """All workers of a service, searched by the index of their capacity.
 
-    A gang of one rack is spread over racks only where none could ever hold it; workers that are
-    kept for others count there, since they are not kept for ever.
+    A gang that needs a single rack is spread over racks only if no rack could ever hold it. Workers
+    that are kept for other work count for this, since they are kept only for a time.
 
-    :param kept: tells workers that the step has to leave to others; ``None`` where there are none.
-    :param spread: a gang of one rack goes to several as well.
+    :param kept: test for workers that are kept from the step; ``None`` if none are.
+    :param spread: whether a gang that needs a single rack may use several.
     """
 
     def __init__(
@@ -110,15 +115,15 @@
     def choose_gang(self) -> list[Worker] | None:
         """See :meth:`Places.choose_gang`."""
         if not self._in_rack:
-            return self._spread()
+            return self._choose_any_racks()
         for rack in self._near():
-            places = place_gang(self._step, self._open(rack), _free_copies(self._step))
+            places = place_gang(self._step, self._accepting(rack), _free_copies(self._step))
             if places is not None:
                 return places
         eligible = list(self._fits.holding(self._step.step.count))
         eligible.sort(key=lambda rack: (self._free(rack), rack.number))
         for rack in eligible:
-            places = place_gang(self._step, self._open(rack), _free_copies(self._step))
+            places = place_gang(self._step, self._accepting(rack), _free_copies(self._step))
             if places is not None:
                 return places
         return None
@@ -126,13 +131,13 @@
     def choose_worker(self, avoid: set[str]) -> Worker | None:
         """See :meth:`Places.choose_worker`."""
         found = self._task(avoid)
-        if found is None and avoid and not self._has_other(avoid):
+        if found is None and avoid and not self._has_alternative(avoid):
             return self._task(set())
         return found
 
     def _task(self, avoid: set[str]) -> Worker | None:
         for rack in self._near():
-            fresh = [w for w in self._open(rack) if w.worker_id not in avoid]
+            fresh = [w for w in self._accepting(rack) if w.worker_id not in avoid]
             worker = place_task(self._step, fresh, _free_copies(self._step))
             if worker is not None:
                 return worker
@@ -143,7 +148,7 @@
         """See :meth:`Places.soonest`."""
         priority = self._step.occurrence.job.priority
         if not self._in_rack:
-            return self._soonest_spread(priority)
+            return self._soonest_any_racks(priority)
         wanted = self._step.step.count
         near = {rack.number for rack in self._near()}
         best: tuple[bool, float] | None = None
@@ -163,26 +168,29 @@
     def domains(self, wanted: int) -> Iterable[Sequence[Worker]]:
         """See :meth:`Places.domains`.
 
-        Those come first where the least work of lower priority holds the room, and no more than
-        :data:`MAX_RACKS_SEARCHED` racks or :data:`MAX_WORKERS_SEARCHED` workers are named.
+        Groups with the least work of lower priority come first. Returns at most
+        :data:`MAX_RACKS_SEARCHED` racks, or :data:`MAX_WORKERS_SEARCHED` workers unless the tasks
+        need more.
         """
         if not self._in_rack:
-            return [self._cheapest_workers(wanted)]
+            return [self._least_lower_work(wanted)]
         near = {rack.number for rack in self._near()}
-        racks = [rack for rack in self._service_capacity.racks if self._may_hold(rack)]
-        racks.sort(key=lambda rack: (rack.number not in near, self._lower_weight(rack, wanted)))
-        return [self._open(rack) for rack in racks[:MAX_RACKS_SEARCHED]]
+        racks = [rack for rack in self._service_capacity.racks if self._could_hold(rack)]
+        racks.sort(
+            key=lambda rack: (rack.number not in near, self._releasable_weight(rack, wanted))
+        )
+        return [self._accepting(rack) for rack in racks[:MAX_RACKS_SEARCHED]]
 
-    def _lower_weight(self, rack: Rack, wanted: int) -> float:
-        """Cores of lower work that has to end so that so many tasks fit in a rack."""
+    def _releasable_weight(self, rack: Rack, wanted: int) -> float:
+        """Cores of lower-priority work that has to end so that the wanted tasks fit in a rack."""
         releasable = self._releasable(rack, self._step.occurrence.job.priority)
         needed = releasable.workers_needed(wanted)
         return math.inf if needed is None else releasable.weights[needed - 1]
 
-    def _cheapest_workers(self, wanted: int) -> list[Worker]:
-        """Workers where the least lower work a task would have to end.
+    def _least_lower_work(self, wanted: int) -> list[Worker]:
+        """The workers with the least lower-priority work to preempt for each task.
 
-        Where lower work is not enough, work of the same priority counts as well.
+        If all lower-priority work is not enough, work of the same priority counts as well.
         """
         priority = self._step.occurrence.job.priority
         for level in (priority, priority - 1):
@@ -198,7 +206,7 @@
         return chosen
 
     def _near(self) -> list[Rack]:
-        """The rack near the step's data, if there is one."""
+        """The rack near the step's data, or no rack."""
         rack = (
             self._service_capacity.rack(self._step.step.data_rack)
             if self._step.step.data_rack
@@ -206,44 +214,44 @@
         )
         return [] if rack is None else [rack]
 
-    def _open(self, rack: Rack) -> list[Worker]:
+    def _accepting(self, rack: Rack) -> list[Worker]:
         workers = self._fits.workers(rack)
         if self._kept is None:
             return workers
         return [worker for worker in workers if not self._kept(worker)]
 
     def _free(self, rack: Rack) -> int:
-        """Accelerators that the workers of a rack have left for the step."""
+        """Free accelerators of a rack on workers that the step may use."""
         if self._kept is None:
             return self._fits.racks[rack.number].free
-        return sum(worker.free.accelerators for worker in self._open(rack))
+        return sum(worker.free.accelerators for worker in self._accepting(rack))
 
-    def _may_hold(self, rack: Rack) -> bool:
+    def _could_hold(self, rack: Rack) -> bool:
         return self._fits.racks[rack.number].most >= self._step.step.count
 
     def _tightest(self) -> Iterator[Worker]:
-        """Workers that hold one task or more, the fullest first."""
-        room = self._step.step.room
-        for worker in self._service_capacity.tightest_first(room.accelerators, room.cpu):
+        """Workers on which a task fits, the fullest first."""
+        request = self._step.step.room
+        for worker in self._service_capacity.tightest_first(request.accelerators, request.cpu):
             if self._kept is not None and self._kept(worker):
                 continue
-            if self._fits.allows(worker) and worker.fitting(room, worker.free) > 0:
+            if self._fits.allows(worker) and worker.fitting(request, worker.free) > 0:
                 yield worker
 
-    def _spread(self) -> list[Worker] | None:
+    def _choose_any_racks(self) -> list[Worker] | None:
         wanted = self._step.step.count
         if self._fits.total < wanted:
             return None
-        room = self._step.step.room
-        eligible = ((worker, worker.fitting(room, worker.free)) for worker in self._tightest())
+        request = self._step.step.room
+        eligible = ((worker, worker.fitting(request, worker.free)) for worker in self._tightest())
         return fill_one_hall(eligible, wanted)
 
-    def _has_other(self, avoid: set[str]) -> bool:
-        """Whether another worker could hold a task, if it were empty."""
+    def _has_alternative(self, avoid: set[str]) -> bool:
+        """Whether a worker that is not avoided could hold a task if it were empty."""
         return any(
             worker.worker_id not in avoid and worker.most(self._step.step) > 0
             for rack in self._service_capacity.racks
-            for worker in self._open(rack)
+            for worker in self._accepting(rack)
         )
 
     def _releasable(self, rack: Rack, priority: int) -> ReleasableRack:
@@ -252,7 +260,7 @@
             return releasable
         return ReleasableRack.of(each for each in releasable.workers if not self._kept(each.worker))
 
-    def _soonest_spread(self, priority: int) -> Sequence[Worker]:
+    def _soonest_any_racks(self, priority: int) -> Sequence[Worker]:
         missing = self._step.step.count
         chosen: list[Worker] = []
         for each in self._fits.soonest(priority):
@@ -266,10 +274,10 @@
 
 
 class LastResortPlaces:
-    """Workers that answer, whatever failed there lately: for work that stalls.
+    """Workers for work that would stall, regardless of recent failures on them.
 
-    Those that other work may go to as well come first, those in quarantine last; among equals those
-    whose room is reserved, the ones first that have lent some of it already.
+    Workers in quarantine come last, and before them those with failures. Among equals, workers
+    without reservations come first, then those that have already lent reserved resources.
 
     :param lenders: ids of the workers that may lend what is reserved there.
     """
@@ -283,15 +291,15 @@
             for worker in workers
         ]
         eligible = [(worker, copies) for worker, copies in found if copies > 0]
-        self._able = sorted(eligible, key=lambda pair: _last_resort(pair[0], now))
+        self._able = sorted(eligible, key=lambda pair: _preference_order(pair[0], now))
 
     @property
     def copies(self) -> int:
-        """Tasks of the step that fit there."""
+        """Number of the step's tasks that fit."""
         return sum(copies for _, copies in self._able)
 
     def choose_gang(self) -> list[Worker] | None:
-        """See :meth:`Places.choose_gang`; it goes to several racks as well."""
+        """See :meth:`Places.choose_gang`. The gang may be spread over racks."""
         return fill_one_hall(self._able, self._step.step.count)
 
     def choose_worker(self, avoid: set[str]) -> Worker | None:
@@ -301,8 +309,8 @@
         return next(iter(fresh or workers), None)
 
 
-def _last_resort(worker: Worker, now: float) -> tuple[bool, int, bool, bool]:
-    """Sorts workers for work that stalls, the best first."""
+def _preference_order(worker: Worker, now: float) -> tuple[bool, int, bool, bool]:
+    """Sort key of workers for work that would stall, the best first."""
     reserved = worker.reserved != Resources()
     return worker.quarantine_s > now, worker.strikes, reserved, not worker.is_overbooked
 
--- a/src/saddlestack/policy/cluster/planner_context.py
+++ b/src/saddlestack/policy/cluster/planner_context.py
@@ -1,4 +1,4 @@
-"""What the planner needs of the board: jobs' standing, workers, and ways to decide."""
+"""The part of the cluster state that the planner uses."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class PlannerContext(Protocol):
-    """The board as its planner sees it."""
+    """Queries and decisions that the planner passes to the cluster state."""
 
     def guaranteed(self, account: str) -> int:
-        """Accelerators that an account owns for jobs of priority 0."""
+        """Accelerators that are guaranteed to an account for jobs of priority 0."""
         ...
 
     def service_of(self, job: Job) -> str:
@@ -21,25 +21,28 @@
         ...
 
     def is_advised(self, job: Job) -> bool:
-        """Whether a start of a job's tasks needs the adviser's leave."""
+        """Whether starts of a job's tasks need the adviser's approval."""
         ...
 
     def request_advice(self, step: StepState, workers: tuple[str, ...]) -> None:
-        """Have the adviser asked which of some workers may run a step."""
+        """Queue a request to the adviser: which of these workers may run the step."""
         ...
 
     def assign(self, task: Task, worker: Worker, number: int, now: float) -> None:
-        """Give a run of a task to a worker."""
+        """Assign a new run of a task to a worker.
+
+        :param number: number of the run.
+        """
         ...
 
     def preempt(self, run: Run, job: Job) -> None:
-        """Stop a run, and its gang, for a job that may take the room back."""
+        """Preempt a run, and its gang, for a job that may reclaim the resources."""
         ...
 
     def is_worker_reachable(self, run: Run) -> bool:
-        """Whether a run is on a worker that answers."""
+        """Whether a run's worker is reachable."""
         ...
 
     def members(self, run: Run) -> Sequence[Run]:
-        """The runs that stop together with a run."""
+        """The runs that stop together with a run: those of its gang, or it alone."""
         ...
--- a/src/saddlestack/policy/cluster/releasable.py
+++ b/src/saddlestack/policy/cluster/releasable.py
@@ -1,4 +1,4 @@
-"""Room that comes free once work of lower priority has ended."""
+"""Capacity that becomes free once work of lower priority has ended."""
 
 from __future__ import annotations
 
@@ -14,9 +14,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleasableWorker:
-    """A worker that holds tasks once all work of lower priority there has ended.
+    """A worker on which tasks fit once all work of lower priority there has ended.
 
-    :param weight: cores of that work for each task.
+    :param weight: cores of that work for each task that fits.
+    :param copies: number of tasks that fit.
     """
 
     weight: float
@@ -25,20 +26,24 @@
 
     @classmethod
     def of(cls, worker: Worker, lower: Resources, copies: int) -> ReleasableWorker:
-        """A worker that holds so many tasks once some lower work there has ended."""
+        """Build from a worker and the resources of its lower-priority work.
+
+        :param copies: number of tasks that fit once that work has ended.
+        """
         return cls(weight(lower) / copies, copies, worker)
 
 
 def by_release_cost(releasable: ReleasableWorker) -> tuple[float, int]:
-    """Sorts workers: the least lower work for each task first."""
+    """Sort key: workers with the least lower-priority work for each task first."""
     return releasable.weight, releasable.copies
 
 
 @dataclass(slots=True)
 class ReleasableRack:
-    """Such workers of a rack, those with the least lower work for each task first.
+    """Releasable workers of a rack, ordered by :func:`by_release_cost`.
 
-    :param copies: of the first workers together, as is the weight.
+    :param copies: number of tasks that fit on each worker and all before it.
+    :param weights: cores of lower-priority work on each worker and all before it.
     """
 
     workers: list[ReleasableWorker]
@@ -47,14 +52,14 @@
 
     @classmethod
     def of(cls, workers: Iterable[ReleasableWorker]) -> ReleasableRack:
-        """Sums over some workers."""
+        """Order some workers and compute the running totals."""
         ordered = sorted(workers, key=by_release_cost)
         copies = list(accumulate(each.copies for each in ordered))
         weights = list(accumulate(each.weight * each.copies for each in ordered))
         return cls(ordered, copies, weights)
 
     def workers_needed(self, wanted: int) -> int | None:
-        """How many of its workers hold so many tasks; ``None`` where all together do not."""
+        """Number of workers, from the first, that hold the wanted tasks; ``None`` if all do not."""
         if not self.copies or self.copies[-1] < wanted:
             return None
         return bisect_left(self.copies, wanted) + 1
--- a/src/saddlestack/policy/cluster/reservations.py
+++ b/src/saddlestack/policy/cluster/reservations.py
@@ -1,8 +1,8 @@
-"""Reservations: room kept for work until the runs that hold it have stopped.
+"""Reservations: resources kept for a step until the runs that hold them have stopped.
 
-While those runs stop, the free part of a reservation may be lent to other work. A run that was lent
-room and outlasts the stops may delay the reservation's step by as much again as the stops did; then
-it is stopped as well.
+While those runs stop, the free part of a reservation may be lent to other work. A borrower that
+outlasts the stops may delay the reservation's step for as long again as the stops did. After that
+it is preempted too.
 """
 
 from __future__ import annotations
@@ -15,16 +15,20 @@
 from saddlestack.work import Resources
 
 RESERVATION_TIMEOUT_S = 2.5
-"""A reservation that could not be used by then is given up and searched anew."""
+"""A reservation that was not used within this time is released, and the search is repeated."""
 STOP_OVERDUE_S = 10.0
-"""Room whose run has not stopped by then, since it was first waited for, is looked for elsewhere.
-Twice as long as runs take to stop: to stop others in place of one that is about to end wastes their
-work."""
+"""If a run has not stopped within this time since work first waited for its resources, others are
+preempted instead. Twice as long as runs take to stop, because preempting others in place of a run
+that is about to end wastes their work."""
 
 
 @dataclass(slots=True)
 class Reservation:
-    """Room on some workers, a task's worth for each time that a worker is named."""
+    """Resources reserved for a step on some workers.
+
+    :param places: a worker for each task; one that is to run several tasks is listed once for each.
+    :param expires_s: when the reservation expires, on the monotonic clock.
+    """
 
     step: StepState
     places: list[Worker]
@@ -32,36 +36,36 @@
 
     @property
     def _workers(self) -> Iterable[Worker]:
-        """Each of the workers once, in the order of the places."""
+        """The distinct workers, in the order of the places."""
         return dict.fromkeys(self.places)
 
     @property
     def is_free(self) -> bool:
-        """Whether all that held the room has stopped."""
-        return all(self._has_room(worker, worker.used) for worker in self._workers)
+        """Whether all reserved resources are free."""
+        return all(self._fits(worker, worker.used) for worker in self._workers)
 
     @property
     def awaits_stops(self) -> bool:
-        """Whether runs hold the room that were not lent it."""
-        return not all(self._has_room(worker, self._own(worker)) for worker in self._workers)
+        """Whether runs that are not borrowers still hold reserved resources."""
+        return not all(self._fits(worker, self._held_by_others(worker)) for worker in self._workers)
 
     @property
     def stopping(self) -> Iterator[Run]:
-        """Runs that hold the room and are being stopped."""
+        """Runs that are being stopped on workers whose reserved resources are not free yet."""
         for worker in self._workers:
-            if not self._has_room(worker, worker.used):
+            if not self._fits(worker, worker.used):
                 yield from (run for run in worker.runs.values() if run.stopping)
 
     @property
     def borrowers(self) -> Iterator[Run]:
-        """Runs that were lent room on the workers, and are not being stopped."""
+        """Runs that borrow the reserved resources and are not being stopped."""
         for worker in self._workers:
             for run in worker.runs.values():
                 if self.step in run.lent_by and not run.stopping:
                     yield run
 
-    def _own(self, worker: Worker) -> Resources:
-        """Room that runs of a worker hold which were not lent it by the step."""
+    def _held_by_others(self, worker: Worker) -> Resources:
+        """Resources held by runs of a worker other than the borrowers from the step."""
         held = Resources()
         for run in worker.runs.values():
             if self.step not in run.lent_by:
@@ -70,10 +74,10 @@
 
     @property
     def is_suspected(self) -> bool:
-        """Whether one of the workers may be out of reach."""
+        """Whether one of the workers may be unreachable."""
         return any(worker.suspected for worker in self.places)
 
-    def _has_room(self, worker: Worker, used: Resources) -> bool:
+    def _fits(self, worker: Worker, used: Resources) -> bool:
         if worker.is_over:
             return False
         free = worker.record.capacity - used
@@ -81,21 +85,24 @@
 
 
 class Reservations:
-    """All reservations of a pool, one a step."""
+    """All reservations of a cluster, at most one for each step."""
 
     def __init__(self) -> None:
         self._held: dict[int, Reservation] = {}
 
     def of(self, step: StepState) -> Reservation | None:
-        """A step's reservation, if it has one."""
+        """The step's reservation, or ``None``."""
         return self._held.get(id(step))
 
     def lenders(self, worker: Worker) -> frozenset[StepState]:
-        """Steps for which room on a worker is reserved."""
+        """Steps that have reserved resources on a worker."""
         return frozenset(held.step for held in self._held.values() if worker in held.places)
 
     def reserve(self, step: StepState, places: list[Worker], now: float) -> Reservation:
-        """Keep room on some workers from anything else."""
+        """Reserve resources on workers for a step.
+
+        :param places: a worker for each task.
+        """
         if step.preempts_since_s is None:
             step.preempts_since_s = now
         for worker in places:
@@ -105,7 +112,10 @@
         return held
 
     def release(self, step: StepState) -> bool:
-        """Give a step's reservation up; whether there was one."""
+        """Release the step's reservation.
+
+        :return: whether it had one.
+        """
         held = self._held.pop(id(step), None)
         if held is None:
             return False
@@ -120,7 +130,7 @@
         return iter(self._held.values())
 
     def release_expired(self, now: float) -> None:
-        """Give up what cannot be used, or has not been for too long."""
+        """Release reservations that have expired or can no longer be used."""
         for held in list(self._held.values()):
             usable = all(worker.takes_work(now) for worker in held.places)
             if not usable or now > held.expires_s or not held.step.occurrence.open:
@@ -128,15 +138,15 @@
 
 
 def is_overdue(run: Run, now: float) -> bool:
-    """Whether the room of a run that is to stop has been waited for in vain."""
+    """Whether other work has waited for a run to end for longer than :data:`STOP_OVERDUE_S`."""
     return run.awaited_s is not None and now - run.awaited_s > STOP_OVERDUE_S
 
 
 def is_loan_due(run: Run, step: StepState, now: float) -> bool:
-    """Whether a run has delayed the step that its room was lent from for long enough.
+    """Whether a borrower has delayed the lending step for long enough to be preempted.
 
-    It goes on for as long as the step had to wait for the stops: work that is about to end then
-    loses nothing, and the wait at most doubles before the run is stopped too.
+    A borrower may go on for as long as the step has waited for the stops: work that is about to end
+    loses nothing, and the step's wait at most doubles before the borrower is preempted.
     """
     if run.awaited_s is None:
         return False
@@ -145,7 +155,7 @@
 
 
 def _note_awaited(worker: Worker, now: float) -> None:
-    """Note since when what is to stop on a worker has been waited for."""
+    """Record since when other work has waited for the stopping runs of a worker."""
     for run in worker.runs.values():
         if run.stopping and run.awaited_s is None:
             run.awaited_s = now
--- a/src/saddlestack/policy/cluster/shapes.py
+++ b/src/saddlestack/policy/cluster/shapes.py
@@ -1,4 +1,4 @@
-"""What a round of planning has learned: shapes of work that find no place in it any more."""
+"""Shapes of steps, and those that a planning round has found not to fit any more."""
 
 from __future__ import annotations
 
@@ -10,12 +10,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Shape:
-    """What steps have to share so that where one finds no place, the other finds none.
-
-    :param count: tasks that have to fit at once.
-    :param proven: whether it goes to no worker on probation.
+    """Requirements by which steps are equal: if one does not fit, neither does another.
+
+    :param room: resources of a task.
+    :param count: number of tasks that have to fit at once.
+    :param label: label that workers must have, or empty.
+    :param near: the only rack that the step accepts for now, or empty.
+    :param per_worker: limit of tasks on one worker; 0 for none.
+    :param proven: whether it must not run on workers on probation.
     :param lasting: whether it may take workers that are kept for gangs.
-    :param near: the rack outside of which the step does not go yet; empty for none.
     """
 
     service: str
@@ -30,18 +33,18 @@
 
 
 MAX_SHAPES = 10_000
-"""Shapes whose numbers are remembered: 2.4 MB of them (traced allocations)."""
+"""Number of shapes that are kept. They take 2.4 MB (traced allocations)."""
 
 
 class ShapeNumbers:
-    """A number for each shape, so that thousands of waiting steps are told apart cheaply."""
+    """Numbers for shapes, so that thousands of waiting steps are compared cheaply."""
 
     def __init__(self) -> None:
         self._numbers: dict[Shape, int] = {}
         self._next = 0
 
     def number(self, shape: Shape) -> int:
-        """The number of a shape: alike for equal shapes, unless one was forgotten in between."""
+        """Number of a shape. Equal shapes have the same number unless it was evicted in between."""
         number = self._numbers.get(shape)
         if number is None:
             if len(self._numbers) >= MAX_SHAPES:
@@ -53,10 +56,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StepShapes:
-    """The numbers of a step's shapes.
+    """Numbers of a step's shapes.
 
-    :param near: while it waits for a place near its data.
-    :param anywhere: after that.
+    :param near: the number while it waits for workers near its data.
+    :param anywhere: the number after that.
     """
 
     service: str
@@ -66,12 +69,15 @@
 
 @dataclass(slots=True)
 class FailedShapes:
-    """Shapes, by number, that were tried in this round. Room only shrinks within one.
+    """Numbers of shapes that were tried in this round without success.
+
+    They hold for the round, since free capacity only shrinks within one.
 
-    :param full: there is no room for them.
-    :param shut: there is room, but the headroom is closed to them; it opens with the time that work
-        has waited, so with the longest, in seconds, that any of them had.
-    :param kept: workers are kept for a gang of them; room comes free for one at a time.
+    :param full: shapes that do not fit.
+    :param shut: shapes that fit but would use the headroom, with the longest time in seconds that a
+        step of the shape has waited. The headroom opens to work that has waited for long enough.
+    :param kept: shapes for a gang of which workers are kept. Capacity becomes free for one gang at
+        a time.
     """
 
     full: set[int] = field(default_factory=set)
@@ -79,13 +85,13 @@
     kept: set[int] = field(default_factory=set)
 
     def clear(self) -> None:
-        """Begin a round, or room has been given back."""
+        """Forget all shapes, when a round begins or reserved capacity was released."""
         self.full.clear()
         self.shut.clear()
         self.kept.clear()
 
     def note_full(self, shape: int | None) -> None:
-        """Nothing of this shape fits any more."""
+        """Record that a shape does not fit."""
         if shape is not None:
             self.full.add(shape)
 
@@ -94,15 +100,15 @@
         return shape in self.kept
 
     def note_kept(self, shape: int | None) -> None:
-        """Workers are kept for a gang of this shape."""
+        """Record that workers are kept for a gang of this shape."""
         if shape is not None:
             self.kept.add(shape)
 
     def is_shut(self, shape: int | None, waited_s: float) -> bool:
-        """Whether the headroom is known to be closed to work of a shape that has waited so long."""
+        """Whether the headroom is known to be closed to a step that has waited this long."""
         return shape is not None and waited_s <= self.shut.get(shape, -math.inf)
 
     def note_shut(self, shape: int | None, waited_s: float) -> None:
-        """The headroom is closed to work of this shape that has waited so long."""
+        """Record that the headroom is closed to a step that has waited this long."""
         if shape is not None:
             self.shut[shape] = max(waited_s, self.shut.get(shape, waited_s))
