--- a/tests/test_board.py
+++ b/tests/test_board.py
@@ -1,4 +1,4 @@
-"""The decisions of a pool, one by one and under random events."""
+"""Decisions of the cluster state, one by one and under random events."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 SERVICE = "pool"
 URGENT, NORMAL, BULK = 0, 1, 2
 PATIENT = 100.0
-"""Long enough for work of lower priority to open the headroom."""
+"""Seconds after which work of lower priority may use the headroom."""
 
 
 def record(
@@ -60,7 +60,7 @@
 
 
 class ClusterCase(unittest.TestCase):
-    """A board with workers and jobs, and the events that tests need."""
+    """A cluster state with workers and jobs, and helpers to cause events."""
 
     def setUp(self) -> None:
         self.cluster_state = ClusterState()
@@ -108,7 +108,7 @@
         return self.cluster_state.jobs[job_id].state
 
 
-class BoardTest(ClusterCase):
+class PlanningTest(ClusterCase):
     def test_a_gang_waits_until_it_fits_whole(self) -> None:
         self.workers(each=2)
         self.add(step(1, 8))
@@ -154,7 +154,7 @@
         self.add(step(4, 1, per_worker=1))
         self.assertEqual(sorted(s.run.worker_id for s in self.plan().starts), ["w11", "w21"])
 
-    def test_the_cheapest_work_is_taken_back_first(self) -> None:
+    def test_the_run_with_the_least_lost_work_is_preempted_first(self) -> None:
         self.workers(each=2)
         old = self.add(step(1, 8), priority=BULK)
         self.plan(PATIENT)
@@ -169,7 +169,7 @@
         )
         self.assertEqual(self.state(old), JobState.RUNNING)
 
-    def test_a_gang_is_taken_back_whole(self) -> None:
+    def test_a_gang_is_preempted_whole(self) -> None:
         self.workers(each=2)
         self.add(step(2, 8, gang=True), priority=BULK)
         self.plan()
@@ -177,8 +177,8 @@
         self.add(step(1, 8))
         self.assertEqual(len(self.plan(PATIENT + 1).stops), 2)
 
-    def test_bulk_work_keeps_off_the_rack_that_a_waiting_gang_needs(self) -> None:
-        """Found on loaded days: gangs waited 35 s while later bulk work took each free worker."""
+    def test_bulk_work_avoids_the_rack_that_a_waiting_gang_needs(self) -> None:
+        """Gangs once waited 35 s on loaded days while later bulk work took each free worker."""
         self.workers(racks=2, each=2)
         self.add(step(8, 1, label="r1"), priority=BULK)
         self.add(step(8, 1, label="r2"), priority=BULK)
@@ -205,8 +205,8 @@
         starts = self.plan(PATIENT).starts
         self.assertEqual({start.run.task.name.job_id for start in starts}, {bulk})
 
-    def test_lasting_work_waits_for_no_gang(self) -> None:
-        """The users' pages: a task that lasts starts again however full the service is."""
+    def test_long_running_work_is_not_held_back_for_gangs(self) -> None:
+        """By the user documentation a long-running task restarts however full the service is."""
         self.workers(racks=1, each=2)
         self.add(step(8, 1), priority=BULK)
         self.plan()
@@ -216,7 +216,7 @@
         self.assertEqual({start.run.task.name.job_id for start in starts}, {lasting})
 
     def test_an_idle_pool_keeps_no_workers_for_gangs(self) -> None:
-        """Under half use nothing waits for a gang: the users' pages call that lost work."""
+        """Below half use, holding work back for a gang would waste capacity."""
         self.workers(racks=1, each=4)
         self.add(step(1, 8), priority=BULK)
         self.plan(PATIENT)
@@ -225,8 +225,8 @@
         starts = self.plan(PATIENT).starts
         self.assertEqual({start.run.task.name.job_id for start in starts}, {bulk})
 
-    def test_the_headroom_lies_in_one_rack(self) -> None:
-        """Found on calm days: urgent gangs met as many empty workers, spread over all racks."""
+    def test_the_headroom_is_in_one_rack(self) -> None:
+        """Urgent gangs once found enough empty workers on calm days, but spread over all racks."""
         self.workers(racks=3, each=8)
         for _ in range(6):
             for rack in ("r1", "r2", "r3"):
@@ -240,8 +240,8 @@
         self.assertEqual({start.run.task.name.job_id for start in changes.starts}, {gang})
         self.assertEqual(changes.stops, [])
 
-    def test_a_young_gang_is_not_the_cheapest_to_stop(self) -> None:
-        """Found on loaded days: wide gangs were stopped four times, each just begun."""
+    def test_a_young_gang_is_not_preempted_before_single_tasks(self) -> None:
+        """Wide gangs that had just begun were once preempted four times on loaded days."""
         self.workers(racks=2, each=1)
         for rack in ("r1", "r2"):
             self.add(step(4, 1, label=rack))
@@ -254,7 +254,7 @@
         self.assertEqual({stop.task.job_id for stop in stops}, {loose})
         self.assertIs(self.state(gang), JobState.RUNNING)
 
-    def test_within_its_guarantee_an_account_takes_back_from_who_is_beyond(self) -> None:
+    def test_a_job_within_its_guarantee_preempts_one_beyond_its_own(self) -> None:
         self.workers(each=2)
         self.cluster_state.configure({"depots": 8, "others": 8}, {"q": SERVICE})
         inside = self.add(step(1, 8), account="others")
@@ -265,7 +265,7 @@
         self.assertEqual([stop.task.job_id for stop in stops], [beyond])
         self.assertEqual(self.state(inside), JobState.RUNNING)
 
-    def test_beyond_its_guarantee_an_account_takes_nothing_of_its_equals(self) -> None:
+    def test_a_job_beyond_its_guarantee_preempts_no_equals(self) -> None:
         self.workers(each=1)
         self.cluster_state.configure({"depots": 4}, {"q": SERVICE})
         self.add(step(1, 8), account="others")
@@ -273,7 +273,7 @@
         self.add(step(1, 8))
         self.assertEqual(self.plan(1.0).stops, [])
 
-    def test_a_suspected_worker_gets_nothing_new_and_keeps_what_waits_for_it(self) -> None:
+    def test_a_suspected_worker_gets_no_new_work(self) -> None:
         self.workers(each=2)
         first, second = self.cluster_state.workers["w11"], self.cluster_state.workers["w12"]
         first.suspected = True
@@ -285,7 +285,7 @@
         first.suspected = second.suspected = False
         self.assertEqual(len(self.plan().starts), 1)
 
-    def test_reserved_room_on_a_suspected_worker_is_waited_for(self) -> None:
+    def test_a_reservation_waits_for_its_suspected_worker(self) -> None:
         self.cluster_state.configure({"depots": 16}, {})
         self.workers(each=2)
         bulk = self.add(step(16, 1), priority=BULK)
@@ -299,7 +299,7 @@
         self.cluster_state.workers["w11"].suspected = False
         self.assertEqual(len(self.plan(PATIENT + 0.2).starts), 2)
 
-    def test_a_reservation_is_given_up_with_its_worker(self) -> None:
+    def test_a_reservation_is_released_when_its_worker_is_gone(self) -> None:
         self.workers(each=1)
         self.add(step(1, 8), priority=BULK)
         self.plan()
@@ -321,7 +321,7 @@
             expected = JobState.RUNNING if now == 0.0 else JobState.FAILED
             self.assertEqual((self.state(alone), self.state(gang)), (expected, expected))
 
-    def test_one_end_stands_for_a_gang(self) -> None:
+    def test_the_end_of_one_member_completes_its_gang(self) -> None:
         self.workers(each=2)
         gang = self.add(step(2, 8, gang=True))
         run = self.plan().starts[0].run
@@ -330,7 +330,7 @@
         self.assertEqual(self.state(gang), JobState.COMPLETED)
         self.assertEqual(sum(len(w.runs) for w in self.cluster_state.workers.values()), 1)
 
-    def test_a_worker_that_fails_work_is_left_alone_and_tried_with_one_task(self) -> None:
+    def test_a_failing_worker_is_quarantined_then_tried_with_one_task(self) -> None:
         self.workers(each=1)
         job = self.add(step(2, 1))
         self.plan()
@@ -339,7 +339,7 @@
         self.assertEqual(len(self.plan(60.0).starts), 1)
 
     def test_a_worker_that_fails_at_once_gets_no_urgent_work_and_no_gangs(self) -> None:
-        """Found on scale-2: two workers that failed all used up the tries of urgent gangs."""
+        """Two workers that failed everything used up the attempts of urgent gangs on scale-2."""
         self.workers(each=1)
         first = self.add(step(1), priority=BULK)
         self.plan()
@@ -352,7 +352,7 @@
         starts = self.plan(PROBATION_S - 0.5).starts
         self.assertEqual({start.run.task.name.job_id for start in starts}, {urgent, gang})
 
-    def test_a_probation_ends_by_itself(self) -> None:
+    def test_probation_ends_after_its_time(self) -> None:
         self.workers(each=1)
         first = self.add(step(1))
         self.plan()
@@ -360,14 +360,14 @@
         self.assertEqual(self.plan(PROBATION_S - 1.0).starts, [])
         self.assertEqual(len(self.plan(PROBATION_S + 0.1).starts), 1)
 
-    def test_a_late_failure_is_no_probation(self) -> None:
+    def test_a_late_failure_causes_no_probation(self) -> None:
         self.workers(each=1)
         first = self.add(step(1))
         self.plan()
         self.end(first, EndKind.FAILED, 2.0)
         self.assertEqual(len(self.plan(5.0).starts), 1)
 
-    def test_what_runs_unknown_to_the_board_is_stopped(self) -> None:
+    def test_an_unknown_run_is_stopped(self) -> None:
         self.workers(each=1)
         row = RunningTask(str(TaskName("00000000000000ff", 0, 0, 0)), 3, "", 10)
         self.cluster_state.worker_reported("w11", [row], 0.0)
@@ -376,7 +376,7 @@
         )
 
     def test_progress_counts_from_when_it_was_reported(self) -> None:
-        """Reports are up to 2 s old: half done after 2 s means done after 4 s, also at 3.1 s."""
+        """Reports are up to 2 s old: 50 % at 2 s means done after 4 s, even if read at 3.1 s."""
         self.workers(each=1)
         job = self.add(Step(count=1, needs=Resources(1000, 1000, 1), estimate_ms=60_000))
         self.plan()
@@ -387,7 +387,7 @@
         self.cluster_state.set_worker(record("w11", draining=True, remaining_ms=1_000), 3.2)
         self.assertEqual(len(self.plan(3.2).stops), 1)
 
-    def test_on_a_notice_saving_work_goes_on_for_as_long_as_it_can_still_save(self) -> None:
+    def test_on_a_notice_a_run_with_checkpoints_goes_on_while_it_can_still_save(self) -> None:
         self.workers(each=1)
         saving = self.add(step(1, checkpoint=True), priority=NORMAL)
         other = self.add(step(1), priority=NORMAL)
@@ -400,7 +400,7 @@
         stops = self.plan(13.0 - SAVE_MARGIN_S + 0.1).stops
         self.assertEqual([stop.task.job_id for stop in stops], [saving])
 
-    def test_on_a_notice_saving_work_that_ends_in_time_is_left_alone(self) -> None:
+    def test_on_a_notice_a_run_with_checkpoints_that_ends_in_time_goes_on(self) -> None:
         self.workers(each=1)
         job = self.add(step(1, checkpoint=True), priority=NORMAL)
         self.plan()
@@ -408,8 +408,8 @@
         self.cluster_state.set_worker(record("w11", draining=True, remaining_ms=1100), 9.6)
         self.assertEqual(self.plan(9.6).stops, [])
 
-    def test_what_ends_shortly_before_its_worker_leaves_is_left_alone(self) -> None:
-        """An urgent run with 1.3 s to go was stopped on a notice of 2 s, and began anew."""
+    def test_a_run_that_ends_before_its_worker_leaves_goes_on(self) -> None:
+        """An urgent run with 1.3 s to go was once stopped on a notice of 2 s and restarted."""
         self.workers(each=1)
         ending, later = (self.add(step(1)) for _ in range(2))
         self.plan()
@@ -423,7 +423,7 @@
         self.assertEqual(self.plan(10.0).stops, [])
 
     def test_a_gang_ends_with_its_last_member_when_a_worker_leaves(self) -> None:
-        """A member that had done its part was left alone, and its gang was lost with the worker."""
+        """A gang with a nearly finished member was not stopped, and was lost with the worker."""
         self.workers(each=2)
         gang = self.add(step(2, 8, gang=True))
         self.plan()
@@ -455,7 +455,7 @@
 
 
 class RecordTest(ClusterCase):
-    def test_a_board_comes_back_from_its_records(self) -> None:
+    def test_state_is_restored_from_its_records(self) -> None:
         self.workers(each=2)
         job = self.add(step(3, checkpoint=True), step(1, after=(0,)))
         changes = self.plan()
@@ -473,7 +473,7 @@
 
 
 class GuaranteeTest(unittest.TestCase):
-    """A guarantee is met with one round of stops, however full the pool is of others' gangs."""
+    """One round of preemption meets a guarantee, however full the pool is of others' gangs."""
 
     @settings(max_examples=80, deadline=None)
     @given(st.integers(0, 2**32))
@@ -504,9 +504,9 @@
         self.assertEqual(len(started), count)
 
 
-class NewsTest(ClusterCase):
-    def test_a_report_that_changes_nothing_is_no_news(self) -> None:
-        """Each report started a round of planning: on a large pool these took most of a core."""
+class HasChangesTest(ClusterCase):
+    def test_a_report_without_changes_needs_no_round(self) -> None:
+        """When each report started a planning round, these took most of a core on a large pool."""
         self.workers(each=1)
         job = self.add(step(1, 1))
         start = self.plan().starts[0]
@@ -524,15 +524,15 @@
         self.assertTrue(self.cluster_state.has_changes)
 
 
-class Forgetful(FailedShapes):
-    """Tries each shape again."""
+class RetryAllShapes(FailedShapes):
+    """Records no failed shapes, so that each one is tried again."""
 
     def note_full(self, shape: int | None) -> None:
         pass
 
 
 class RandomEventsTest(unittest.TestCase):
-    """After any events: room is never exceeded, no task runs twice, gangs are whole."""
+    """After any events, capacity is not exceeded, no task runs twice and gangs are whole."""
 
     @settings(max_examples=60, deadline=None)
     @given(st.integers(0, 2**32))
@@ -544,7 +544,7 @@
         now = 0.0
         for number in range(60):
             now += rng.uniform(0.1, 5.0)
-            self.happen(cluster_state, rng, number, now, done)
+            self.apply_random_event(cluster_state, rng, number, now, done)
             cluster_state.plan(now, now * 1000)
             changes = cluster_state.take_changes()
             for start in changes.starts:
@@ -555,20 +555,20 @@
 
     @settings(max_examples=60, deadline=None)
     @given(st.integers(0, 2**32))
-    def test_what_a_round_leaves_out_would_have_found_no_room(self, seed: int) -> None:
-        """A round does not try a shape again that found no room; the outcome is the same."""
+    def test_skipping_failed_shapes_does_not_change_the_outcome(self, seed: int) -> None:
+        """A round does not try a shape again that did not fit; the outcome must be the same."""
         outcomes = []
-        for forgetful in (False, True):
+        for retries_all in (False, True):
             rng = random.Random(seed)
             cluster_state = ClusterState()
             cluster_state.configure({"depots": 8}, {"q": SERVICE})
-            if forgetful:
-                cluster_state._planner._failed_shapes = Forgetful()
+            if retries_all:
+                cluster_state._planner._failed_shapes = RetryAllShapes()
             now = 0.0
             outcome = []
             for number in range(60):
                 now += rng.uniform(0.1, 5.0)
-                self.happen(cluster_state, rng, number, now, set())
+                self.apply_random_event(cluster_state, rng, number, now, set())
                 cluster_state.plan(now, now * 1000)
                 changes = cluster_state.take_changes()
                 outcome.append([(str(s.run.task.name), s.run.worker_id) for s in changes.starts])
@@ -576,7 +576,7 @@
             outcomes.append(outcome)
         self.assertEqual(*outcomes)
 
-    def happen(
+    def apply_random_event(
         self,
         cluster_state: ClusterState,
         rng: random.Random,
@@ -681,7 +681,7 @@
         self.assertEqual(self.report(50.0, 7.0), [20])
         self.assertEqual(self.report(90.0, 7.5), [])
 
-    def test_what_fills_alone_runs_at_full_speed(self) -> None:
+    def test_a_filling_task_alone_runs_at_full_speed(self) -> None:
         self.workers(each=1)
         self.add(step(1, long_running=True, fills=True))
         run = self.plan().starts[0].run
@@ -706,7 +706,7 @@
 
 
 class WaveTest(ClusterCase):
-    def test_never_more_than_allowed_are_away_and_idle_ones_go_first(self) -> None:
+    def test_no_more_machines_than_allowed_are_down_and_idle_ones_go_first(self) -> None:
         self.workers(each=4)
         self.add(step(1, 8, label="r1"))
         self.plan()
@@ -744,7 +744,7 @@
         self.assertIs(next(iter(state.machines.values())).status, MachineStatus.ORDERED)
 
     def test_a_worker_that_starts_again_before_its_machine_goes_down(self) -> None:
-        """It is told anew that it gets no work, and it has not come back from the upkeep."""
+        """The new incarnation is drained again and does not count as back from the upkeep."""
         self.workers(each=1)
         self.add(step(1, 8))
         self.plan()
@@ -767,7 +767,7 @@
 
 
 class PauseTest(unittest.TestCase):
-    def test_it_doubles_up_to_the_longest_and_is_never_near_none(self) -> None:
+    def test_it_doubles_up_to_the_maximum_and_is_at_least_half(self) -> None:
         rng = random.Random(1)
         for failures in range(1, 40):
             most = min(1.0, 0.1 * 2**failures)
--- a/tests/test_index.py
+++ b/tests/test_index.py
@@ -1,4 +1,4 @@
-"""The index of room against sums taken anew and a plain search, through random histories."""
+"""The capacity index against recomputed sums and a plain search, through random histories."""
 
 from __future__ import annotations
 
@@ -31,11 +31,11 @@
 
 
 def waiting_step(rng: random.Random, **more: object) -> StepState:
-    """A step that belongs to no board, to ask where it would go."""
-    room = Resources(rng.choice((1000, 9000)), 1000, rng.choice((1, 2, 8)))
+    """A step that belongs to no cluster state, to search places for."""
+    needs = Resources(rng.choice((1000, 9000)), 1000, rng.choice((1, 2, 8)))
     made = Step(
         count=rng.randint(1, 4),
-        needs=room,
+        needs=needs,
         estimate_ms=1000,
         gang=True,
         same_rack=rng.random() < 0.5,
@@ -57,31 +57,31 @@
 
 
 class IndexTest(unittest.TestCase):
-    """One index and its caches live through a whole history and are compared after each event."""
+    """One index and its caches go through a whole history and are compared after each event."""
 
     @settings(max_examples=60, deadline=None)
     @given(st.integers(0, 2**32))
-    def test_it_agrees_with_sums_and_searches_made_anew(self, seed: int) -> None:
+    def test_it_agrees_with_recomputed_sums_and_plain_searches(self, seed: int) -> None:
         rng = random.Random(seed)
         cluster_state = ClusterState()
         cluster_state.configure({"depots": 8}, {"q": SERVICE})
-        # The board's own index: whatever changes its workers has to be noted there.
+        # The index of the cluster state itself, in which each change of a worker has to be counted.
         index = cluster_state._index
         fits = FitCache(index)
         events = boards.RandomEventsTest()
         now = 0.0
         for number in range(EVENTS):
             now += rng.uniform(0.1, 3.0)
-            self.meddle(cluster_state, rng, now)
-            events.happen(cluster_state, rng, number, now, set())
+            self.change_a_worker(cluster_state, rng, now)
+            events.apply_random_event(cluster_state, rng, number, now, set())
             cluster_state.plan(now, now * 1000)
             cluster_state.take_changes()
             self.check_sums(cluster_state, index, now)
             for _ in range(3):
                 self.check_places(cluster_state, fits, waiting_step(rng), rng, now)
 
-    def meddle(self, cluster_state: ClusterState, rng: random.Random, now: float) -> None:
-        """What others than the board do to its workers."""
+    def change_a_worker(self, cluster_state: ClusterState, rng: random.Random, now: float) -> None:
+        """Change workers from outside the cluster state."""
         for number in range(RACKS * 2):
             name = f"x{number}"
             if name not in cluster_state.workers and rng.random() < 0.3:
@@ -165,29 +165,29 @@
             and not worker.suspected
             and fit.allows(worker, now)
         ]
-        service_capacity = fits.of(fit)
-        self.assertEqual(service_capacity.total, sum(w.copies(step, w.free) for w in eligible))
+        fit_capacity = fits.of(fit)
+        self.assertEqual(fit_capacity.total, sum(w.copies(step, w.free) for w in eligible))
         kept: IsKept | None = None
         if rng.random() < 0.3:
             others = set(rng.sample(eligible, len(eligible) // 2))
             kept = others.__contains__
-        indexed = IndexedPlaces(step, service_capacity, kept)
+        indexed = IndexedPlaces(step, fit_capacity, kept)
         unkept = [w for w in eligible if kept is None or not kept(w)]
         listed = ListedPlaces(step, unkept)
         if (
             step.step.same_rack
-            and service_capacity.most >= step.step.count
+            and fit_capacity.most >= step.step.count
             and not whole_racks(step, unkept)
         ):
-            # Only kept workers stand in the way of a whole rack: the index waits for them, the
-            # plain search cannot know of them and spreads the gang.
+            # The gang would fit in one rack if workers were not kept. The index waits for these,
+            # while the plain search does not know of them and spreads the gang.
             self.assertIsNone(indexed.choose_gang())
             self.assertEqual(list(indexed.soonest()), [])
             return
         self.check_task(step, indexed.choose_worker(set()), listed.choose_worker(set()))
         avoid = {w.worker_id for w in eligible if rng.random() < 0.4}
         self.check_task(step, indexed.choose_worker(avoid), listed.choose_worker(avoid))
-        in_rack = step.step.same_rack and service_capacity.most >= step.step.count
+        in_rack = step.step.same_rack and fit_capacity.most >= step.step.count
         self.check_gang(
             step, indexed.choose_gang(), listed.choose_gang(), unkept if in_rack else []
         )
@@ -210,7 +210,7 @@
         plain: Sequence[Worker] | None,
         eligible: Sequence[Worker],
     ) -> None:
-        """Compare gangs; ``eligible`` is empty where the gang may lie in several racks."""
+        """Compare gangs; ``eligible`` is empty if the gang may use several racks."""
         if found is None or plain is None:
             self.assertEqual(found, plain)
             return
@@ -240,7 +240,7 @@
 
 
 class DomainsTest(boards.ClusterCase):
-    """Where a search of what to stop looks, on pools of more racks than it may look at."""
+    """Domains of the search for runs to preempt, in pools with more racks than it may search."""
 
     def places(self, **more: object) -> IndexedPlaces:
         job = self.cluster_state.jobs[self.add(boards.step(2, 8, gang=True, **more))]
@@ -252,7 +252,7 @@
         return IndexedPlaces(step, fits, None)
 
     def fill(self, count: int, per_worker: int) -> None:
-        """Bulk work on the first workers, so many accelerators on each."""
+        """Assign bulk work to the first workers, ``per_worker`` accelerators on each."""
         job = self.cluster_state.jobs[self.add(boards.step(count, per_worker), priority=BULK)]
         workers = list(self.cluster_state.workers.values())[:count]
         for task, worker in zip(job.occurrences[0].steps[0].tasks, workers, strict=True):
@@ -266,7 +266,7 @@
         first = {worker.worker_id for domain in found[:8] for worker in domain}
         self.assertTrue(all(not self.cluster_state.workers[name].runs for name in first))
 
-    def test_over_racks_the_workers_with_the_least_lower_work_are_searched(self) -> None:
+    def test_without_racks_the_workers_with_the_least_lower_work_are_searched(self) -> None:
         self.workers(racks=48, each=9)
         self.fill(48 * 9 - 16, 4)
         (found,) = self.places().domains(2)
@@ -275,7 +275,7 @@
 
 
 class FitsTest(unittest.TestCase):
-    def test_no_more_sizes_than_the_bound_are_remembered(self) -> None:
+    def test_no_more_requirements_than_the_limit_are_cached(self) -> None:
         index = CapacityIndex()
         fits = FitCache(index)
         index.begin_round(0.0)
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -1,4 +1,4 @@
-"""The parts of a round of planning, each alone: headroom, backfill, reservations, cell search."""
+"""Parts of a planning round by themselves: headroom, backfill, reservations, cell search."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
         return list(self.cluster_state.workers.values())
 
     def use(self, *workers: Worker) -> None:
-        """Fill workers whole, with something that counts as running there."""
+        """Fill workers completely with a run on each."""
         for worker in workers:
             job = self.cluster_state.jobs[self.add(step(1, 8))]
             self.cluster_state.assign(job.occurrences[0].steps[0].tasks[0], worker, 1, 0.0)
@@ -56,14 +56,14 @@
         pool[0].used = Resources(31_000, 0, 7)
         self.assertFalse(self.service_capacity().open.is_half_used)
 
-    def test_a_quarter_stays_shut_once_half_is_used(self) -> None:
+    def test_a_quarter_stays_closed_once_half_is_used(self) -> None:
         pool = self.pool(racks=4, each=2)
         self.use(*pool[0::2], pool[1])
         self.assertTrue(self.may_open(pool[3]))
         self.use(pool[3])
         self.assertFalse(self.may_open(pool[5]))
 
-    def test_half_a_rack_stays_shut_where_one_is_free(self) -> None:
+    def test_half_a_rack_stays_closed_if_one_is_free(self) -> None:
         pool = self.pool(racks=2, each=8)
         self.use(*pool[:8])
         self.use(*pool[8:12])
@@ -74,7 +74,7 @@
         self.use(pool[0])
         self.assertTrue(self.may_open(pool[0]))
 
-    def test_a_worker_that_takes_no_work_is_none_either(self) -> None:
+    def test_a_worker_that_accepts_no_work_is_no_headroom(self) -> None:
         pool = self.pool(racks=2, each=8)
         self.use(*pool[:8])
         self.assertTrue(self.may_open(pool[8]))
@@ -87,8 +87,8 @@
     def waiting(self, job_id: str) -> StepState:
         return self.cluster_state.jobs[job_id].occurrences[0].steps[0]
 
-    def kept(self, gang: StepState, asking: StepState) -> set[str]:
-        """Workers that one step leaves to another, alike by the index and by looking at each."""
+    def kept(self, gang: StepState, other: StepState) -> set[str]:
+        """Workers kept for ``gang`` from ``other``. The index and a plain search must agree."""
         workers = list(self.cluster_state.workers.values())
         index = CapacityIndex()
         for worker in workers:
@@ -99,12 +99,12 @@
         for places in (ListedPlaces(gang, workers), IndexedPlaces(gang, fits, None)):
             backfill = Backfill()
             backfill.keep(places.soonest(), gang.occurrence.job.priority)
-            priority = asking.occurrence.job.priority
+            priority = other.occurrence.job.priority
             found.append({w.worker_id for w in workers if backfill.is_kept(w, priority)})
         self.assertEqual(found[0], found[1])
         return found[0]
 
-    def test_the_rack_with_least_in_the_way_is_kept(self) -> None:
+    def test_the_rack_with_the_least_lower_work_is_kept(self) -> None:
         self.workers(racks=2, each=2)
         self.add(step(6, 1, label="r1"), priority=BULK)
         self.add(step(2, 1, label="r2"), priority=BULK)
@@ -123,7 +123,7 @@
         bulk = self.waiting(self.add(step(1, 1), priority=BULK))
         self.assertEqual(len(self.kept(gang, bulk)), 2)
 
-    def test_equals_and_betters_are_not_kept_off(self) -> None:
+    def test_workers_are_not_kept_from_equal_or_more_urgent_work(self) -> None:
         self.workers(racks=1, each=2)
         gang = self.waiting(self.add(step(2, 8, gang=True), priority=NORMAL))
         equal = self.waiting(self.add(step(1, 1), priority=NORMAL))
@@ -131,8 +131,8 @@
         self.assertEqual(self.kept(gang, equal), set())
         self.assertEqual(self.kept(gang, better), set())
 
-    def test_nothing_is_kept_where_equals_are_in_the_way(self) -> None:
-        """Bulk work would wait for nothing: the gang fits no sooner."""
+    def test_nothing_is_kept_if_equal_work_holds_the_workers(self) -> None:
+        """Holding back bulk work would not help, since the gang would fit no sooner."""
         self.workers(racks=1, each=2)
         self.add(step(1, 8), priority=NORMAL)
         self.plan()
@@ -151,10 +151,10 @@
 
 
 class VictimsTest(ClusterCase):
-    """Whole gangs are stopped, so what one gang frees has to count for all of the need."""
+    """Gangs are preempted whole, so all the capacity that one frees has to count."""
 
     def run_on(self, made: Step, workers: list[str], now: float) -> str:
-        """Have a bulk job run on some workers since some time."""
+        """Run a bulk job on some workers since ``now``."""
         job_id = self.add(made, priority=BULK)
         tasks = self.cluster_state.jobs[job_id].occurrences[0].steps[0].tasks
         for task, worker_id in zip(tasks, workers, strict=True):
@@ -164,18 +164,18 @@
         return job_id
 
     def stopped(self, wanted: Step, now: float) -> list[str]:
-        """Jobs whose runs are stopped for an urgent one, one name a run."""
+        """Jobs whose runs are preempted for an urgent one, a job id for each run."""
         self.add(wanted)
         return sorted(stop.task.job_id for stop in self.plan(now).stops)
 
-    def test_what_a_later_victim_made_needless_is_spared(self) -> None:
+    def test_a_victim_that_a_later_one_makes_needless_is_spared(self) -> None:
         self.workers(each=3)
         gang = self.run_on(step(2, 8, gang=True), ["w11", "w12"], 0.0)
         self.run_on(step(1, 8), ["w13"], 0.0)
         wanted = step(2, 8, gang=True, same_rack=True)
         self.assertEqual(self.stopped(wanted, 1.0), [gang, gang])
 
-    def test_a_gang_counts_for_all_the_room_that_it_frees(self) -> None:
+    def test_a_gang_counts_for_all_the_capacity_that_it_frees(self) -> None:
         self.workers(each=8)
         singles = ["w11", "w12", "w13", "w14"]
         for worker_id in singles:
@@ -184,7 +184,7 @@
         wanted = step(4, 8, gang=True, same_rack=True)
         self.assertEqual(self.stopped(wanted, 10.0), [gang] * 4)
 
-    def test_small_runs_beside_a_large_one_are_spared_where_it_is_enough(self) -> None:
+    def test_small_runs_are_spared_if_a_large_one_is_enough(self) -> None:
         self.workers(each=1)
         small = self.run_on(step(2, 1), ["w11", "w11"], 0.0)
         large = self.run_on(step(1, 6), ["w11"], 0.0)
@@ -193,7 +193,7 @@
 
 
 class HallsTest(ClusterCase):
-    """A gang over several data halls is lost with each of them."""
+    """A gang that spans several data halls is lost with each of them."""
 
     def halls(self, names: Sequence[str], each: int) -> None:
         for name in names:
@@ -206,7 +206,7 @@
             self.cluster_state.workers[start.run.worker_id].record.data_hall for start in starts
         }
 
-    def test_a_gang_lies_in_one_hall_where_it_fits(self) -> None:
+    def test_a_gang_uses_one_hall_if_it_fits(self) -> None:
         self.halls(("north", "south"), each=3)
         self.add(step(1, 8))
         self.plan()
@@ -215,15 +215,15 @@
         self.assertEqual(len(starts), 3)
         self.assertEqual(self.halls_of(starts), {"south"})
 
-    def test_one_that_fits_in_no_hall_lies_in_several(self) -> None:
+    def test_a_gang_that_fits_in_no_hall_uses_several(self) -> None:
         self.halls(("north", "south"), each=2)
         self.add(step(3, 8, gang=True))
         starts = self.plan().starts
         self.assertEqual(len(starts), 3)
         self.assertEqual(self.halls_of(starts), {"north", "south"})
 
-    def test_none_opens_more_empty_workers_for_it(self) -> None:
-        """On a pool of 24 workers that cost 0.04 of a calm day."""
+    def test_a_gang_uses_no_more_empty_workers_to_stay_in_one_hall(self) -> None:
+        """Using more empty workers cost 0.04 of a calm day in a pool of 24 workers."""
         self.halls(("north", "south"), each=3)
         for worker_id in ("north0", "south0"):
             job = self.cluster_state.jobs[self.add(step(1, 4))]
@@ -244,14 +244,14 @@
         self.step = job.occurrences[0].steps[0]
         self.reservations = Reservations()
 
-    def test_reserved_room_is_not_free_until_it_is_released(self) -> None:
+    def test_reserved_capacity_is_not_free_until_it_is_released(self) -> None:
         self.reservations.reserve(self.step, [self.worker, self.worker], 0.0)
         self.assertEqual(self.worker.free.accelerators, 0)
         self.assertTrue(self.reservations.release(self.step))
         self.assertEqual(self.worker.free.accelerators, 8)
         self.assertFalse(self.reservations.release(self.step))
 
-    def test_room_that_something_still_holds_is_not_free(self) -> None:
+    def test_a_reservation_is_not_free_while_a_run_holds_its_capacity(self) -> None:
         self.reservations.reserve(self.step, [self.worker, self.worker], 0.0)
         held = self.reservations.of(self.step)
         assert held is not None
@@ -260,26 +260,26 @@
         self.worker.used = Resources()
         self.assertTrue(held.is_free)
 
-    def test_it_is_kept_for_a_while_and_no_longer(self) -> None:
+    def test_it_expires_after_its_timeout(self) -> None:
         self.reservations.reserve(self.step, [self.worker], 0.0)
         self.reservations.release_expired(RESERVATION_TIMEOUT_S)
         self.assertIsNotNone(self.reservations.of(self.step))
         self.reservations.release_expired(RESERVATION_TIMEOUT_S + 0.1)
-        self.assert_given_up()
+        self.assert_released()
 
-    def test_it_is_given_up_with_its_worker(self) -> None:
+    def test_it_is_released_when_its_worker_is_gone(self) -> None:
         self.reservations.reserve(self.step, [self.worker], 0.0)
         self.worker.listed = False
         self.reservations.release_expired(0.0)
-        self.assert_given_up()
+        self.assert_released()
 
-    def test_it_is_given_up_with_its_job(self) -> None:
+    def test_it_is_released_when_its_job_is_cancelled(self) -> None:
         self.reservations.reserve(self.step, [self.worker], 0.0)
         self.step.occurrence.job.cancelled = True
         self.reservations.release_expired(0.0)
-        self.assert_given_up()
+        self.assert_released()
 
-    def assert_given_up(self) -> None:
+    def assert_released(self) -> None:
         self.assertIsNone(self.reservations.of(self.step))
         self.assertEqual(self.worker.reserved, Resources())
 
@@ -288,7 +288,7 @@
     KIND = CellKind(8, (((4, 4), (4, 4)),))
 
     def search(self, cells: int, shapes: list[Shape], steps: int = 100) -> list[int] | None:
-        """Cells of eight accelerators that hold what adds up to no more."""
+        """Search cells that each hold shapes of up to eight accelerators in total."""
 
         def packs(cell: int, held: object) -> bool:
             self.asked += 1
@@ -300,21 +300,21 @@
     def shapes(self, *sizes: int) -> list[Shape]:
         return [Shape(size, Adjacency.RACK) for size in sizes]
 
-    def test_answers_come_in_the_order_of_the_shapes(self) -> None:
+    def test_cells_are_returned_in_the_order_of_the_shapes(self) -> None:
         chosen = self.search(2, self.shapes(2, 8, 6))
         assert chosen is not None
         self.assertEqual(chosen[0], chosen[2])
         self.assertNotEqual(chosen[0], chosen[1])
 
-    def test_what_is_too_much_in_all_is_refused_unasked(self) -> None:
+    def test_shapes_that_exceed_all_cells_are_refused_without_a_search(self) -> None:
         self.assertIsNone(self.search(2, self.shapes(8, 8, 1)))
         self.assertEqual(self.asked, 0)
 
-    def test_cells_that_do_not_differ_are_asked_once(self) -> None:
+    def test_identical_cells_are_searched_once(self) -> None:
         self.assertIsNone(self.search(5, self.shapes(7, 7, 7, 7, 7, 5)))
         self.assertLess(self.asked, 20)
 
-    def test_it_ends_with_its_steps(self) -> None:
+    def test_the_search_ends_after_its_steps(self) -> None:
         shapes = self.shapes(*[5] * 6, *[4] * 6)
         self.assertIsNone(self.search(8, shapes, steps=10))
         self.assertLessEqual(self.asked, 10)
--- a/tests/test_waits_board.py
+++ b/tests/test_waits_board.py
@@ -242,14 +242,17 @@
 
     EVENTS = test_board.RandomEventsTest("test_invariants")
 
-    def happen(self, cluster_state: ClusterState, seed: int) -> float:
-        """Let 60 things happen; when the last of them did."""
+    def apply_random_events(self, cluster_state: ClusterState, seed: int) -> float:
+        """Apply 60 random events.
+
+        :return: the time of the last one.
+        """
         rng = random.Random(seed)
         cluster_state.configure({"depots": 8}, {"q": SERVICE})
         now = 0.0
         for number in range(60):
             now += rng.uniform(0.1, 5.0)
-            self.EVENTS.happen(cluster_state, rng, number, now, set())
+            self.EVENTS.apply_random_event(cluster_state, rng, number, now, set())
             cluster_state.plan(now, now * 1000)
             cluster_state.take_changes()
             self.assertEqual(self.forgotten(cluster_state), [])
@@ -269,13 +272,13 @@
     @settings(max_examples=100, deadline=None)
     @given(st.integers(0, 2**32))
     def test_what_may_start_is_in_the_list(self, seed: int) -> None:
-        self.happen(ClusterState(), seed)
+        self.apply_random_events(ClusterState(), seed)
 
     @settings(max_examples=100, deadline=None)
     @given(st.integers(0, 2**32))
     def test_all_ends_once_there_is_room(self, seed: int) -> None:
         cluster_state = ClusterState()
-        now = self.happen(cluster_state, seed) + PATIENT
+        now = self.apply_random_events(cluster_state, seed) + PATIENT
         for number in range(16):
             made = record(f"fresh{number}", rack=f"fresh{number // 8}")
             cluster_state.set_worker(made, now)
