--- a/src/saddlestack/policy/cluster/diagnosis.py
+++ b/src/saddlestack/policy/cluster/diagnosis.py
@@ -279,7 +279,7 @@
         """The reason, and when it ends where a time is known."""
         waiting_since_s = self._now if step.waiting_since_s is None else step.waiting_since_s
         if survey.reason is None:
-            if self._cluster_state.planner.may_open(step, list(survey.places), self._now):
+            if self._cluster_state.planner.headroom_allows(step, list(survey.places), self._now):
                 return self._for_round(), None
             return Reason.HEADROOM, waiting_since_s + HEADROOM_PATIENCE_S
         reserved_until_s = self._cluster_state.planner.reserved_until(step)
--- a/src/saddlestack/policy/cluster/headroom.py
+++ b/src/saddlestack/policy/cluster/headroom.py
@@ -16,12 +16,15 @@
 fit there."""
 
 
-def may_open(service_capacity: ServiceCapacity, places: Sequence[Worker], waited_s: float) -> bool:
-    """Whether less urgent work may take some workers.
-
-    It may if it uses no empty worker or leaves the headroom. Otherwise it may if less than half of
-    the service is used, or if it has waited for long enough. The wait is shorter if the pool is
-    mostly free and at least as many empty accelerators remain as the work takes.
+def headroom_allows(
+    service_capacity: ServiceCapacity, places: Sequence[Worker], waited_s: float
+) -> bool:
+    """Whether the headroom allows less urgent work to take some workers.
+
+    It does if the work uses no empty worker, or if the headroom remains. Otherwise it does if less
+    than half of the service is used, or if the work has waited for long enough. That wait is
+    shorter if the pool is mostly free and at least as many empty accelerators remain as the work
+    takes.
 
     :param service_capacity: capacity of the service.
     :param places: the workers that the work would go to.
--- a/src/saddlestack/policy/cluster/places.py
+++ b/src/saddlestack/policy/cluster/places.py
@@ -130,12 +130,12 @@
 
     def choose_worker(self, avoid: set[str]) -> Worker | None:
         """See :meth:`Places.choose_worker`."""
-        found = self._task(avoid)
+        found = self._find_worker(avoid)
         if found is None and avoid and not self._has_alternative(avoid):
-            return self._task(set())
+            return self._find_worker(set())
         return found
 
-    def _task(self, avoid: set[str]) -> Worker | None:
+    def _find_worker(self, avoid: set[str]) -> Worker | None:
         for rack in self._near():
             fresh = [w for w in self._accepting(rack) if w.worker_id not in avoid]
             worker = place_task(self._step, fresh, _free_copies(self._step))
@@ -291,20 +291,20 @@
             for worker in workers
         ]
         eligible = [(worker, copies) for worker, copies in found if copies > 0]
-        self._able = sorted(eligible, key=lambda pair: _preference_order(pair[0], now))
+        self._eligible = sorted(eligible, key=lambda pair: _preference_order(pair[0], now))
 
     @property
     def copies(self) -> int:
         """Number of the step's tasks that fit."""
-        return sum(copies for _, copies in self._able)
+        return sum(copies for _, copies in self._eligible)
 
     def choose_gang(self) -> list[Worker] | None:
         """See :meth:`Places.choose_gang`. The gang may be spread over racks."""
-        return fill_one_hall(self._able, self._step.step.count)
+        return fill_one_hall(self._eligible, self._step.step.count)
 
     def choose_worker(self, avoid: set[str]) -> Worker | None:
         """See :meth:`Places.choose_worker`."""
-        workers = [worker for worker, _ in self._able]
+        workers = [worker for worker, _ in self._eligible]
         fresh = [worker for worker in workers if worker.worker_id not in avoid]
         return next(iter(fresh or workers), None)
 
--- a/src/saddlestack/policy/cluster/planner.py
+++ b/src/saddlestack/policy/cluster/planner.py
@@ -10,7 +10,7 @@
 from saddlestack.policy.cluster.candidates import Candidates, prefers_near
 from saddlestack.policy.cluster.caution import Caution
 from saddlestack.policy.cluster.crashes import Crashes
-from saddlestack.policy.cluster.headroom import may_open
+from saddlestack.policy.cluster.headroom import headroom_allows
 from saddlestack.policy.cluster.index import CapacityIndex
 from saddlestack.policy.cluster.isolation import Isolated, Isolation, ServicePool
 from saddlestack.policy.cluster.jobs import TOP_PRIORITY, Job, Run, StepState, Task
@@ -139,15 +139,15 @@
         reservation = self._reservations.of(step)
         return None if reservation is None else reservation.expires_s
 
-    def may_open(self, step: StepState, places: list[Worker], now: float) -> bool:
-        """Whether a step may take these workers by the headroom that the last round has left."""
+    def headroom_allows(self, step: StepState, places: list[Worker], now: float) -> bool:
+        """Whether the headroom left by the last round allows a step to take these workers."""
         with self._index.without_refresh():
-            return self._may_open(step, places, now)
+            return self._headroom_allows(step, places, now)
 
     # Placement
 
     def _place(self, step: StepState, entitled: set[str], now: float) -> None:
-        top = step.occurrence.job.priority == TOP_PRIORITY
+        is_top = step.occurrence.job.priority == TOP_PRIORITY
         shape = self._shape(step, now)
         full = shape in self._failed_shapes.full
         if not may_start(step):
@@ -155,21 +155,21 @@
             return
         if not self._isolate(step, now):
             return
-        hopeless = full or self._failed_shapes.is_shut(shape, step.waited_s(now))
-        if hopeless and not top:
+        cannot_start = full or self._failed_shapes.is_headroom_closed(shape, step.waited_s(now))
+        if cannot_start and not is_top:
             if not self._place_without_preferences(step, now):
                 self._keep_workers(step, shape, now)
             return
         if self._use_reservation(step, now):
             return
-        if not full and self._place_with_caution(step, now):
+        if not full and self._place_on_preferred(step, now):
             return
         places = self._candidates.places(step, now)
         if not full and self._place_on(step, shape, places, now):
             return
         if self._place_without_preferences(step, now):
             return
-        if not top:
+        if not is_top:
             self._keep_workers(step, shape, now)
         elif self._reservations.of(step) is None:
             self._preempt(step, places, entitled, now)
@@ -245,7 +245,7 @@
         soonest = self._candidates.places(step, now).soonest()
         self._backfill.keep(soonest, step.occurrence.job.priority)
 
-    def _place_with_caution(self, step: StepState, now: float) -> bool:
+    def _place_on_preferred(self, step: StepState, now: float) -> bool:
         """Place a step on preferred workers only, if there are such and it fits there."""
         for preferred in self._worker_preferences.preferences(step, now):
             eligible = self._candidates.listed(step, now)
@@ -319,8 +319,8 @@
         if chosen is None:
             self._failed_shapes.note_full(shape)
             return False
-        if not self._may_open(step, chosen, now):
-            self._failed_shapes.note_shut(shape, step.waited_s(now))
+        if not self._headroom_allows(step, chosen, now):
+            self._failed_shapes.note_headroom_closed(shape, step.waited_s(now))
             return False
         self._release(step)
         self._assign_gang(step, chosen, now)
@@ -348,8 +348,8 @@
             if worker is None:
                 self._failed_shapes.note_full(shape)
                 return False
-            if not self._may_open(step, [worker], now):
-                self._failed_shapes.note_shut(shape, step.waited_s(now))
+            if not self._headroom_allows(step, [worker], now):
+                self._failed_shapes.note_headroom_closed(shape, step.waited_s(now))
                 return False
             self._assign(task, worker, task.record.run + 1, now)
         if left:
@@ -368,14 +368,14 @@
 
     # Headroom
 
-    def _may_open(self, step: StepState, places: list[Worker], now: float) -> bool:
-        """Whether a step may take these workers, some of which may be empty."""
+    def _headroom_allows(self, step: StepState, places: list[Worker], now: float) -> bool:
+        """Whether the headroom allows a step to take these workers."""
         if step.occurrence.job.priority == TOP_PRIORITY or step.step.long_running:
             return True
         waited_s = step.waited_s(now)
         if waited_s > HEADROOM_PATIENCE_S:
             return True
-        return may_open(self._candidates.service_capacity(step), places, waited_s)
+        return headroom_allows(self._candidates.service_capacity(step), places, waited_s)
 
     # Preemption
 
@@ -389,14 +389,14 @@
                 return False
             if run.isolated or self._isolation.is_counted(run):
                 return False
-            if run.stopping or gives_back(run) or other.priority > job.priority:
+            if run.stopping or returns_loan(run) or other.priority > job.priority:
                 return True
             return is_entitled and other.job_id not in entitled
 
-        def gives_back(run: Run) -> bool:
+        def returns_loan(run: Run) -> bool:
             return step in run.lent_by
 
-        preemptor = Preemptor(self._cluster_state.members, may_stop, gives_back, now)
+        preemptor = Preemptor(self._cluster_state.members, may_stop, returns_loan, now)
         wanted = sum(1 for task in step.tasks if self._is_open(task))
         domains = list(places.domains(wanted))
         found = preemptor.cheapest(step, wanted, domains)
@@ -405,7 +405,7 @@
         if found is None:
             return
         for run in found.victims:
-            if not gives_back(run):
+            if not returns_loan(run):
                 self._cluster_state.preempt(run, job)
         self._reclaim_loans(self._reservations.reserve(step, found.places, now), now)
 
--- a/src/saddlestack/policy/cluster/shapes.py
+++ b/src/saddlestack/policy/cluster/shapes.py
@@ -104,11 +104,11 @@
         if shape is not None:
             self.kept.add(shape)
 
-    def is_shut(self, shape: int | None, waited_s: float) -> bool:
+    def is_headroom_closed(self, shape: int | None, waited_s: float) -> bool:
         """Whether the headroom is known to be closed to a step that has waited this long."""
         return shape is not None and waited_s <= self.shut.get(shape, -math.inf)
 
-    def note_shut(self, shape: int | None, waited_s: float) -> None:
+    def note_headroom_closed(self, shape: int | None, waited_s: float) -> None:
         """Record that the headroom is closed to a step that has waited this long."""
         if shape is not None:
             self.shut[shape] = max(waited_s, self.shut.get(shape, waited_s))
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -11,7 +11,7 @@
 from saddlestack.policy.cluster.backfill import MAX_KEPT_GANGS, Backfill
 from saddlestack.policy.cluster.changes import Start
 from saddlestack.policy.cluster.fits import FitCache, FitKey
-from saddlestack.policy.cluster.headroom import may_open
+from saddlestack.policy.cluster.headroom import headroom_allows
 from saddlestack.policy.cluster.index import CapacityIndex, ServiceCapacity
 from saddlestack.policy.cluster.jobs import StepState
 from saddlestack.policy.cluster.places import IndexedPlaces, ListedPlaces
@@ -39,12 +39,12 @@
         index.begin_round(0.0)
         return index.service(SERVICE)
 
-    def may_open(self, *places: Worker) -> bool:
-        return may_open(self.service_capacity(), places, 0.0)
+    def headroom_allows(self, *places: Worker) -> bool:
+        return headroom_allows(self.service_capacity(), places, 0.0)
 
     def test_an_idle_pool_may_be_opened(self) -> None:
         pool = self.pool(racks=1, each=4)
-        self.assertTrue(self.may_open(pool[0]))
+        self.assertTrue(self.headroom_allows(pool[0]))
 
     def test_half_of_accelerators_or_of_processors_is_half_used(self) -> None:
         pool = self.pool(racks=1, each=2)
@@ -59,28 +59,28 @@
     def test_a_quarter_stays_closed_once_half_is_used(self) -> None:
         pool = self.pool(racks=4, each=2)
         self.use(*pool[0::2], pool[1])
-        self.assertTrue(self.may_open(pool[3]))
+        self.assertTrue(self.headroom_allows(pool[3]))
         self.use(pool[3])
-        self.assertFalse(self.may_open(pool[5]))
+        self.assertFalse(self.headroom_allows(pool[5]))
 
     def test_half_a_rack_stays_closed_if_one_is_free(self) -> None:
         pool = self.pool(racks=2, each=8)
         self.use(*pool[:8])
         self.use(*pool[8:12])
-        self.assertFalse(self.may_open(pool[12]))
+        self.assertFalse(self.headroom_allows(pool[12]))
 
     def test_a_worker_in_use_is_no_headroom(self) -> None:
         pool = self.pool(racks=1, each=2)
         self.use(pool[0])
-        self.assertTrue(self.may_open(pool[0]))
+        self.assertTrue(self.headroom_allows(pool[0]))
 
     def test_a_worker_that_accepts_no_work_is_no_headroom(self) -> None:
         pool = self.pool(racks=2, each=8)
         self.use(*pool[:8])
-        self.assertTrue(self.may_open(pool[8]))
+        self.assertTrue(self.headroom_allows(pool[8]))
         for worker in pool[9:14]:
             worker.listed = False
-        self.assertFalse(self.may_open(pool[8]))
+        self.assertFalse(self.headroom_allows(pool[8]))
 
 
 class BackfillTest(ClusterCase):
