--- a/src/saddlestack/policy/cluster/state.py
+++ b/src/saddlestack/policy/cluster/state.py
@@ -216,7 +216,7 @@
     def unlist_worker(self, worker_id: str) -> None:
         """Mark a worker incarnation as no longer listed. Its runs may go on.
 
-        It is removed once it has no runs.
+        A worker without runs is removed.
         """
         worker = self.workers.get(worker_id)
         if worker is None:
