--- a/src/saddlestack/control/feed.py
+++ b/src/saddlestack/control/feed.py
@@ -9,7 +9,7 @@
 
 from saddlestack.control.context import EntryContext
 from saddlestack.interfaces.store import HistoryGone, Item, StoreUnavailable
-from saddlestack.policy.retry import pause
+from saddlestack.policy.retry import backoff_delay
 
 log = logging.getLogger("saddlestack.feed")
 
@@ -111,6 +111,6 @@
                 extra={"event": "feed_behind", "prefix": self._prefix, "reason": str(error)},
             )
         self._failures += 1
-        await self._context.health.pause(
-            pause(self._failures, FIRST_RETRY_S, LONGEST_RETRY_S, self._context.rng)
+        await self._context.health.wait_for_recovery(
+            backoff_delay(self._failures, FIRST_RETRY_S, LONGEST_RETRY_S, self._context.rng)
         )
--- a/src/saddlestack/control/upkeep.py
+++ b/src/saddlestack/control/upkeep.py
@@ -13,8 +13,8 @@
 from saddlestack.codec import from_json, to_json
 from saddlestack.control.context import EntryContext
 from saddlestack.control.feed import Feed
+from saddlestack.control.invalidrecords import InvalidRecords
 from saddlestack.control.keys import LEADER, wave_key
-from saddlestack.control.refusals import Refusals
 from saddlestack.errors import SaddlestackError
 from saddlestack.interfaces.machines import Machines, MachinesUnavailable, UpkeepOutcome
 from saddlestack.interfaces.store import (
@@ -60,10 +60,10 @@
         self._waves: dict[int, WaveState] = {}
         self._completed: set[int] = set()
         self._feed = Feed(
-            context, context.documents.places.waves_prefix, self._ordered, self._ordered
+            context, context.documents.locations.waves_prefix, self._ordered, self._ordered
         )
         self._fresh: list[Item] = []
-        self._refusals = Refusals(context.metrics, "wave")
+        self._invalid_records = InvalidRecords(context.metrics, "wave")
 
     async def run(self) -> None:
         """Drive waves until cancelled."""
@@ -91,7 +91,7 @@
         try:
             wave = self._context.documents.wave(item)
         except SaddlestackError as error:
-            self._refusals.refuse(item.key, str(error))
+            self._invalid_records.report(item.key, str(error))
             return
         if wave.wave in self._waves or wave.wave in self._completed:
             return
@@ -99,7 +99,7 @@
             kept = await self._read(wave.wave)
         except SaddlestackError as error:
             # Some of its machines may have had their upkeep, and none is to have it twice.
-            self._refusals.refuse(wave_key(wave.wave), str(error))
+            self._invalid_records.report(wave_key(wave.wave), str(error))
             return
         if kept.completed:
             self._completed.add(wave.wave)
@@ -107,7 +107,7 @@
         down_s = self._context.settings.timings.upkeep_s
         state = WaveState(wave, self._clock.now(), down_s)
         for name in kept.begun:
-            state.is_gone(name)
+            state.mark_done(name)
         self._waves[wave.wave] = state
         log.info(
             "wave of upkeep",
@@ -154,19 +154,19 @@
             extra={"event": "upkeep", "machine": machine, "outcome": outcome.value},
         )
         if outcome is UpkeepOutcome.BEGUN:
-            state.went_down(machine)
+            state.mark_down(machine)
             await self._keep(state, completed=False)
         elif outcome in {UpkeepOutcome.UNKNOWN_MACHINE, UpkeepOutcome.NOT_IN_WAVE}:
-            state.is_gone(machine)
+            state.mark_done(machine)
             self._give_back(machine)
 
     def _give_back(self, machine: str) -> None:
         """A machine goes on: its worker takes work again, unless another wave prepares it."""
-        if any(state.prepares(machine) for state in self._waves.values()):
+        if any(state.is_preparing(machine) for state in self._waves.values()):
             return
         for worker in self._cluster_state.workers.values():
             if worker.record.machine == machine:
-                worker.goes_on()
+                worker.cancel_upkeep()
 
     async def _read(self, wave: int) -> WaveRecord:
         while True:
@@ -174,12 +174,12 @@
                 item = await self._context.store.get(wave_key(wave))
                 return from_json(item.value, WaveRecord) if item.revision else WaveRecord()
             except StoreUnavailable:
-                await self._context.health.pause(STORE_RETRY_S)
+                await self._context.health.wait_for_recovery(STORE_RETRY_S)
 
     async def _keep(self, state: WaveState, *, completed: bool) -> None:
         """Write how far a wave is, for the operator and for the next leader."""
         number = state.wave.wave
-        places = self._context.documents.places
+        places = self._context.documents.locations
         status = self._context.documents.wave_status(completed=completed)
         record = WaveRecord(begun=state.begun, completed=completed)
         transaction = Transaction(
@@ -193,7 +193,7 @@
             try:
                 outcome = await self._context.store.transact(transaction)
             except (StoreUnavailable, WriteInDoubt):
-                await self._context.health.pause(STORE_RETRY_S)
+                await self._context.health.wait_for_recovery(STORE_RETRY_S)
                 continue
             if isinstance(outcome, Conflict):
                 log.warning("wave is another leader's", extra={"event": "wave_displaced"})
--- a/src/saddlestack/policy/cluster/changes.py
+++ b/src/saddlestack/policy/cluster/changes.py
@@ -5,10 +5,10 @@
 import enum
 from dataclasses import dataclass, field
 
+from saddlestack.policy.cluster.crash_findings import CrashFinding
 from saddlestack.policy.cluster.jobs import Job, Run, StepState
 from saddlestack.policy.cluster.pacing import Pace
 from saddlestack.policy.cluster.records import OccurrenceRecord
-from saddlestack.policy.cluster.verdicts import Verdict
 from saddlestack.work import JobState, TaskName
 
 
@@ -90,7 +90,7 @@
     :param paces: paces to be ordered at once.
     :param advice_requests: requests to the adviser.
     :param state_updates: jobs and their states, to be published after the records are written.
-    :param verdicts: on tasks under which workers crashed, to be logged.
+    :param findings: on tasks under which workers crashed, to be logged.
     """
 
     records: dict[str, OccurrenceRecord] = field(default_factory=dict)
@@ -99,7 +99,7 @@
     paces: list[Pace] = field(default_factory=list)
     advice_requests: list[AdviceRequest] = field(default_factory=list)
     state_updates: list[tuple[Job, JobState]] = field(default_factory=list)
-    verdicts: list[Verdict] = field(default_factory=list)
+    findings: list[CrashFinding] = field(default_factory=list)
 
     def by_job(self) -> list[JobChanges]:
         """The records, and what depends on their writes, grouped by job."""
--- a/src/saddlestack/policy/cluster/index.py
+++ b/src/saddlestack/policy/cluster/index.py
@@ -272,7 +272,7 @@
             worker = heapq.heappop(self._timers)[2]
             self._timer_times.pop(worker, None)
             if worker in self._numbers:
-                worker.see_trial(now)
+                worker.expire_trial(now)
                 self._changed[worker] = None
         self._refresh()
 
@@ -316,13 +316,13 @@
 
 def _contribution(worker: Worker, now: float) -> _Contribution:
     record = worker.record
-    takes_work = worker.takes_work(now)
+    accepts_work = worker.accepts_work(now)
     free = worker.free
     return _Contribution(
         service=record.service,
         rack=record.rack,
-        eligible=takes_work and not worker.suspected,
-        empty=record.capacity.accelerators if takes_work and not worker.runs else 0,
+        eligible=accepts_work and not worker.suspected,
+        empty=record.capacity.accelerators if accepts_work and not worker.runs else 0,
         evacuated=worker.evacuated,
         present=worker.listed and worker.reachable,
         accelerators=record.capacity.accelerators,
--- a/src/saddlestack/policy/cluster/places.py
+++ b/src/saddlestack/policy/cluster/places.py
@@ -231,19 +231,21 @@
 
     def _tightest(self) -> Iterator[Worker]:
         """Workers on which a task fits, the fullest first."""
-        request = self._step.step.room
+        request = self._step.step.allocation
         for worker in self._service_capacity.tightest_first(request.accelerators, request.cpu):
             if self._kept is not None and self._kept(worker):
                 continue
-            if self._fits.allows(worker) and worker.fitting(request, worker.free) > 0:
+            if self._fits.allows(worker) and worker.count_fitting(request, worker.free) > 0:
                 yield worker
 
     def _choose_any_racks(self) -> list[Worker] | None:
         wanted = self._step.step.count
         if self._fits.total < wanted:
             return None
-        request = self._step.step.room
-        eligible = ((worker, worker.fitting(request, worker.free)) for worker in self._tightest())
+        request = self._step.step.allocation
+        eligible = (
+            (worker, worker.count_fitting(request, worker.free)) for worker in self._tightest()
+        )
         return fill_one_hall(eligible, wanted)
 
     def _has_alternative(self, avoid: set[str]) -> bool:
--- a/src/saddlestack/policy/cluster/reservations.py
+++ b/src/saddlestack/policy/cluster/reservations.py
@@ -78,10 +78,10 @@
         return any(worker.suspected for worker in self.places)
 
     def _fits(self, worker: Worker, used: Resources) -> bool:
-        if worker.is_over:
+        if worker.is_overcommitted:
             return False
         free = worker.record.capacity - used
-        return self.step.step.room.copies_in(free) >= self.places.count(worker)
+        return self.step.step.allocation.copies_in(free) >= self.places.count(worker)
 
 
 class Reservations:
@@ -106,7 +106,7 @@
         if step.preempts_since_s is None:
             step.preempts_since_s = now
         for worker in places:
-            worker.reserved = worker.reserved + step.step.room
+            worker.reserved = worker.reserved + step.step.allocation
             _note_awaited(worker, now)
         held = self._held[id(step)] = Reservation(step, places, now + RESERVATION_TIMEOUT_S)
         return held
@@ -120,7 +120,7 @@
         if held is None:
             return False
         for worker in held.places:
-            worker.reserved = worker.reserved - step.step.room
+            worker.reserved = worker.reserved - step.step.allocation
         return True
 
     def __len__(self) -> int:
@@ -132,7 +132,7 @@
     def release_expired(self, now: float) -> None:
         """Release reservations that have expired or can no longer be used."""
         for held in list(self._held.values()):
-            usable = all(worker.takes_work(now) for worker in held.places)
+            usable = all(worker.accepts_work(now) for worker in held.places)
             if not usable or now > held.expires_s or not held.step.occurrence.open:
                 self.release(held.step)
 
--- a/src/saddlestack/policy/cluster/state.py
+++ b/src/saddlestack/policy/cluster/state.py
@@ -11,26 +11,26 @@
 from dataclasses import replace
 
 from saddlestack.interfaces.workers import EndedTask, EndKind, RunningTask, WorkerRecord
-from saddlestack.policy.cluster.blame import Blame, FailureKind
-from saddlestack.policy.cluster.caution import Caution
 from saddlestack.policy.cluster.changes import AdviceRequest, Changes, Start, Stop, StopReason
-from saddlestack.policy.cluster.crashes import Crashes, Judgement
-from saddlestack.policy.cluster.departure import leaving
+from saddlestack.policy.cluster.crash_findings import CrashFinding
+from saddlestack.policy.cluster.crashes import CrashAssessment, CrashTracker
+from saddlestack.policy.cluster.draining import runs_to_stop
+from saddlestack.policy.cluster.fault_attribution import FailureKind, FaultAttribution
+from saddlestack.policy.cluster.incarnation_end import IncarnationEnd
 from saddlestack.policy.cluster.index import CapacityIndex
 from saddlestack.policy.cluster.jobs import Job, Occurrence, Run, StepState, Task, new_job
-from saddlestack.policy.cluster.lifeend import LifeEnd
-from saddlestack.policy.cluster.pacing import Pace, paces
+from saddlestack.policy.cluster.pacing import Pace, adjust_pace
 from saddlestack.policy.cluster.planner import Planner
-from saddlestack.policy.cluster.progress import is_stuck, needs_looks
+from saddlestack.policy.cluster.progress import is_stuck, needs_progress_polls
 from saddlestack.policy.cluster.records import (
     FailureCause,
     OccurrenceRecord,
     OccurrenceStatus,
     TaskStatus,
 )
-from saddlestack.policy.cluster.verdicts import Verdict
 from saddlestack.policy.cluster.waiting import is_waiting
-from saddlestack.policy.cluster.workers import EARLY_FAILURE_S, EARLY_SHARE, Worker
+from saddlestack.policy.cluster.worker_preferences import WorkerPreferences
+from saddlestack.policy.cluster.workers import EARLY_FAILURE_S, EARLY_FAILURE_SHARE, Worker
 from saddlestack.work import AcceptedJob, JobState, Resources, TaskName
 
 
@@ -51,10 +51,10 @@
         self._evacuated: frozenset[str] = frozenset()
         self._changed_jobs: dict[str, Job] = {}
         self._index = CapacityIndex()
-        self._worker_preferences = Caution()
-        self._fault_attribution = Blame(self.workers)
-        self._crashes = Crashes(self.workers)
-        self._findings: list[Verdict] = []
+        self._worker_preferences = WorkerPreferences()
+        self._fault_attribution = FaultAttribution(self.workers)
+        self._crashes = CrashTracker(self.workers)
+        self._findings: list[CrashFinding] = []
         self._planner = Planner(self, self._index, self._worker_preferences, self._crashes)
 
     def configure(
@@ -131,7 +131,9 @@
             return
         address = addresses.get(record.worker, "")
         worker = self._incarnation_at(record.worker, address)
-        run = Run(task, record.run, worker.worker_id, task.step.step.room, 0.0, inherited=True)
+        run = Run(
+            task, record.run, worker.worker_id, task.step.step.allocation, 0.0, inherited=True
+        )
         run.saved = record.saved
         run.address = address
         task.run = run
@@ -203,7 +205,7 @@
         if worker is None:
             worker = Worker(record)
             self._add_worker(worker)
-        worker.note(record, now)
+        worker.update_record(record, now)
         worker.evacuated = record.data_hall in self._evacuated
         if worker.is_cold(now):
             self._worker_preferences.note_cold(worker)
@@ -227,7 +229,7 @@
         if not worker.runs:
             self._remove_worker(worker)
 
-    def worker_ended(self, worker_id: str, end: LifeEnd | None = None) -> None:
+    def worker_ended(self, worker_id: str, end: IncarnationEnd | None = None) -> None:
         """End all runs of a worker incarnation that has ended or whose lease has certainly lapsed.
 
         :param end: when it may have ended, if it may have crashed.
@@ -235,7 +237,9 @@
         worker = self.workers.get(worker_id)
         if worker is None:
             return
-        assessment = Judgement() if end is None else self._crashes.life_over(worker, end)
+        assessment = (
+            CrashAssessment() if end is None else self._crashes.incarnation_ended(worker, end)
+        )
         lost = list(worker.runs.values())
         for run in lost:
             worker.remove(run.task.name, run.number)
@@ -247,8 +251,8 @@
 
     def record_answer(self, worker: Worker, now: float) -> None:
         """Record that a worker incarnation has answered."""
-        worker.heard_s = now
-        worker.silent_s = None
+        worker.last_answer_s = now
+        worker.unreachable_since_s = None
         worker.outlived_record = not worker.listed
         self._apply_assessment(self._crashes.heard(worker.worker_id))
 
@@ -266,9 +270,9 @@
         self._apply_assessment(assessment)
         return len(assessment.touched)
 
-    def _apply_assessment(self, assessment: Judgement) -> None:
+    def _apply_assessment(self, assessment: CrashAssessment) -> None:
         """Record findings about crashes, and fail the jobs whose tasks caused them."""
-        self._findings += assessment.verdicts
+        self._findings += assessment.findings
         for task in assessment.touched:
             if task.step.occurrence.open:
                 self._mark_changed(task.step.occurrence)
@@ -323,7 +327,7 @@
                 self._stops.append(Stop(worker_id, name, row.run, StopReason.NOT_OURS))
                 continue
             if row.percent > run.percent:
-                worker.progressed(run, now)
+                worker.record_progress(run, now)
             if row.percent != run.percent or run.progressed_s is None:
                 run.progressed_s = now
             run.percent = row.percent
@@ -332,11 +336,11 @@
             if row.saved:
                 run.saved = row.saved
         self._restart_stalled(worker, now)
-        self._paces += paces(worker, now)
+        self._paces += adjust_pace(worker, now)
 
     def _restart_stalled(self, worker: Worker, now: float) -> None:
         """Stop stalled runs on a worker, so that they restart elsewhere."""
-        if not needs_looks(worker) or worker.is_cold(now):
+        if not needs_progress_polls(worker) or worker.is_cold(now):
             return
         for run in list(worker.runs.values()):
             if is_stuck(run, self.members(run), now):
@@ -351,7 +355,7 @@
         if run is None:
             return
         if end.how is EndKind.DONE:
-            worker.succeeded(now)
+            worker.record_success(now)
             self._fault_attribution.ended_well(worker_id)
         elif end.how is EndKind.FAILED:
             self._record_failure(worker, run, now)
@@ -388,7 +392,7 @@
         task.record.status = TaskStatus.WAITING
         if step.step.checkpoint and saved:
             self._save_checkpoint(task, saved)
-        if self._crashes.is_spent(task):
+        if self._crashes.is_out_of_starts(task):
             self._fail_out_of_starts(task)
         elif step.step.once and _has_begun(run, how) and not task.record.saved:
             self._fail_job(occurrence, FailureCause.ONCE)
@@ -496,7 +500,7 @@
         """
         self._index.begin_round(now)
         self._crashes.tick(now)
-        for run in leaving(self._index.leaving, self.members, now):
+        for run in runs_to_stop(self._index.leaving, self.members, now):
             self.stop_group(run, StopReason.WORKER_LEAVES)
         return self._planner.plan(now, wall_ms)
 
@@ -505,7 +509,7 @@
 
         :param number: number of the run.
         """
-        run = Run(task, number, worker.worker_id, task.step.step.room, assigned_s=now)
+        run = Run(task, number, worker.worker_id, task.step.step.allocation, assigned_s=now)
         run.address = worker.record.address
         task.run = run
         task.record.status = TaskStatus.ASSIGNED
@@ -538,7 +542,7 @@
             stops=self._stops,
             paces=self._paces,
             advice_requests=self._advice_requests,
-            verdicts=self._findings,
+            findings=self._findings,
         )
         for key, occurrence in self._changed_occurrences.items():
             changes.records[key] = occurrence.to_record()
@@ -565,7 +569,7 @@
     estimate_ms = run.task.step.step.estimate_ms
     if not estimate_ms:
         return now - since_s < EARLY_FAILURE_S
-    return now - since_s < min(EARLY_FAILURE_S, EARLY_SHARE * estimate_ms / 1000)
+    return now - since_s < min(EARLY_FAILURE_S, EARLY_FAILURE_SHARE * estimate_ms / 1000)
 
 
 def _has_begun(run: Run, how: EndKind) -> bool:
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -13,16 +13,16 @@
 
 from saddlestack.interfaces.workers import EndKind
 from saddlestack.policy.cluster.changes import Changes, StopReason
+from saddlestack.policy.cluster.feasibility import pools
 from saddlestack.policy.cluster.lending import DEFAULT_STOP_S, LOAN_GRACE_S
-from saddlestack.policy.cluster.patience import LENDING_PATIENCE_S
 from saddlestack.policy.cluster.reservations import STOP_OVERDUE_S
-from saddlestack.policy.cluster.survey import pools
+from saddlestack.policy.cluster.wait_limits import LENDING_WAIT_S
 from saddlestack.work import Step
 from tests.test_board import BULK, NORMAL, PATIENT, SERVICE, ClusterCase, step
 
 SUBMITTED_S = 2 * PATIENT
 """When the urgent gang is submitted."""
-LENDABLE_S = SUBMITTED_S + LENDING_PATIENCE_S
+LENDABLE_S = SUBMITTED_S + LENDING_WAIT_S
 """When work that was submitted with it may first borrow."""
 WORKER_ACCELERATORS = 8
 """Accelerators of a worker."""
@@ -86,7 +86,7 @@
         self.assertEqual(jobs_of(self.plan(LENDABLE_S)), [job] * 4)
 
     def test_work_that_is_expected_to_outlast_the_stops_does_not_borrow(self) -> None:
-        left_s = DEFAULT_STOP_S - LENDING_PATIENCE_S + LOAN_GRACE_S
+        left_s = DEFAULT_STOP_S - LENDING_WAIT_S + LOAN_GRACE_S
         self.add_waiting(with_estimate(step(1), left_s + 0.01))
         self.add_waiting(step(1, long_running=True))
         self.assertEqual(jobs_of(self.plan(LENDABLE_S)), [])
@@ -98,7 +98,7 @@
         self.assertEqual(jobs_of(self.plan(LENDABLE_S)), [first])
         self.add(with_estimate(step(1), 0.0), priority=NORMAL)
         self.plan(LENDABLE_S)
-        later_s = LENDABLE_S + LENDING_PATIENCE_S
+        later_s = LENDABLE_S + LENDING_WAIT_S
         self.assertGreater(
             later_s - LENDABLE_S, SUBMITTED_S + DEFAULT_STOP_S - later_s + LOAN_GRACE_S
         )
@@ -110,7 +110,7 @@
         second = self.add(with_estimate(step(1), 0.0), priority=NORMAL)
         self.plan(LENDABLE_S)
         self.end(first, EndKind.DONE, LENDABLE_S + 0.2)
-        later_s = LENDABLE_S + LENDING_PATIENCE_S
+        later_s = LENDABLE_S + LENDING_WAIT_S
         self.assertEqual(jobs_of(self.plan(later_s)), [second])
 
     def test_shorter_stops_shorten_loans(self) -> None:
@@ -125,7 +125,7 @@
         self.assertGreater(len(self.plan(again_s).stops), 0)
         self.add(with_estimate(step(1), 1.0), priority=NORMAL)
         self.plan(again_s)
-        self.assertEqual(jobs_of(self.plan(again_s + LENDING_PATIENCE_S)), [])
+        self.assertEqual(jobs_of(self.plan(again_s + LENDING_WAIT_S)), [])
 
 
 class LoanReclaimTest(LendingCase):
@@ -139,7 +139,7 @@
     def test_a_borrower_that_outlasts_the_stops_by_as_long_as_they_took_is_preempted(self) -> None:
         job = self.add_waiting(with_estimate(step(1), 1.0))
         self.plan(LENDABLE_S)
-        took_s = LENDING_PATIENCE_S + 0.5
+        took_s = LENDING_WAIT_S + 0.5
         self.assert_stopped(self.finish_stop(SUBMITTED_S + took_s), [])
         self.assert_stopped(self.plan(SUBMITTED_S + 2 * took_s - 0.1), [])
         self.assert_stopped(self.plan(SUBMITTED_S + 2 * took_s), [job])
@@ -167,7 +167,7 @@
     def lend(self, seconds: float, now: float) -> list[str]:
         """Jobs that borrow at a time at which they have waited for long enough."""
         self.add(with_estimate(step(1), seconds), priority=NORMAL)
-        self.plan(now - LENDING_PATIENCE_S)
+        self.plan(now - LENDING_WAIT_S)
         return jobs_of(self.plan(now))
 
     def test_nothing_is_lent_while_only_borrowers_hold_the_reservation(self) -> None:
@@ -176,28 +176,28 @@
         self.add(with_estimate(step(1), 0.1), priority=NORMAL)
         self.plan(LENDABLE_S)
         self.finish_stop(LENDABLE_S + 0.1)
-        self.assertEqual(jobs_of(self.plan(LENDABLE_S + LENDING_PATIENCE_S)), [])
+        self.assertEqual(jobs_of(self.plan(LENDABLE_S + LENDING_WAIT_S)), [])
 
     def test_only_work_known_to_be_short_borrows_while_a_borrower_stops(self) -> None:
         job = self.add_waiting(with_estimate(step(1), 1.0))
         self.plan(LENDABLE_S)
         self.finish_stop(LENDABLE_S)
-        back_s = SUBMITTED_S + 2 * LENDING_PATIENCE_S
+        back_s = SUBMITTED_S + 2 * LENDING_WAIT_S
         self.assert_stopped(self.plan(back_s), [job])
         self.add(with_estimate(step(1), 0.0), priority=NORMAL)
         short = self.add(with_estimate(step(1), 0.1), priority=NORMAL)
         self.plan(back_s)
-        self.assertEqual(jobs_of(self.plan(back_s + LENDING_PATIENCE_S)), [short])
+        self.assertEqual(jobs_of(self.plan(back_s + LENDING_WAIT_S)), [short])
 
     def test_nothing_is_lent_by_a_step_that_was_delayed_twice(self) -> None:
         job = self.add_waiting(with_estimate(step(1), 1.0))
         self.plan(LENDABLE_S)
         self.finish_stop(LENDABLE_S)
-        now = SUBMITTED_S + 2 * LENDING_PATIENCE_S
+        now = SUBMITTED_S + 2 * LENDING_WAIT_S
         self.assert_stopped(self.plan(now), [job])
         short = self.add(with_estimate(step(1), 0.1), priority=NORMAL)
         self.plan(now)
-        now += LENDING_PATIENCE_S
+        now += LENDING_WAIT_S
         self.assertEqual(jobs_of(self.plan(now)), [short])
         self.end(job, EndKind.STOPPED, now)
         self.plan(now)
@@ -205,7 +205,7 @@
         self.assertIn(short, [stop.task.job_id for stop in self.plan(now).stops])
         self.add(with_estimate(step(1), 0.1), priority=NORMAL)
         self.plan(now)
-        self.assertEqual(jobs_of(self.plan(now + LENDING_PATIENCE_S)), [])
+        self.assertEqual(jobs_of(self.plan(now + LENDING_WAIT_S)), [])
 
 
 if __name__ == "__main__":
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -11,14 +11,14 @@
 import msgspec
 
 from saddlestack.client import AsyncClient
-from saddlestack.control.callers import job_id_of
-from saddlestack.control.journal import Displaced, Journal
+from saddlestack.control.jobapi import job_id_of
+from saddlestack.control.journal import Journal, LeadershipLost
 from saddlestack.control.keys import REQUESTS
 from saddlestack.errors import ErrorKind, SaddlestackError
 from saddlestack.interfaces.store import Listing, StoreUnavailable
 from saddlestack.interfaces.workers import EndKind
 from saddlestack.models import JobState as CallerState
-from saddlestack.policy.cluster.reasons import Reason
+from saddlestack.policy.cluster.reasons import WaitReason
 from saddlestack.standins.loop import run
 from saddlestack.standins.pool.cluster import RETENTION_S, PoolCluster, job
 from saddlestack.standins.pool.documents import ACCOUNT, KEY
@@ -113,7 +113,7 @@
             await cluster.until_state(A, JobState.COMPLETED)
             leader = cluster.leader
             assert leader is not None
-            figures = HttpClient("127.0.0.1", leader.figures.port)
+            figures = HttpClient("127.0.0.1", leader.metrics_server.port)
             response = await figures.request("GET", "/metrics", timeout=1.0)
             figures.close()
             text = response.body.decode()
@@ -372,7 +372,7 @@
             wide = await client.job("wide")
             self.assertIs(wide.state, CallerState.QUEUED)
             self.assertIn("(too_wide)", wide.message or "")
-            self.assertIn(Reason.TOO_WIDE.awaited, wide.message or "")
+            self.assertIn(WaitReason.TOO_WIDE.awaited, wide.message or "")
             cluster.floor.add("r1-1", "hall-1")
             await cluster.until_state(job_id_of(ACCOUNT, "wide"), JobState.COMPLETED)
             self.assertIsNone((await client.job("wide")).message)
@@ -851,7 +851,7 @@
             leader = cluster.leader
             assert leader is not None and leader.leadership.term is not None
             journal = Journal(leader.context, leader.leadership.term.fence - 1)
-            with self.assertRaises(Displaced):
+            with self.assertRaises(LeadershipLost):
                 await journal.commit({"saddlestack/progress/x.0": b"older"})
             self.assertEqual(cluster.store.item("saddlestack/progress/x.0").revision, 0)
 
--- a/tests/test_waits_reviewed.py
+++ b/tests/test_waits_reviewed.py
@@ -12,18 +12,18 @@
 
 import msgspec
 
-from saddlestack.control.commits import Commits, JobRecords
+from saddlestack.control.commits import CommitQueue, JobRecords
 from saddlestack.control.health import StoreHealth
 from saddlestack.control.journal import Journal
 from saddlestack.interfaces.machines import Leave
 from saddlestack.interfaces.store import Committed, MetadataStore, Transaction, WriteInDoubt
 from saddlestack.interfaces.workers import EndKind
 from saddlestack.platform.kv import SENT_BYTES_S
-from saddlestack.policy.cluster.patience import IDLE_PATIENCE_S
 from saddlestack.policy.cluster.places import IndexedPlaces
-from saddlestack.policy.cluster.reasons import Reason
+from saddlestack.policy.cluster.reasons import WaitReason
+from saddlestack.policy.cluster.wait_limits import IDLE_POOL_WAIT_S
 from saddlestack.policy.cluster.workers import Worker
-from saddlestack.policy.standstill import STILL_S
+from saddlestack.policy.stall import STALL_S
 from saddlestack.standins.loop import VirtualClock, run
 from saddlestack.work import Step
 from tests.simulation.scene import SceneTest, job, tasks
@@ -47,7 +47,7 @@
     def quarantine(self, now: float) -> None:
         for worker in self.cluster_state.workers.values():
             for _ in range(3):
-                worker.failed(now, early=True)
+                worker.record_failure(now, early=True)
 
     def starts_in_quarantine(self, job: str) -> list[float]:
         found = []
@@ -92,7 +92,7 @@
                 return True
             for question in changes.advice_requests:
                 leaves = [Leave(worker, "ticket", 600.0) for worker in question.workers]
-                question.step.advice.told(question.workers, leaves, now)
+                question.step.advice.record_answer(question.workers, leaves, now)
                 question.step.advice.asking = False
         return False
 
@@ -107,9 +107,9 @@
     def test_probation_holds_no_advised_gang_up_in_a_free_pool(self) -> None:
         self.workers(racks=4, each=2)
         for worker in self.cluster_state.workers.values():
-            worker.failed(0.0, early=True)
+            worker.record_failure(0.0, early=True)
         job = self.add(step(2, 8, gang=True), priority=NORMAL)
-        self.assertTrue(self.started_within(job, STILL_S + 1.0))
+        self.assertTrue(self.started_within(job, STALL_S + 1.0))
 
 
 class ToldTest(DiagnosisCase):
@@ -119,22 +119,22 @@
         self.add(step(1, 8, label="r1"))
         self.plan(0.0)
         for worker in self.cluster_state.workers.values():
-            worker.failed(0.0, early=True)
+            worker.record_failure(0.0, early=True)
         job = self.add(step(1, 1), priority=NORMAL)
         self.cluster_state.jobs[job].occurrences[0].steps[0].tasks[0].record.failures = 2
         self.assertEqual(self.plan(5.0).starts, [])
-        self.assertEqual(self.why(job, 5.0), Reason.PROBATION)
+        self.assertEqual(self.why(job, 5.0), WaitReason.PROBATION)
 
     def test_a_wait_for_quarantine_beside_a_free_pool_ends_with_patience(self) -> None:
         """As the waits for probation and trial do; told as lasting to the quarantine's end."""
         self.workers(each=2)
         for worker in self.cluster_state.workers.values():
             for _ in range(4):
-                worker.failed(0.0, early=False)
+                worker.record_failure(0.0, early=False)
         job = self.add(step(1, 1), priority=NORMAL)
         self.plan(5.0)
-        self.assertEqual(self.look(5.0)[job].until_s, 5.0 + IDLE_PATIENCE_S)
-        self.assertEqual(len(self.plan(5.0 + IDLE_PATIENCE_S + 0.1).starts), 1)
+        self.assertEqual(self.look(5.0)[job].until_s, 5.0 + IDLE_POOL_WAIT_S)
+        self.assertEqual(len(self.plan(5.0 + IDLE_POOL_WAIT_S + 0.1).starts), 1)
 
 
 class CostTest(ClusterCase):
@@ -143,7 +143,7 @@
         self.workers(racks=10, each=5)
         self.add(*[step(39, 1, label="none") for _ in range(256)], priority=NORMAL)
         self.plan(0.1)
-        self.assertLessEqual(self.calls_of_a_round(STILL_S), 5 * self.calls_of_a_round(1.0))
+        self.assertLessEqual(self.calls_of_a_round(STALL_S), 5 * self.calls_of_a_round(1.0))
 
     def calls_of_a_round(self, now: float) -> int:
         """Calls of functions, and resumptions of generators, in a round."""
@@ -177,7 +177,7 @@
             return plain(worker, wanted)
 
         with unittest.mock.patch.object(Worker, "matches", matches):
-            self.plan(STILL_S)
+            self.plan(STALL_S)
         self.assertLessEqual(looks, 4 * len(self.cluster_state.workers))
 
     def test_gangs_wider_than_the_pool_cost_no_more_once_they_stand(self) -> None:
@@ -195,7 +195,7 @@
             return plain(places)
 
         with unittest.mock.patch.object(IndexedPlaces, "soonest", soonest):
-            self.plan(STILL_S)
+            self.plan(STALL_S)
         self.assertLessEqual(calls, 1)
 
 
@@ -205,12 +205,12 @@
         self.workers(racks=1, each=6)
         workers = list(self.cluster_state.workers.values())
         for worker in workers[1:]:
-            worker.failed(1.0, early=True)
-            worker.failed(1.0, early=True)
-        workers[0].refused(2.0)
+            worker.record_failure(1.0, early=True)
+            worker.record_failure(1.0, early=True)
+        workers[0].record_refusal(2.0)
         self.add(step(1, 1), priority=NORMAL)
         self.plan(0.1)
-        workers[0].refused(2.9)
+        workers[0].record_refusal(2.9)
         [start] = self.plan(3.0).starts
         self.assertNotEqual(start.run.worker_id, workers[0].worker_id)
 
@@ -233,16 +233,16 @@
         self.workers(racks=1, each=6)
         for worker in self.cluster_state.workers.values():
             for _ in range(5):
-                worker.failed(0.0, early=True)
+                worker.record_failure(0.0, early=True)
         job = self.add(step(1, 1), priority=NORMAL)
         run = None
         now = 0.0
-        while run is None and now < STILL_S:
+        while run is None and now < STALL_S:
             now += 0.1
             self.cluster_state.plan(now, 0.0)
             run = next(iter(start.run for start in self.cluster_state.take_changes().starts), None)
         assert run is not None
-        self.cluster_state.workers[run.worker_id].refused(now)
+        self.cluster_state.workers[run.worker_id].record_refusal(now)
         self.cluster_state.run_not_started(run)
         self.cluster_state.plan(now + 0.1, 0.0)
         starts = self.cluster_state.take_changes().starts
@@ -255,7 +255,7 @@
         workers = list(self.cluster_state.workers.values())
         for worker in workers[1:]:
             for _ in range(5):
-                worker.failed(0.0, early=True)
+                worker.record_failure(0.0, early=True)
         self.assertEqual(len(self.plan(0.0).starts), 1)
         workers[0].reachable = False
         started = False
@@ -328,7 +328,7 @@
             clock = VirtualClock()
             store = cast(MetadataStore, LosingStore())
             context = bare_context(clock, store=store, health=StoreHealth(store, clock))
-            commits = Commits(context, Journal(context, 1), lambda reason: None)
+            commits = CommitQueue(context, Journal(context, 1), lambda reason: None)
             commits.put(
                 1,
                 [
@@ -353,7 +353,7 @@
             clock = VirtualClock()
             store = cast(MetadataStore, NarrowStore())
             context = bare_context(clock, store=store, health=StoreHealth(store, clock))
-            commits = Commits(context, Journal(context, 1), lambda reason: None)
+            commits = CommitQueue(context, Journal(context, 1), lambda reason: None)
             records = {f"j{number}": {f"k{number}": bytes(400_000)} for number in range(jobs)}
             commits.put(
                 1,
