--- a/tests/test_index.py
+++ b/tests/test_index.py
@@ -23,7 +23,7 @@
 from saddlestack.policy.cluster.state import ClusterState
 from saddlestack.policy.cluster.workers import Worker
 from saddlestack.work import AcceptedJob, JobRequest, Resources, Step
-from tests import test_board as boards
+from tests import test_board as cluster_tests
 from tests.test_board import BULK, NORMAL, SERVICE, URGENT, record
 
 EVENTS = 40
@@ -68,7 +68,7 @@
         # The index of the cluster state itself, in which each change of a worker has to be counted.
         index = cluster_state._index
         fits = FitCache(index)
-        events = boards.RandomEventsTest()
+        events = cluster_tests.RandomEventsTest()
         now = 0.0
         for number in range(EVENTS):
             now += rng.uniform(0.1, 3.0)
@@ -241,11 +241,11 @@
             self.assertAlmostEqual(*held)
 
 
-class DomainsTest(boards.ClusterCase):
+class DomainsTest(cluster_tests.ClusterCase):
     """Domains of the search for runs to preempt, in pools with more racks than it may search."""
 
     def places(self, **more: object) -> IndexedPlaces:
-        job = self.cluster_state.jobs[self.add(boards.step(2, 8, gang=True, **more))]
+        job = self.cluster_state.jobs[self.add(cluster_tests.step(2, 8, gang=True, **more))]
         step = job.occurrences[0].steps[0]
         self.cluster_state._index.begin_round(0.0)
         fits = FitCache(self.cluster_state._index).of(
@@ -255,7 +255,9 @@
 
     def fill(self, count: int, per_worker: int) -> None:
         """Assign bulk work to the first workers, ``per_worker`` accelerators on each."""
-        job = self.cluster_state.jobs[self.add(boards.step(count, per_worker), priority=BULK)]
+        job = self.cluster_state.jobs[
+            self.add(cluster_tests.step(count, per_worker), priority=BULK)
+        ]
         workers = list(self.cluster_state.workers.values())[:count]
         for task, worker in zip(job.occurrences[0].steps[0].tasks, workers, strict=True):
             self.cluster_state.assign(task, worker, 1, 0.0)
