--- a/src/saddlestack/policy/cluster/index.py
+++ b/src/saddlestack/policy/cluster/index.py
@@ -26,7 +26,7 @@
     :param eligible: whether it accepts work and is not suspected.
     :param empty: its accelerators if it accepts work and runs nothing, otherwise 0.
     :param evacuated: whether its data hall is being evacuated. Such a worker does not count in
-        :attr:`ServiceCapacity.open`.
+        :attr:`ServiceCapacity.open` and :attr:`ServiceCapacity.largest_rack`.
     :param present: whether it is listed by the platform and reachable.
     """
 
@@ -82,7 +82,7 @@
 
     @property
     def is_mostly_free(self) -> bool:
-        """Whether under half of the accelerators, or without any of the processors, is used."""
+        """Whether less than half of the accelerators (if none, of the processors) is used."""
         if self.accelerators:
             return self._used_accelerators * 2 < self.accelerators
         return self._used_cpu * 2 < self._cpu
