--- a/benchmarks/variants.py
+++ b/benchmarks/variants.py
@@ -196,7 +196,7 @@
         (
             Edit(
                 "control/access.py",
-                "            if found.cut_off and only:",
+                "            if relay.cut_off and only:",
                 "            if False:",
             ),
         ),
--- a/src/saddlestack/control/access.py
+++ b/src/saddlestack/control/access.py
@@ -1,7 +1,7 @@
-"""The store as clients' calls need it: directly, or through a VM that reaches it.
+"""Access to the store for clients' calls: directly, or relayed through a VM that reaches it.
 
-Reads of one key, and creations of a key that is absent. Both may be repeated, so they may go
-both ways at once.
+Supports reads of one key, and creation of a key that is absent. Both are idempotent, so they may be
+sent directly and through a relay at the same time.
 """
 
 from __future__ import annotations
@@ -29,41 +29,44 @@
 
 log = logging.getLogger("saddlestack.access")
 
-HEDGE_S = 0.3
-"""A call that the store has not answered by then goes through another VM as well."""
+HEDGE_DELAY_S = 0.3
+"""A call that the store hasn't answered after this time is also sent through another VM."""
 RETRY_S = 0.1
-BALANCED_S = 1.0
-"""The balancer asks each second whether a VM is ready and sends no more to it after two misses. A
-caller that comes back at once is sent on from then on; before, it may meet VMs that are cut off
-as well, and a caller comes back a few times only."""
+REROUTED_AFTER_S = 1.0
+"""Cut off for longer than this, a VM sends its callers to another VM at once.
+
+The load balancer checks each second whether a VM is ready, and stops routing to it after two failed
+checks. A caller that retries at once is routed elsewhere from then on. Before that, it may reach
+other VMs that are cut off as well, and callers retry only a few times.
+"""
 
 
 class ReadQuestion(msgspec.Struct, frozen=True):
-    """Asks a VM to read a key for another."""
+    """Request to read a key on behalf of another VM."""
 
     key: str
 
 
 class CreateQuestion(msgspec.Struct, frozen=True):
-    """Asks a VM to create a key for another, if it is absent."""
+    """Request to create a key on behalf of another VM, if it is absent."""
 
     key: str
     value: bytes
 
 
 class KeyAnswer(msgspec.Struct, frozen=True):
-    """A key as it is; ``created`` where this call has made it."""
+    """The current value of a key; ``created`` if this call has created it."""
 
     value: bytes
     revision: int
     created: bool = False
 
 
-class OutOfReach(Exception):
-    """The store was reached in no way.
+class StoreUnreachable(Exception):
+    """The store could be reached neither directly nor through a relay.
 
-    :param doubt: whether something may have been written all the same.
-    :param elsewhere: callers do better at once at a VM of another hall.
+    :param doubt: whether something may have been written nevertheless.
+    :param elsewhere: whether callers should retry at once at a VM of another data hall.
     """
 
     def __init__(self, reason: str, doubt: bool, *, elsewhere: bool = False) -> None:
@@ -74,17 +77,19 @@
 
 
 Direct = Callable[[], Awaitable[KeyAnswer]]
-"""A call on this VM's own way to the store."""
+"""A call made on this VM's own connection to the store."""
 Relayed = Callable[[str], Awaitable[KeyAnswer]]
-"""The same call through another VM, by its name."""
+"""The same call, sent through the named VM."""
 
 
 @dataclass(slots=True)
-class _Attempt:
-    """What is known of the tries so far.
+class _CallState:
+    """State of the attempts made for one call.
 
-    :param sent: the present try has sent something that may be done, also if it is cut short.
-    :param doubt: an earlier one has, and was not answered.
+    :param reason: why the latest attempt failed.
+    :param sent: the current attempt has sent something that may be carried out, even if it is
+        cancelled.
+    :param doubt: an earlier attempt has, and got no answer.
     """
 
     reason: str = "the store does not answer"
@@ -104,12 +109,12 @@
         peers.serve(CreateQuestion, self._create_for_peer)
 
     async def get(self, key: str, until: float) -> Item:
-        """A key; revision 0 where it is absent.
+        """Reads a key; the revision is 0 if it is absent.
 
-        :param until: when to give up, on the VM's clock.
-        :raises OutOfReach: given up.
+        :param until: deadline, on this VM's clock.
+        :raises OutOfReach: the store could not be reached in time.
         """
-        answer = await self._either(
+        answer = await self._call(
             lambda: self._read(key),
             lambda vm: self._peers.ask(vm, ReadQuestion(key), KeyAnswer),
             until,
@@ -117,89 +122,95 @@
         return Item(key, answer.value, answer.revision)
 
     async def create(self, key: str, value: bytes, until: float) -> KeyAnswer:
-        """Create a key, or find it there.
+        """Creates a key, or returns the existing one.
 
-        :param until: when to give up, on the VM's clock.
-        :raises OutOfReach: given up; its ``doubt`` tells whether the key may come to be.
+        :param until: deadline, on this VM's clock.
+        :raises OutOfReach: the store could not be reached in time; ``doubt`` tells whether the key
+            may still be created.
         """
-        return await self._either(
+        return await self._call(
             lambda: self._create(key, value),
             lambda vm: self._peers.ask(vm, CreateQuestion(key, value), KeyAnswer),
             until,
         )
 
-    async def _either(self, direct: Direct, relayed: Relayed, until: float) -> KeyAnswer:
-        """Go both ways, again and again, until one is answered or time is up."""
-        attempt = _Attempt()
+    async def _call(self, direct: Direct, relayed: Relayed, until: float) -> KeyAnswer:
+        """Retries both directly and through a relay until one is answered or the deadline
+        passes."""
+        state = _CallState()
         try:
             async with asyncio.timeout(max(0.0, until - self._context.clock.now())):
                 while True:
-                    answer = await self._try(direct, relayed, attempt)
+                    answer = await self._attempt(direct, relayed, state)
                     if answer is not None:
                         return answer
                     await self._health.wait_for_recovery(RETRY_S)
         except TimeoutError:
-            raise OutOfReach(attempt.reason, attempt.doubt) from None
+            raise StoreUnreachable(state.reason, state.doubt) from None
 
-    async def _try(self, direct: Direct, relayed: Relayed, attempt: _Attempt) -> KeyAnswer | None:
-        """Go both ways once; ``None`` where neither was answered.
+    async def _attempt(
+        self, direct: Direct, relayed: Relayed, state: _CallState
+    ) -> KeyAnswer | None:
+        """Makes one attempt, directly and through a relay; ``None`` if neither was answered.
 
-        :raises OutOfReach: this VM is cut off; the caller does better to go to another one.
+        :raises OutOfReach: this VM is cut off, and the caller should go to another one.
         """
-        own = asyncio.ensure_future(direct()) if self._health.is_available else None
+        direct_call = asyncio.ensure_future(direct()) if self._health.is_available else None
         try:
-            attempt.sent = own is not None
-            if own is None or not await self._succeeds(own):
-                answer = await self._relay(relayed, attempt, own is None)
-                if answer is not None or own is None:
+            state.sent = direct_call is not None
+            if direct_call is None or not await self._is_answered(direct_call):
+                answer = await self._call_relay(relayed, state, direct_call is None)
+                if answer is not None or direct_call is None:
                     return answer
-            return await own
+            return await direct_call
         except StoreUnavailable as error:
-            attempt.sent = False
-            attempt.reason = str(error)
+            state.sent = False
+            state.reason = str(error)
         except WriteInDoubt as error:
-            attempt.reason = str(error)
+            state.reason = str(error)
         finally:
-            attempt.doubt = attempt.doubt or attempt.sent
-            await _abandon(own)
+            state.doubt = state.doubt or state.sent
+            await _cancel(direct_call)
         return None
 
-    async def _succeeds(self, own: asyncio.Future[KeyAnswer]) -> bool:
-        """Whether a call is answered well before another way has to be tried."""
-        await asyncio.wait({own}, timeout=HEDGE_S)
-        if not own.done():
+    async def _is_answered(self, direct_call: asyncio.Future[KeyAnswer]) -> bool:
+        """Returns whether a call is answered before a relay has to be tried."""
+        await asyncio.wait({direct_call}, timeout=HEDGE_DELAY_S)
+        if not direct_call.done():
             self._health.probe_now()
             return False
-        return own.exception() is None
+        return direct_call.exception() is None
 
-    async def _relay(self, relayed: Relayed, attempt: _Attempt, only: bool) -> KeyAnswer | None:
-        """Go through another VM that the store answers, if there is one.
+    async def _call_relay(
+        self, relayed: Relayed, state: _CallState, only: bool
+    ) -> KeyAnswer | None:
+        """Sends a call through another VM that reaches the store, if there is one.
 
-        :param only: there is no other way.
-        :raises OutOfReach: there is no other way, and this VM is cut off.
+        :param only: no direct call is being made.
+        :raises StoreUnreachable: no direct call is being made, and this VM is cut off.
         """
-        found = await self._relays.find()
-        if found.vm is None:
-            if found.cut_off and only:
-                raise OutOfReach(
+        relay = await self._relays.find()
+        if relay.vm is None:
+            if relay.cut_off and only:
+                raise StoreUnreachable(
                     "cut off from the store and the other halls",
-                    attempt.doubt,
-                    elsewhere=self._health.outage_s > BALANCED_S,
+                    state.doubt,
+                    elsewhere=self._health.outage_s > REROUTED_AFTER_S,
                 )
             return None
-        sent, attempt.sent = attempt.sent, True
+        sent, state.sent = state.sent, True
         try:
-            return await relayed(found.vm)
+            return await relayed(relay.vm)
         except PeerUnavailable as error:
-            attempt.doubt = attempt.doubt or error.sent
+            state.doubt = state.doubt or error.sent
             reason = str(error)
         except SaddlestackError as error:
-            attempt.doubt = attempt.doubt or error.kind is not ErrorKind.STORE_UNAVAILABLE
+            state.doubt = state.doubt or error.kind is not ErrorKind.STORE_UNAVAILABLE
             reason = str(error)
-        attempt.sent = sent
+        state.sent = sent
         log.info(
-            "relay failed",
-            extra={"event": "relay_failed", "peer": found.vm, "reason": reason},
+            "relayed call failed",
+            extra={"event": "relay_failed", "peer": relay.vm, "reason": reason},
         )
         return None
 
@@ -224,20 +235,20 @@
     async def _for_peer(self, call: Callable[[], Awaitable[KeyAnswer]]) -> KeyAnswer:
         if not self._health.is_available:
             raise SaddlestackError(ErrorKind.STORE_UNAVAILABLE, "the store does not answer here")
-        own = asyncio.ensure_future(call())
+        direct_call = asyncio.ensure_future(call())
         try:
-            await self._succeeds(own)
-            return await own
+            await self._is_answered(direct_call)
+            return await direct_call
         except StoreUnavailable as error:
             raise SaddlestackError(ErrorKind.STORE_UNAVAILABLE, str(error)) from error
         except WriteInDoubt as error:
             raise SaddlestackError(ErrorKind.OUTCOME_UNKNOWN, str(error)) from error
 
 
-async def _abandon(own: asyncio.Future[KeyAnswer] | None) -> None:
-    """End a call whose answer is not needed any more; it may be repeated at any time."""
-    if own is None:
+async def _cancel(direct_call: asyncio.Future[KeyAnswer] | None) -> None:
+    """Cancels a call whose answer is no longer needed; the call is idempotent."""
+    if direct_call is None:
         return
-    own.cancel()
+    direct_call.cancel()
     with contextlib.suppress(asyncio.CancelledError, StoreUnavailable, WriteInDoubt):
-        await own
+        await direct_call
--- a/src/saddlestack/control/feed.py
+++ b/src/saddlestack/control/feed.py
@@ -1,4 +1,4 @@
-"""Follows a prefix of the store: everything once, then each change."""
+"""Follows the keys under a prefix of the store: reads all of them, then watches for changes."""
 
 from __future__ import annotations
 
@@ -13,40 +13,43 @@
 
 log = logging.getLogger("saddlestack.feed")
 
-WAIT_S = 3.0
-"""Short, since a watch whose connection has died says nothing."""
+WATCH_TIMEOUT_S = 3.0
+"""Timeout of one watch. It is short, since a watch on a dead connection returns nothing."""
 FIRST_RETRY_S = 0.1
 LONGEST_RETRY_S = 1.0
-MANY_CHANGES = 250
-"""The store answers a watch with some 500 changes at most: after so many there are likely more. A
-feed that rests first hears of no more than 1,600 a second, and 3,000 workers write 2,000: it was
-5 s behind after half a minute, where it is now 0.4 s."""
+FULL_BATCH = 250
+"""A watch that returns this many changes is followed by the next one without a pause.
 
-Snapshot = Callable[[tuple[Item, ...]], None]
-"""Takes everything under the prefix."""
-Changed = Callable[[tuple[Item, ...]], None]
-"""Takes changed keys; removed ones have revision 0."""
+The store returns some 500 changes at most, so more are likely pending. With a pause, a feed
+receives no more than 1,600 changes per second, while 3,000 workers write 2,000: it was 5 s behind
+after half a minute, compared with 0.4 s without the pause.
+"""
+
+OnSnapshot = Callable[[tuple[Item, ...]], None]
+"""Receives all items under the prefix."""
+OnChange = Callable[[tuple[Item, ...]], None]
+"""Receives changed items; those of removed keys have revision 0."""
 
 
 class Feed:
-    """Keeps a service in step with a prefix of the store.
+    """Keeps a service up to date with a prefix of the store.
 
-    Reads everything, then watches; where the store has forgotten the changes, reads
-    everything again. Changes may be told twice, never skipped.
+    Reads everything, then watches. If the store no longer has the changes since, reads everything
+    again. A change may be delivered twice, but is never skipped.
 
-    :param wait_s: how long one watch waits.
-    :param gap_s: between a change and the next watch, so that many changes cost one call; none
-        while the feed is likely behind.
+    :param wait_s: timeout of one watch.
+    :param gap_s: pause between a change and the next watch, so that many changes take one call;
+        there is no pause while the feed is likely behind.
     """
 
     def __init__(
         self,
         context: EntryContext,
         prefix: str,
-        on_snapshot: Snapshot,
-        on_change: Changed,
+        on_snapshot: OnSnapshot,
+        on_change: OnChange,
         *,
-        wait_s: float = WAIT_S,
+        wait_s: float = WATCH_TIMEOUT_S,
         gap_s: float = 0.0,
     ) -> None:
         self._context = context
@@ -56,37 +59,37 @@
         self._wait_s = wait_s
         self._gap_s = gap_s
         self._failures = 0
-        self._current_s = -math.inf
+        self._answered_s = -math.inf
         self.loaded = asyncio.Event()
 
     def age_s(self, now: float) -> float:
-        """For how long the store has not answered: what is known may be so old."""
-        return now - self._current_s
+        """Returns the seconds since the store last answered, which is how old the data may be."""
+        return now - self._answered_s
 
     async def run(self) -> None:
-        """Follow the prefix until cancelled."""
+        """Follows the prefix until cancelled."""
         while True:
             try:
-                await self._follow()
+                await self._watch()
             except HistoryGone:
                 log.info(
-                    "store forgot its history, reading all",
+                    "store no longer has the changes, reading everything again",
                     extra={"event": "history_gone", "prefix": self._prefix},
                 )
                 await asyncio.sleep(self._context.rng.uniform(0.0, FIRST_RETRY_S))
             except StoreUnavailable as error:
-                await self._pause(error)
+                await self._back_off(error)
             except Exception:
-                # One that ends is not noticed: its owner would hear of nothing any more.
+                # The feed must not end: its owner would receive no more changes, unnoticed.
                 log.exception("feed failed", extra={"event": "feed_failed", "prefix": self._prefix})
                 self._context.metrics.count("feed_failures")
                 await asyncio.sleep(LONGEST_RETRY_S)
 
-    async def _follow(self) -> None:
+    async def _watch(self) -> None:
         store = self._context.store
         listing = await store.list(self._prefix)
         self._failures = 0
-        self._current_s = self._context.clock.now()
+        self._answered_s = self._context.clock.now()
         self._on_snapshot(listing.items)
         self.loaded.set()
         revision = listing.revision
@@ -94,17 +97,17 @@
             try:
                 changes = await store.watch(self._prefix, revision, self._wait_s)
             except StoreUnavailable as error:
-                await self._pause(error)
+                await self._back_off(error)
                 continue
             self._failures = 0
-            self._current_s = self._context.clock.now()
+            self._answered_s = self._context.clock.now()
             revision = max(revision, changes.revision)
             if changes.items:
                 self._on_change(changes.items)
-                if len(changes.items) < MANY_CHANGES:
+                if len(changes.items) < FULL_BATCH:
                     await asyncio.sleep(self._gap_s)
 
-    async def _pause(self, error: StoreUnavailable) -> None:
+    async def _back_off(self, error: StoreUnavailable) -> None:
         if not self._failures:
             log.warning(
                 "feed is behind",
--- a/src/saddlestack/control/jobs.py
+++ b/src/saddlestack/control/jobs.py
@@ -6,7 +6,7 @@
 
 from saddlestack.codec import to_msgpack
 from saddlestack.control import keys, stored
-from saddlestack.control.access import KeyAnswer, OutOfReach, StoreAccess
+from saddlestack.control.access import KeyAnswer, StoreAccess, StoreUnreachable
 from saddlestack.control.context import EntryContext
 from saddlestack.control.desk import Desk, NoLeader
 from saddlestack.errors import ErrorKind, SaddlestackError, invalid
@@ -166,7 +166,7 @@
         """
         try:
             item = await self._access.get(key, self._until(call))
-        except OutOfReach as error:
+        except StoreUnreachable as error:
             raise _unavailable(error) from error
         return item.value if item.revision else None
 
@@ -177,7 +177,7 @@
         """
         try:
             return await self._access.create(key, value, self._patience(call))
-        except OutOfReach as error:
+        except StoreUnreachable as error:
             log.warning(
                 "not written",
                 extra={
@@ -228,6 +228,6 @@
     return accepted
 
 
-def _unavailable(error: OutOfReach) -> SaddlestackError:
+def _unavailable(error: StoreUnreachable) -> SaddlestackError:
     retry_after = 0.0 if error.elsewhere else RETRY_AFTER_S
     return SaddlestackError(ErrorKind.STORE_UNAVAILABLE, error.reason, retry_after=retry_after)
--- a/src/saddlestack/control/leadership.py
+++ b/src/saddlestack/control/leadership.py
@@ -1,4 +1,4 @@
-"""Which VM schedules: a key of the store with a lease, whose revision is the fencing token."""
+"""Leader election: a store key under a lease. Its revision is the fencing token."""
 
 from __future__ import annotations
 
@@ -31,27 +31,37 @@
 
 NAME = "leadership"
 LEASE_S = 1.0
-"""The shortest lease that the platforms grant; nobody leads for so long after a leader is lost."""
+"""Lifetime of the leader's lease, the shortest that the platforms grant.
+
+After a leader is lost, nobody leads for this long.
+"""
 RENEW_INTERVAL_S = 0.25
-"""Between renewals; three may be lost."""
+"""Between renewals, so three of them may fail."""
 RENEW_RETRY_S = 0.15
-WATCH_S = 3.0
-CAMPAIGN_S = 0.15
-HANDICAP_S = 0.5
-"""So much longer waits a VM that can hardly lead before it takes a free leader key."""
+WATCH_TIMEOUT_S = 3.0
+MAX_CAMPAIGN_DELAY_S = 0.15
+MAX_HANDICAP_S = 0.5
+"""Extra delay, at most, before a VM with a slow processor or link takes a free leader key."""
 RETRY_S = 0.4
 RENEWAL_GRACE_S = 4.5
-"""For so long after its lease a leader without the store still renews what runs: with leases of
-10 s, work outlasts an outage of 15 s. A successor that does not reach a worker counts this time."""
+"""How long a leader that has lost the store goes on renewing workers' leases after its own expired.
+
+With worker leases of 10 s, running work survives a store outage of 15 s. A successor adds this time
+for workers that it doesn't reach.
+"""
 
-SUSPENSION_S = 0.1
-"""Shorter suspensions end before anybody else can lead; the two clocks drift by less than that."""
+MIN_SUSPENSION_S = 0.1
+"""Suspensions of the machine that are shorter than this are ignored.
+
+They end before another VM can take over, and the two clocks drift apart by less than this.
+"""
 
 
 class LeaderRecord(Model, frozen=True):
-    """Who leads.
+    """Value of the leader key.
 
-    :param lease: the lease that the record hangs on.
+    :param vm: name of the leading VM.
+    :param lease: lease that the key is attached to.
     """
 
     vm: str
@@ -63,7 +73,7 @@
 class Term:
     """One leadership of this VM.
 
-    :param fence: the revision that created the leader key; higher terms have higher ones.
+    :param fence: revision at which the leader key was created; a later term has a higher one.
     """
 
     fence: int
@@ -71,21 +81,22 @@
 
 
 class LeadershipListener(Protocol):
-    """What is told of leaderships."""
+    """Notified when this VM gains or loses the leadership."""
 
     async def elected(self, term: Term) -> None:
-        """This VM leads now."""
+        """Called when this VM becomes the leader."""
         ...
 
     async def deposed(self) -> None:
-        """This VM no longer leads."""
+        """Called when this VM is no longer the leader."""
         ...
 
 
 class Leadership(Service):
-    """Follows the leader key, takes it where it is free, and keeps it.
+    """Watches the leader key, takes it when it is free, and renews its lease.
 
-    :param may_lead: whether the others would know of this VM for as long as it may renew leases.
+    :param may_lead: returns whether the other VMs would find this VM listed for as long as it may
+        renew workers' leases.
     """
 
     def __init__(
@@ -95,44 +106,46 @@
         self._context = context
         self._listener = listener
         self._may_lead = may_lead
-        self._held: LeaderRecord | None = None
-        self._leaving = False
+        self._own_record: LeaderRecord | None = None
+        self._resigning = False
         self._revision = 0
-        self._unreadable: int | None = None
-        self._unreadable_s = 0.0
+        self._invalid_revision: int | None = None
+        self._invalid_since_s = 0.0
         self._refusals = Refusals(context.metrics, "leader")
         self.leader: LeaderRecord | None = None
         self.term: Term | None = None
-        self._lasts_s = LEASE_S
-        self._valid_s = 0.0
-        self._suspended_s = 0.0
+        self._lease_s = LEASE_S
+        self._lease_expires_s = 0.0
+        self._suspended_at_renewal_s = 0.0
 
     def grants_until(self, term: Term) -> float:
-        """Until when a term may grant workers' leases: its successor counts no longer.
+        """Returns until when a term may grant leases to workers.
+
+        Its successor takes leases into account that were granted up to then.
 
-        Asked right before each grant, since a VM that stood still goes on before it learns that
-        its term is over.
+        Check this right before each grant: a VM that was paused resumes before it learns that its
+        term is over.
 
-        :return: a time on this VM's clock.
+        :return: a time on this VM's clock, ``-inf`` if the term is over.
         """
-        return self._valid_s + RENEWAL_GRACE_S if self.term is term else -math.inf
+        return self._lease_expires_s + RENEWAL_GRACE_S if self.term is term else -math.inf
 
     def is_confirmed(self, term: Term) -> bool:
-        """Whether a term may answer for what has happened.
+        """Returns whether a term may answer queries about what has happened.
 
-        A VM that was suspended goes on as if nothing had been, with its timers late by that time:
-        it may have been followed by another, and finds out with its next renewal.
+        A VM that was suspended resumes with its timers late by that time. Another VM may have taken
+        over meanwhile, which this one learns only from its next renewal.
         """
-        slept_s = self.clock.suspended_s() - self._suspended_s
-        return slept_s < SUSPENSION_S and self.clock.now() <= self.grants_until(term)
+        new_suspension_s = self.clock.suspended_s() - self._suspended_at_renewal_s
+        return new_suspension_s < MIN_SUSPENSION_S and self.clock.now() <= self.grants_until(term)
 
     async def start(self) -> None:
-        """Begin to follow the leader key."""
+        """Starts to watch the leader key."""
         self.tasks.spawn(self._run())
 
     async def resign(self) -> None:
-        """Give the leadership up for good, so that another VM takes it at once."""
-        self._leaving = True
+        """Gives up the leadership for good, so that another VM can take it at once."""
+        self._resigning = True
         term = self.term
         if term is None:
             return
@@ -141,12 +154,12 @@
             await self._context.store.end_lease(term.record.lease)
         except (StoreUnavailable, LeaseExpired) as error:
             log.warning(
-                "lease could not be ended",
+                "leader lease could not be ended",
                 extra={"event": "resign_failed", "reason": type(error).__name__},
             )
 
     async def end_term(self, term: Term) -> None:
-        """End a term that was found to be over."""
+        """Ends a term that has been superseded."""
         if self.term is term:
             await self._depose("found displaced")
 
@@ -156,57 +169,64 @@
                 listing = await self._context.store.list(LEADER)
                 present = [item for item in listing.items if item.key == LEADER]
                 await self._observe(present[0] if present else Item(LEADER, b"", 0))
-                await self._follow(listing.revision)
+                await self._watch(listing.revision)
             except (HistoryGone, StoreUnavailable):
                 await self._context.health.wait_for_recovery(
                     self._context.rng.uniform(RETRY_S / 4, RETRY_S)
                 )
 
-    async def _follow(self, revision: int) -> None:
+    async def _watch(self, revision: int) -> None:
         store = self._context.store
         while True:
-            free = self._free_revision is not None and not self._leaving
-            wait = self._campaign_wait_s() if free else WATCH_S
+            free = self._free_revision is not None and not self._resigning
+            wait = self._campaign_delay_s() if free else WATCH_TIMEOUT_S
             changes = await store.watch(LEADER, revision, wait)
             revision = max(revision, changes.revision)
             for item in changes.items:
                 if item.key == LEADER:
                     await self._observe(item)
-            waited = (free or not self._weakness) and self._may_lead()
+            may_campaign = (free or not self._handicap) and self._may_lead()
             present = self._free_revision
-            if present is not None and waited and not self._leaving:
+            if present is not None and may_campaign and not self._resigning:
                 await self._campaign(present)
 
     @property
     def _free_revision(self) -> int | None:
-        """The revision of a leader key that may be taken, 0 where there is none.
+        """The revision at which the leader key may be taken, 0 if there is no key.
 
-        ``None`` where somebody leads. A key that names nobody is replaced once it has stood for as
-        long as a leader's lease: it may hang on no lease, and nobody could lead ever after. Who led
-        before loses the leadership to a later term, as after every other loss.
+        ``None`` while there is a leader. A key whose value is invalid is replaced after the time of
+        a leader's lease: it may have no lease, and then nobody could ever lead again. A former
+        leader is superseded by a later term, as after any other loss.
         """
         if self.term is not None:
             return None
-        if self._unreadable is None:
+        if self._invalid_revision is None:
             return 0 if self.leader is None else None
-        return self._unreadable if self.clock.now() - self._unreadable_s >= LEASE_S else None
+        return (
+            self._invalid_revision if self.clock.now() - self._invalid_since_s >= LEASE_S else None
+        )
+
+    def _campaign_delay_s(self) -> float:
+        """Returns a random delay, so that VMs don't campaign all at once.
 
-    def _campaign_wait_s(self) -> float:
-        """Chance keeps VMs apart; those with a slow processor or link let others go first."""
-        return self._context.rng.uniform(0.0, CAMPAIGN_S) + HANDICAP_S * self._weakness
+        VMs with a slow processor or link wait longer.
+        """
+        return (
+            self._context.rng.uniform(0.0, MAX_CAMPAIGN_DELAY_S) + MAX_HANDICAP_S * self._handicap
+        )
 
     @property
-    def _weakness(self) -> float:
-        """0 where this VM can well lead, up to 1 where it hardly can."""
+    def _handicap(self) -> float:
+        """0 if this VM is well able to lead, up to 1 if it is hardly able to."""
         return max(0.0, 1.0 - self._context.settings.strength)
 
     async def _observe(self, item: Item) -> None:
         try:
             record = _read(item)
         except SaddlestackError as error:
-            self._observe_unreadable(item, error)
+            self._observe_invalid(item, error)
             return
-        self._unreadable = None
+        self._invalid_revision = None
         self._revision = item.revision
         if record == self.leader:
             return
@@ -221,33 +241,33 @@
         )
         if self.term is not None and record != self.term.record:
             await self._depose("displaced")
-        if record is not None and record == self._held and self.term is None:
+        if record is not None and record == self._own_record and self.term is None:
             await self._begin(Term(item.revision, record))
 
-    def _observe_unreadable(self, item: Item, error: SaddlestackError) -> None:
-        """The leader key cannot be read: it tells of no term, neither that one begins nor ends.
+    def _observe_invalid(self, item: Item, error: SaddlestackError) -> None:
+        """Handles an invalid leader key: it neither begins nor ends a term.
 
-        A term whose key was replaced learns it from its next write.
+        A leader whose key was replaced learns so from its next write.
         """
         self._refusals.refuse(item.key, str(error))
-        if item.revision not in {self._revision, self._unreadable}:
-            self._unreadable = item.revision
-            self._unreadable_s = self.clock.now()
+        if item.revision not in {self._revision, self._invalid_revision}:
+            self._invalid_revision = item.revision
+            self._invalid_since_s = self.clock.now()
 
     async def _campaign(self, present: int) -> None:
-        """Take the leader key.
+        """Tries to take the leader key.
 
-        :param present: its revision; 0 where there is none.
+        :param present: revision of the key; 0 if there is none.
         """
         store = self._context.store
         sent = self.clock.now()
-        self._suspended_s = self.clock.suspended_s()
-        lease, self._lasts_s = await store.grant_lease(LEASE_S)
+        self._suspended_at_renewal_s = self.clock.suspended_s()
+        lease, self._lease_s = await store.grant_lease(LEASE_S)
         record = LeaderRecord(
             vm=self._context.settings.vm, incarnation=self._context.incarnation, lease=lease
         )
-        self._held = record
-        self._valid_s = sent + self._lasts_s
+        self._own_record = record
+        self._lease_expires_s = sent + self._lease_s
         transaction = Transaction(
             expect=((LEADER, present),), puts=(Put(LEADER, to_json(record), lease),)
         )
@@ -267,11 +287,11 @@
     async def _begin(self, term: Term) -> None:
         self.term = term
         log.info("elected", extra={"event": "elected", "fence": term.fence})
-        self.tasks.spawn(self._keep(term))
+        self.tasks.spawn(self._renew_lease(term))
         await self._listener.elected(term)
 
-    async def _keep(self, term: Term) -> None:
-        """Renew the lease until the term is over."""
+    async def _renew_lease(self, term: Term) -> None:
+        """Renews the lease until the term ends."""
         while self.term is term:
             sent = self.clock.now()
             suspended_s = self.clock.suspended_s()
@@ -286,8 +306,8 @@
                     return
                 await self._context.health.wait_for_recovery(RENEW_RETRY_S)
                 continue
-            self._valid_s = sent + self._lasts_s
-            self._suspended_s = suspended_s
+            self._lease_expires_s = sent + self._lease_s
+            self._suspended_at_renewal_s = suspended_s
             await asyncio.sleep(RENEW_INTERVAL_S)
 
     async def _depose(self, reason: str) -> None:
@@ -298,15 +318,15 @@
             extra={"event": "deposed", "reason": reason, "fence": self.term.fence},
         )
         self.term = None
-        self._held = None
+        self._own_record = None
         if self.leader is not None and self.leader.vm == self._context.settings.vm:
             self.leader = None
         await self._listener.deposed()
 
 
 def _read(item: Item) -> LeaderRecord | None:
-    """Who leads, or ``None`` where nobody does.
+    """Returns the current leader, or ``None`` if there is none.
 
-    :raises SaddlestackError: the key is there and cannot be read.
+    :raises SaddlestackError: the key exists, but its value is invalid.
     """
     return from_json(item.value, LeaderRecord, item.key) if item.revision else None
--- a/src/saddlestack/control/leases.py
+++ b/src/saddlestack/control/leases.py
@@ -1,8 +1,8 @@
-"""How long the leases may last that were granted to the workers: one account for a whole term.
+"""When the leases that were granted to workers expire, tracked for a whole term.
 
-What runs on a worker that nobody hears of is over once every lease is that was ever granted there.
-The account is the term's, by life of a worker: sessions with a life are made anew, and records of
-it change or go, while a lease that was granted holds on.
+A run on a worker that doesn't answer is over once every lease ever granted to the worker has
+expired. This is tracked by term and by incarnation of a worker, because a lease outlasts sessions
+that are opened again and records that change or are removed.
 """
 
 from __future__ import annotations
@@ -10,18 +10,18 @@
 from saddlestack.control.leadership import LEASE_S, RENEWAL_GRACE_S
 
 CLOCK_DRIFT = 1 / 0.98
-"""What lasts a second by a worker's clock may last so long by ours: it may run 2 % slow."""
+"""How long one second of a worker's clock may last on this VM's: it may run 2 % slow."""
 LAPSE_SLACK_S = 0.5
-"""A worker that stood still, or is slow, ends what it runs up to 0.3 s late."""
+"""A worker that was paused, or is slow, ends its runs up to 0.3 s late."""
 
 
 class Leases:
-    """The leases that may hold in one term. Times are seconds on this VM's clock.
+    """The leases that may be valid in one term. Times are seconds on this VM's clock.
 
-    :param max_lease_s: the longest lease that workers take, by their clocks.
+    :param max_lease_s: longest lease that workers accept, on their clocks.
     :param began_s: when the term began.
-    :ivar lapse_after_s: after so long a lease that leaves now has lapsed for sure.
-    :ivar inherited_until: when leases that earlier leaders granted have lapsed for sure.
+    :ivar lapse_after_s: time after which a lease that is sent now has certainly expired.
+    :ivar inherited_until: when leases granted by earlier leaders have certainly expired.
     """
 
     def __init__(self, max_lease_s: float, began_s: float) -> None:
@@ -30,18 +30,19 @@
         self.inherited_until = began_s + LEASE_S + RENEWAL_GRACE_S + self.lapse_after_s
 
     def limit_inherited(self, moment: float) -> None:
-        """No earlier leader has renewed a lease after some moment."""
+        """Notes that no earlier leader has renewed a lease after some moment."""
         self.inherited_until = min(self.inherited_until, moment + self.lapse_after_s)
 
     def record_grant(self, worker_id: str, now: float) -> None:
-        """A lease leaves for a worker; it may be carried out late, but lasts no longer for that."""
+        """Notes that a lease is sent to a worker; if it arrives late, it doesn't last longer for
+        that."""
         until = now + self.lapse_after_s
         self._granted_until[worker_id] = max(until, self._granted_until.get(worker_id, until))
 
     def expires_at(self, worker_id: str) -> float:
-        """When every lease that was ever granted to a worker has lapsed for sure."""
+        """Returns when every lease that was ever granted to a worker has certainly expired."""
         return max(self._granted_until.get(worker_id, 0.0), self.inherited_until)
 
     def remaining_s(self, worker_id: str, now: float) -> float:
-        """Seconds until then; 0 where they have lapsed."""
+        """Returns the seconds until all leases of a worker have expired; 0 if they have."""
         return max(0.0, self.expires_at(worker_id) - now)
--- a/src/saddlestack/control/listing.py
+++ b/src/saddlestack/control/listing.py
@@ -1,13 +1,13 @@
-"""Which workers there are, as their records in the platform's store tell.
+"""The list of workers, according to their records in the platform's store.
 
-A record may come from another writer. One that cannot be read, or names a service that is not
-known, names no worker to use; nor does one that names another address while work runs at the one
-before. What runs on a life that was known goes on, and is dealt with at the address known before,
-until its worker tells its end or its lease has lapsed.
+A record may have been written by somebody else. One that is invalid, or names an unknown service,
+adds no worker; nor does one that names another address while work runs at the previous one. Runs on
+an incarnation that was already known continue, and are managed at the address known before, until
+its worker reports their end or its lease has expired.
 
-A worker may start again under its id: its record then tells of another life. That one may be used
-at once, since orders reach no life but their own. Of the one before, only the worker's own word
-tells that it is over, and it is asked for that.
+A worker may restart under the same id: its record then names another incarnation. That one may be
+used at once, since orders reach no incarnation but their own. Only the worker itself can confirm
+that the previous incarnation is over, so it is polled for that.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class WorkerList:
-    """Keeps a board's workers in step with their records."""
+    """Keeps the workers of a cluster state up to date with their records."""
 
     def __init__(self, context: EntryContext, board: ClusterState, sessions: Sessions) -> None:
         self._clock = context.clock
@@ -34,104 +34,108 @@
         self._sessions = sessions
         self._refusals = Refusals(context.metrics, "worker")
         self._services: set[str] = set()
-        self._no_service: dict[str, Item] = {}
-        self._lives: dict[str, str] = {}
+        self._unknown_service: dict[str, Item] = {}
+        self._incarnations: dict[str, str] = {}
 
     def add_services(self, services: Iterable[str]) -> None:
-        """Workers of these services may be used from now on, also those whose records are known.
+        """Allows workers of these services to be used, including those whose records were read
+        before.
 
-        A service stays known for as long as the term: work may be left that asks for its workers.
+        A service stays allowed for the whole term, since there may be work left that needs its
+        workers.
         """
         new = set(services) - self._services
         if not new:
             return
         self._services |= new
-        waiting, self._no_service = self._no_service, {}
+        waiting, self._unknown_service = self._unknown_service, {}
         self.apply(waiting.values())
 
     def replace(self, items: Iterable[Item]) -> None:
-        """All records that there are."""
+        """Applies a full list of the records; workers without one are removed."""
         items = tuple(items)
         self.apply(items)
-        listed = {self._id(item) for item in items}
-        known = {worker_id_of(life) for life in self._board.workers} | set(self._no_service)
+        listed = {self._worker_id(item) for item in items}
+        known = {worker_id_of(incarnation) for incarnation in self._board.workers} | set(
+            self._unknown_service
+        )
         for worker_id in sorted(known - listed):
             self._removed(worker_id)
 
     def apply(self, items: Iterable[Item]) -> None:
-        """Some records were written or removed."""
+        """Applies records that were written or removed."""
         for item in items:
             if not item.revision:
-                self._removed(self._id(item))
+                self._removed(self._worker_id(item))
                 continue
             try:
                 record = self._documents.worker(item)
             except SaddlestackError as error:
-                self._refuse(item, str(error))
+                self._reject(item, str(error))
                 continue
             if record.service in self._services:
                 self._take(item, record)
             else:
-                self._refuse_service(item)
+                self._reject_service(item)
 
-    def next_incarnation(self, life: str) -> str | None:
-        """The life that is listed under the id of one that is over; ``None`` while there is none.
+    def next_incarnation(self, incarnation: str) -> str | None:
+        """Returns the incarnation that follows one that is over, or ``None`` if none is listed yet.
 
-        The next record under the id counts as that of another life then.
+        If none is, the next record under the same id counts as another incarnation.
         """
-        listed = self._lives.setdefault(worker_id_of(life), life)
-        return None if listed == life else listed
+        listed = self._incarnations.setdefault(worker_id_of(incarnation), incarnation)
+        return None if listed == incarnation else listed
 
     def _take(self, item: Item, record: WorkerRecord) -> None:
-        worker_id = self._id(item)
-        before = self._lives.get(worker_id, record.worker_id)
-        another = record.worker_id != before
-        if another:
+        worker_id = self._worker_id(item)
+        before = self._incarnations.get(worker_id, record.worker_id)
+        is_restarted = record.worker_id != before
+        if is_restarted:
             self._supersede(before)
         worker = self._board.workers.get(record.worker_id)
         if worker is not None and worker.record.address not in {"", record.address}:
             if worker.runs:
-                self._refuse(item, "another address than the one where its work runs")
+                self._reject(item, "address differs from the one where its work runs")
                 return
             self._unlist(record.worker_id)
-        self._no_service.pop(worker_id, None)
-        self._lives[worker_id] = record.worker_id
+        self._unknown_service.pop(worker_id, None)
+        self._incarnations[worker_id] = record.worker_id
         self._board.set_worker(record, self._clock.now())
-        if another:
+        if is_restarted:
             self._sessions.recall(record.worker_id)
 
-    def _supersede(self, life: str) -> None:
-        """A record tells of another life of a worker: this one is asked whether it is over."""
-        self._unlist(life)
-        worker = self._board.workers.get(life)
+    def _supersede(self, incarnation: str) -> None:
+        """Polls an incarnation to find out whether it is over, since a record names another one."""
+        self._unlist(incarnation)
+        worker = self._board.workers.get(incarnation)
         if worker is not None:
             self._sessions.suspect_worker(worker)
 
-    def _refuse_service(self, item: Item) -> None:
+    def _reject_service(self, item: Item) -> None:
         if self._services:
-            self._refuse(item, "no configuration names its service")
-        self._no_service[self._id(item)] = item
+            self._reject(item, "no configuration names its service")
+        self._unknown_service[self._worker_id(item)] = item
 
-    def _refuse(self, item: Item, reason: str) -> None:
-        worker_id = self._id(item)
+    def _reject(self, item: Item, reason: str) -> None:
+        worker_id = self._worker_id(item)
         self._refusals.refuse(item.key, reason)
-        self._no_service.pop(worker_id, None)
-        self._unlist(self._lives.get(worker_id, worker_id))
+        self._unknown_service.pop(worker_id, None)
+        self._unlist(self._incarnations.get(worker_id, worker_id))
 
     def _removed(self, worker_id: str) -> None:
-        """A record is gone; what runs there may go on, whatever its worker had announced."""
-        self._no_service.pop(worker_id, None)
-        life = self._lives.get(worker_id, worker_id)
-        if not started_ms_of(life):
-            # Another life has another id; otherwise the next record may be the next life's.
-            self._lives.pop(worker_id, None)
-        self._unlist(life)
-
-    def _unlist(self, life: str) -> None:
-        """Give a life nothing new; what runs there goes on."""
-        self._board.unlist_worker(life)
-        if life not in self._board.workers:
-            self._sessions.close(life)
-
-    def _id(self, item: Item) -> str:
+        """Handles a removed record. Runs may continue, whatever their worker announced before."""
+        self._unknown_service.pop(worker_id, None)
+        incarnation = self._incarnations.get(worker_id, worker_id)
+        if not started_ms_of(incarnation):
+            # Without a start time, the next record may be that of the next incarnation.
+            self._incarnations.pop(worker_id, None)
+        self._unlist(incarnation)
+
+    def _unlist(self, incarnation: str) -> None:
+        """Starts nothing more on an incarnation; its runs continue."""
+        self._board.unlist_worker(incarnation)
+        if incarnation not in self._board.workers:
+            self._sessions.close(incarnation)
+
+    def _worker_id(self, item: Item) -> str:
         return item.key.removeprefix(self._documents.locations.workers_prefix)
--- a/src/saddlestack/control/membership.py
+++ b/src/saddlestack/control/membership.py
@@ -1,4 +1,4 @@
-"""Which entry VMs there are and where each is reached, kept in the store under leases."""
+"""The list of entry VMs and their addresses, kept in the store under leases."""
 
 from __future__ import annotations
 
@@ -36,8 +36,10 @@
 RENEW_INTERVAL_S = 2.0
 RETRY_S = 0.5
 RENEW_RETRY_S = 1.0
-"""A refused renewal is repeated within this, sooner once the store answers again; not more often,
-since every VM does so at once where the store refuses all of them."""
+"""A failed renewal is retried within this time, or as soon as the store is available again.
+
+Not more often, since all VMs retry at once when the store fails for all of them.
+"""
 GONE_RETENTION_S = 12.0
 """How long a VM whose record is gone counts as one that may still renew workers' leases.
 
@@ -46,16 +48,19 @@
 5.5 s.
 """
 MAX_RENEWAL_AGE_S = RENEW_INTERVAL_S + 2.0
-"""So old may the last renewal of a VM's record be where it takes the leadership: two that fail may
-lie between. The record then lasts for 6 s more, and a leader without the store renews workers'
-leases for 5.5 s: also a VM that has just started finds it listed, and asks it."""
+"""A VM may take the leadership only if it renewed its record within this time, so two renewals may
+have failed since.
+
+The record then lasts for 6 s more, while a leader without the store renews workers' leases for 5.5
+s. So a VM that has just started also finds the record and can query the VM.
+"""
 SECRET_BYTES = 16
 
 
 class Member(Model, frozen=True):
-    """One life of an entry VM.
+    """One incarnation of an entry VM.
 
-    :param secret: the key of streams to it.
+    :param secret: key that authenticates streams to it.
     """
 
     vm: str
@@ -67,9 +72,9 @@
 
 
 class Membership(Service):
-    """Tells the others of this VM, and remembers what they told.
+    """Registers this VM in the store and follows the records of the others.
 
-    What was heard last is kept while the store does not answer.
+    The latest known records are kept while the store is unavailable.
     """
 
     def __init__(self, context: EntryContext) -> None:
@@ -85,80 +90,81 @@
             secret=secrets.token_hex(SECRET_BYTES),
         )
         self._members: dict[str, Member] = {}
-        self._kept_s = -math.inf
+        self._renewed_s = -math.inf
         self._gone: dict[str, tuple[Member, float]] = {}
-        self._unreadable: set[str] = set()
-        self._unreadable_gone_s = -math.inf
+        self._invalid: set[str] = set()
+        self._invalid_removed_s = -math.inf
         self._refusals = Refusals(context.metrics, "member")
-        self._overwritten = False
+        self._must_register = False
         self._feed = Feed(context, MEMBERS, self._replace, self._change)
 
     @property
     def loaded(self) -> asyncio.Event:
-        """Set once the store has told of the others."""
+        """Set once all records have been read from the store."""
         return self._feed.loaded
 
     @property
     def is_listed(self) -> bool:
-        """Whether the others find this VM listed for as long as it may renew workers' leases."""
-        return self.clock.now() - self._kept_s <= MAX_RENEWAL_AGE_S
+        """Whether other VMs find this VM listed for as long as it may renew workers' leases."""
+        return self.clock.now() - self._renewed_s <= MAX_RENEWAL_AGE_S
 
     @property
     def is_complete(self) -> bool:
-        """Whether every VM is known that may renew workers' leases.
+        """Whether every VM that may renew workers' leases is known.
 
-        A record that cannot be read is that of a VM which nobody can ask, also for a while after
-        the record has gone.
+        An invalid record belongs to a VM that can't be queried. It counts for some time after it
+        was removed as well.
         """
-        lately = self._unreadable_gone_s >= self.clock.now() - GONE_RETENTION_S
-        return not self._unreadable and not lately
+        recently = self._invalid_removed_s >= self.clock.now() - GONE_RETENTION_S
+        return not self._invalid and not recently
 
     async def start(self) -> None:
-        """Begin to tell and to follow."""
+        """Starts to register this VM and to follow the others."""
         self.tasks.spawn(self._feed.run())
-        self.tasks.spawn(self._tell())
+        self.tasks.spawn(self._register())
 
     def member(self, vm: str) -> Member | None:
-        """The latest life of a VM, if it is known; its record may have gone lately."""
+        """Returns the latest incarnation of a VM, if known; its record may have been removed
+        recently."""
         if vm == self.local.vm:
             return self.local
-        return self._members.get(vm) or self._lately_gone().get(vm)
+        return self._members.get(vm) or self._recently_removed().get(vm)
 
     def others(self) -> list[Member]:
-        """All other VMs, in an order of chance."""
+        """Returns all other VMs, in random order."""
         others = [member for member in self._members.values() if member.vm != self.local.vm]
         self._context.rng.shuffle(others)
         return others
 
     def possible_renewers(self) -> list[Member]:
-        """All other VMs that may renew workers' leases: also some whose record has gone."""
-        gone = [member for vm, member in self._lately_gone().items() if vm != self.local.vm]
+        """Returns all other VMs that may renew workers' leases, also some whose record is gone."""
+        gone = [member for vm, member in self._recently_removed().items() if vm != self.local.vm]
         return self.others() + gone
 
-    def _lately_gone(self) -> dict[str, Member]:
-        """VMs whose record went within :data:`GONE_RETENTION_S` and is not back."""
+    def _recently_removed(self) -> dict[str, Member]:
+        """VMs whose record was removed within :data:`GONE_RETENTION_S` and not written again."""
         since = self.clock.now() - GONE_RETENTION_S
         return {vm: member for vm, (member, gone_s) in self._gone.items() if gone_s >= since}
 
-    def sample_by_hall(self, most: int) -> dict[str, list[Member]]:
-        """Some other VMs of each data hall, chosen by chance.
+    def sample_by_hall(self, per_hall: int) -> dict[str, list[Member]]:
+        """Returns some other VMs of each data hall, chosen at random.
 
-        :param most: VMs of a hall.
+        :param per_hall: maximum number of VMs per hall.
         """
         halls: dict[str, list[Member]] = {}
         for member in self.others():
             halls.setdefault(member.data_hall, []).append(member)
-        return {hall: members[:most] for hall, members in halls.items()}
+        return {hall: members[:per_hall] for hall, members in halls.items()}
 
-    async def _tell(self) -> None:
+    async def _register(self) -> None:
         while True:
             try:
                 sent = self.clock.now()
                 lease, _ = await self._context.store.grant_lease(LEASE_S)
                 put = Put(member_key(self.local.vm), to_json(self.local), lease)
                 await self._context.store.transact(Transaction(puts=(put,)))
-                self._overwritten = False
-                self._kept_s = sent
+                self._must_register = False
+                self._renewed_s = sent
                 await self._keep(lease)
             except (StoreUnavailable, WriteInDoubt, LeaseExpired):
                 await self._context.health.wait_for_recovery(
@@ -167,22 +173,23 @@
 
     async def _keep(self, lease: int) -> None:
         while True:
-            # Sooner where the store is back: its leases may have run out meanwhile.
+            # Renew at once after a store outage: the lease may have expired meanwhile.
             await self._context.health.wait_for_recovery(RENEW_INTERVAL_S)
-            if self._overwritten:
+            if self._must_register:
                 return
             await self._renew(lease)
 
     async def _renew(self, lease: int) -> None:
-        """Renew the lease of the record, soon again where that fails.
+        """Renews the lease of the record, and retries soon if that fails.
 
-        A renewal left out would let the record lapse while this VM may still renew workers' leases.
+        If a renewal were skipped, the record could expire while this VM may still renew workers'
+        leases.
         """
         while True:
             sent = self.clock.now()
             try:
                 await self._context.store.renew_lease(lease)
-                self._kept_s = sent
+                self._renewed_s = sent
                 return
             except StoreUnavailable:
                 wait_s = self._context.rng.uniform(RENEW_RETRY_S / 2, RENEW_RETRY_S)
@@ -190,51 +197,51 @@
 
     def _replace(self, items: tuple[Item, ...]) -> None:
         listed = {item.key.removeprefix(MEMBERS) for item in items if item.revision}
-        for vm in sorted((self._members.keys() | self._unreadable) - listed):
-            self._lose(vm)
+        for vm in sorted((self._members.keys() | self._invalid) - listed):
+            self._remove(vm)
         self._change(items)
 
-    def _lose(self, vm: str) -> None:
+    def _remove(self, vm: str) -> None:
         if vm == self.local.vm:
-            self._overwritten = True
-        if vm in self._unreadable:
-            self._unreadable.discard(vm)
-            self._unreadable_gone_s = self.clock.now()
+            self._must_register = True
+        if vm in self._invalid:
+            self._invalid.discard(vm)
+            self._invalid_removed_s = self.clock.now()
         member = self._members.pop(vm, None)
         if member is not None:
             self._gone[vm] = (member, self.clock.now())
 
     def _change(self, items: tuple[Item, ...]) -> None:
-        self._note(items)
+        self._update(items)
         self._context.health.set_vm_count(len(self._members))
 
-    def _note(self, items: tuple[Item, ...]) -> None:
+    def _update(self, items: tuple[Item, ...]) -> None:
         for item in items:
             vm = item.key.removeprefix(MEMBERS)
             if not item.revision:
-                self._lose(vm)
+                self._remove(vm)
                 continue
             try:
-                self._members[vm] = _member_of(vm, item)
+                self._members[vm] = _decode_member(vm, item)
             except SaddlestackError as error:
-                self._refuse(vm, item, error)
+                self._reject(vm, item, error)
                 continue
-            self._unreadable.discard(vm)
+            self._invalid.discard(vm)
             self._gone.pop(vm, None)
 
-    def _refuse(self, vm: str, item: Item, error: SaddlestackError) -> None:
-        """Go on with what a VM told before, if it did."""
+    def _reject(self, vm: str, item: Item, error: SaddlestackError) -> None:
+        """Keeps the previous valid record of a VM, if there is one."""
         self._refusals.refuse(item.key, str(error))
         if vm == self.local.vm:
-            self._overwritten = True
+            self._must_register = True
         elif vm not in self._members:
-            self._unreadable.add(vm)
+            self._invalid.add(vm)
 
 
-def _member_of(vm: str, item: Item) -> Member:
-    """The VM that a record describes.
+def _decode_member(vm: str, item: Item) -> Member:
+    """Decodes and checks a VM's record.
 
-    :raises SaddlestackError: it describes none, or another one.
+    :raises SaddlestackError: the record is invalid, or that of another VM.
     """
     member = from_json(item.value, Member, item.key)
     if not vm or member.vm != vm:
--- a/src/saddlestack/control/renewals.py
+++ b/src/saddlestack/control/renewals.py
@@ -1,10 +1,10 @@
-"""Whether any VM still renews leases that an earlier leader granted.
+"""Checks whether another VM still renews leases that an earlier leader granted.
 
-A leader that has lost the store goes on renewing what runs for a while, which a new one cannot see.
-Where every VM that is known says that it renews nothing, no lease outlives that moment by more than
-its own length; where one does not say so, the longest that it may have renewed is counted. A VM
-whose record has just gone is asked as well: it has lost the store, as has a leader that renews
-without it.
+A leader that has lost the store goes on renewing the leases of running work for some time, which a
+new leader can't see. If all known VMs answer that they renew nothing, no lease outlives that moment
+by more than its own length. If one doesn't, the longest time for which it may have renewed is
+assumed. VMs whose record was removed recently are queried as well: they have lost the store, like a
+leader that renews without it.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 from saddlestack.control.peers import Peers, PeerUnavailable
 from saddlestack.errors import SaddlestackError
 
-ASKED_AT_ONCE = 8
-"""VMs that are asked at once: each costs a new link and its handshake, and a new leader of 300 VMs
-has other things to do."""
+MAX_CONCURRENT_QUERIES = 8
+"""VMs queried concurrently. Each needs a new connection and its handshake, and a new leader of 300
+VMs has other work."""
 
 
 class RenewingQuestion(msgspec.Struct, frozen=True):
@@ -34,32 +34,33 @@
 
 
 class Renewals:
-    """Asks the other VMs, and answers them.
+    """Queries the other VMs, and answers their queries.
 
-    :param renews: whether this VM renews leases now.
-    :ivar asked: VMs that were asked so far.
+    :param renews: returns whether this VM renews leases now.
+    :ivar queried: number of VMs queried so far.
     """
 
     def __init__(self, peers: Peers, membership: Membership, renews: Callable[[], bool]) -> None:
         self._peers = peers
         self._membership = membership
         self._renews = renews
-        self.asked = 0
+        self.queried = 0
         peers.serve(RenewingQuestion, self._answer)
 
     async def are_over(self) -> bool:
-        """Whether all other VMs say that they renew nothing; asks until one does not say so."""
+        """Returns whether all other VMs answer that they renew nothing; stops at the first that
+        doesn't."""
         if not self._membership.loaded.is_set() or not self._membership.is_complete:
             return False
         others = self._membership.possible_renewers()
-        for first in range(0, len(others), ASKED_AT_ONCE):
-            some = others[first : first + ASKED_AT_ONCE]
-            if not all(await asyncio.gather(*(self._says_no(member) for member in some))):
+        for first in range(0, len(others), MAX_CONCURRENT_QUERIES):
+            batch = others[first : first + MAX_CONCURRENT_QUERIES]
+            if not all(await asyncio.gather(*(self._renews_nothing(member) for member in batch))):
                 return False
         return True
 
-    async def _says_no(self, member: Member) -> bool:
-        self.asked += 1
+    async def _renews_nothing(self, member: Member) -> bool:
+        self.queried += 1
         try:
             answer = await self._peers.ask(member.vm, RenewingQuestion(), RenewingAnswer)
         except (PeerUnavailable, SaddlestackError):
--- a/tests/test_halls.py
+++ b/tests/test_halls.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import Any, cast
 
-from saddlestack.control.access import CreateQuestion, OutOfReach, StoreAccess
+from saddlestack.control.access import CreateQuestion, StoreAccess, StoreUnreachable
 from saddlestack.control.context import EntryContext
 from saddlestack.control.halls import (
     ANSWER_TIMEOUT_S,
@@ -173,13 +173,13 @@
         async def body(net: Network, access: StoreAccess, view: StoreView) -> None:
             net.silent = {"b1", "b2", "c1", "c2", "c3"}
             began = asyncio.get_running_loop().time()
-            with self.assertRaises(OutOfReach) as caught:
+            with self.assertRaises(StoreUnreachable) as caught:
                 await access.create(KEY, b"job", began + 1.2)
             self.assertLess(asyncio.get_running_loop().time() - began, ANSWER_TIMEOUT_S + 0.05)
             self.assertFalse(caught.exception.doubt)
             self.assertFalse(caught.exception.elsewhere)
             await asyncio.sleep(1.0)  # until the balancer sends no more to this VM
-            with self.assertRaises(OutOfReach) as caught:
+            with self.assertRaises(StoreUnreachable) as caught:
                 await access.create(KEY, b"job", began + 9.9)
             self.assertTrue(caught.exception.elsewhere)
 
@@ -190,12 +190,12 @@
 
         async def body(net: Network, access: StoreAccess, view: StoreView) -> None:
             loop = asyncio.get_running_loop()
-            with self.assertRaises(OutOfReach):
+            with self.assertRaises(StoreUnreachable):
                 await access.create(KEY, b"job", loop.time() + 0.2)
             net.silent = {"b1", "b2", "c1", "c2", "c3"}
             await asyncio.sleep(1.0)
             began = loop.time()
-            with self.assertRaises(OutOfReach) as caught:
+            with self.assertRaises(StoreUnreachable) as caught:
                 await access.create(KEY, b"job", began + 0.8)
             self.assertFalse(caught.exception.elsewhere)
             self.assertAlmostEqual(loop.time() - began, 0.8, 2)
@@ -203,7 +203,7 @@
             await asyncio.sleep(1.0)
             view.faults.silent = True
             await asyncio.sleep(1.5)
-            with self.assertRaises(OutOfReach) as caught:
+            with self.assertRaises(StoreUnreachable) as caught:
                 await access.create(KEY, b"job", loop.time() + 0.8)
             self.assertTrue(caught.exception.elsewhere)
 
@@ -216,7 +216,7 @@
             net.reaching = {"b1", "b2", "c1", "c2", "c3"}
             net.slow_creations = True
             began = asyncio.get_running_loop().time()
-            with self.assertRaises(OutOfReach) as caught:
+            with self.assertRaises(StoreUnreachable) as caught:
                 await access.create(KEY, b"job", began + 0.1)
             self.assertTrue(any(isinstance(asked, CreateQuestion) for _, asked in net.asked))
             self.assertTrue(caught.exception.doubt)
--- a/tests/test_renewals.py
+++ b/tests/test_renewals.py
@@ -10,7 +10,7 @@
 from saddlestack.control.leases import CLOCK_DRIFT, LAPSE_SLACK_S
 from saddlestack.control.membership import GONE_RETENTION_S, RENEW_INTERVAL_S, RETRY_S
 from saddlestack.control.membership import LEASE_S as MEMBER_LEASE_S
-from saddlestack.control.renewals import ASKED_AT_ONCE, RenewingAnswer, RenewingQuestion
+from saddlestack.control.renewals import MAX_CONCURRENT_QUERIES, RenewingAnswer, RenewingQuestion
 from saddlestack.control.scheduler import RENEWALS_ASKED, RENEWALS_GAP_S
 from saddlestack.standins.pool.cluster import PoolCluster, job
 from saddlestack.standins.pool.store import CALL_TIMEOUT_S
@@ -72,9 +72,9 @@
             await cluster.until(lambda: cluster.leader is not None)
             leader = cluster.leader
             assert leader is not None
-            leader.renewals.asked = 0
+            leader.renewals.queried = 0
             await asyncio.sleep(RENEWALS_ASKED * RENEWALS_GAP_S + 1.0)
-            self.assertEqual(leader.renewals.asked, 0)
+            self.assertEqual(leader.renewals.queried, 0)
 
         self.play(body)
 
@@ -84,13 +84,13 @@
             leader = cluster.leader
             assert leader is not None
             others = [name for name in cluster.members if name != cluster.leader_name]
-            for name in others[: len(others) - ASKED_AT_ONCE + 1]:
+            for name in others[: len(others) - MAX_CONCURRENT_QUERIES + 1]:
                 await cluster.kill(name)
-            leader.renewals.asked = 0
+            leader.renewals.queried = 0
             self.assertFalse(await leader.renewals.are_over())
-            self.assertLessEqual(leader.renewals.asked, ASKED_AT_ONCE)
+            self.assertLessEqual(leader.renewals.queried, MAX_CONCURRENT_QUERIES)
 
-        self.play(body, entries=ASKED_AT_ONCE + 6)
+        self.play(body, entries=MAX_CONCURRENT_QUERIES + 6)
 
     def test_a_vm_that_renews_says_so(self) -> None:
         async def body(cluster: PoolCluster) -> None:
