--- a/src/saddlestack/control/listing.py
+++ b/src/saddlestack/control/listing.py
@@ -27,10 +27,12 @@
 class WorkerList:
     """Keeps the workers of a cluster state up to date with their records."""
 
-    def __init__(self, context: EntryContext, board: ClusterState, sessions: Sessions) -> None:
+    def __init__(
+        self, context: EntryContext, cluster_state: ClusterState, sessions: Sessions
+    ) -> None:
         self._clock = context.clock
         self._documents = context.documents
-        self._board = board
+        self._cluster_state = cluster_state
         self._sessions = sessions
         self._refusals = Refusals(context.metrics, "worker")
         self._services: set[str] = set()
@@ -92,7 +94,7 @@
         is_restarted = record.worker_id != before
         if is_restarted:
             self._supersede(before)
-        worker = self._board.workers.get(record.worker_id)
+        worker = self._cluster_state.workers.get(record.worker_id)
         if worker is not None and worker.record.address not in {"", record.address}:
             if worker.runs:
                 self._reject(item, "address differs from the one where its work runs")
--- a/src/saddlestack/control/session.py
+++ b/src/saddlestack/control/session.py
@@ -428,7 +428,9 @@
         """Nothing runs there any more: every lease has lapsed."""
         heard_s = max(self._contact.last_answer_s, self._began_s)
         log_over(self.worker.runs.values(), Proof.LAPSED, self._clock.now() - heard_s)
-        self._owner.board.worker_over(self.worker.worker_id, self._contact.end(unheard=True))
+        self._owner.cluster_state.worker_ended(
+            self.worker.worker_id, self._contact.end(unheard=True)
+        )
         self._reports.clear()
         self._owner.reschedule()
 
@@ -481,7 +483,7 @@
         return WATCHED_WAIT_S if needs_watching(self.worker) else WAIT_S
 
     async def _take(self, report: WorkerReport, asked: float) -> None:
-        if self._owner.board.workers.get(self.worker.worker_id) is not self.worker:
+        if self._owner.cluster_state.workers.get(self.worker.worker_id) is not self.worker:
             return
         self._contact.record_clock(report.clock_ms)
         for run in self.worker.runs.values():
