--- a/src/saddlestack/control/contact.py
+++ b/src/saddlestack/control/contact.py
@@ -127,7 +127,7 @@
         """A call was answered."""
         now = self._clock.now()
         self._last_answer_s = now
-        self._owner.board.heard(self._worker, now)
+        self._owner.cluster_state.record_answer(self._worker, now)
         self.misses = 0
         if not self._worker.reachable or self._worker.suspected:
             self._worker.reachable = True
--- a/src/saddlestack/control/listing.py
+++ b/src/saddlestack/control/listing.py
@@ -58,7 +58,7 @@
         items = tuple(items)
         self.apply(items)
         listed = {self._worker_id(item) for item in items}
-        known = {worker_id_of(incarnation) for incarnation in self._board.workers} | set(
+        known = {worker_id_of(incarnation) for incarnation in self._cluster_state.workers} | set(
             self._unknown_service
         )
         for worker_id in sorted(known - listed):
@@ -102,14 +102,14 @@
             self._unlist(record.worker_id)
         self._unknown_service.pop(worker_id, None)
         self._incarnations[worker_id] = record.worker_id
-        self._board.set_worker(record, self._clock.now())
+        self._cluster_state.set_worker(record, self._clock.now())
         if is_restarted:
             self._sessions.recall(record.worker_id)
 
     def _supersede(self, incarnation: str) -> None:
         """Polls an incarnation to find out whether it is over, since a record names another one."""
         self._unlist(incarnation)
-        worker = self._board.workers.get(incarnation)
+        worker = self._cluster_state.workers.get(incarnation)
         if worker is not None:
             self._sessions.suspect_worker(worker)
 
@@ -135,8 +135,8 @@
 
     def _unlist(self, incarnation: str) -> None:
         """Starts nothing more on an incarnation; its runs continue."""
-        self._board.unlist_worker(incarnation)
-        if incarnation not in self._board.workers:
+        self._cluster_state.unlist_worker(incarnation)
+        if incarnation not in self._cluster_state.workers:
             self._sessions.close(incarnation)
 
     def _worker_id(self, item: Item) -> str:
--- a/src/saddlestack/control/reports.py
+++ b/src/saddlestack/control/reports.py
@@ -95,7 +95,7 @@
         for end in fresh:
             self._ended(end, now)
         self._judge(report, asked, now)
-        if fresh or board.has_news:
+        if fresh or cluster_state.has_changes:
             self._owner.reschedule()
 
     async def acknowledge(self) -> None:
--- a/src/saddlestack/control/scheduler.py
+++ b/src/saddlestack/control/scheduler.py
@@ -108,8 +108,10 @@
         self._crashing = CrashLog(context.metrics)
         self._leases = Leases(self.max_lease_s, self._began_s)
         self._sessions = Sessions(context, self, self._leases)
-        self.waits = Waits(self.board, context.clock, context.metrics, self._leases.expires_at)
-        self._workers = WorkerList(context, self.board, self._sessions)
+        self.waits = Waits(
+            self.cluster_state, context.clock, context.metrics, self._leases.expires_at
+        )
+        self._workers = WorkerList(context, self.cluster_state, self._sessions)
         self._workers_feed = Feed(
             context,
             context.documents.locations.workers_prefix,
@@ -161,7 +163,7 @@
 
     def clear_suspects(self, job_id: str) -> int:
         """Start the tasks of a job as any others, though workers crashed under them."""
-        found = self.board.clear_suspects(job_id)
+        found = self.cluster_state.clear_suspects(job_id)
         self.reschedule()
         return found
 
@@ -263,12 +265,12 @@
         guaranteed = {account.name: account.guaranteed for account in configuration.accounts}
         services = {queue.name: queue.service for queue in configuration.queues}
         advised = [queue.name for queue in configuration.queues if queue.advised]
-        self.board.configure(guaranteed, services, advised)
+        self.cluster_state.configure(guaranteed, services, advised)
         self._workers.add_services([*services.values(), *(p.name for p in configuration.pools)])
         self.reschedule()
 
     def _evacuated(self, halls: frozenset[str]) -> None:
-        self.board.evacuate(halls)
+        self.cluster_state.evacuate(halls)
         self.reschedule()
 
     def _requested(self, items: tuple[Item, ...]) -> None:
@@ -307,7 +309,7 @@
         if next_loan_s is None:
             self._lending_timer = None
             return
-        wait_s = borrows_s - self._clock.now() + LENDING_SLACK_S
+        wait_s = next_loan_s - self._clock.now() + LENDING_SLACK_S
         self._lending_timer = asyncio.get_running_loop().call_later(wait_s, self.reschedule)
 
     def _decide_once(self) -> bool:
@@ -350,7 +352,7 @@
         for start in changes.starts:
             self._context.metrics.time("start_news", news_s)
             if not self._sessions.order_start(start, news_s):
-                self.board.not_started(start.run)
+                self.cluster_state.run_not_started(start.run)
                 self.reschedule()
 
     def _show(self, job_id: str, state: JobState) -> None:
--- a/src/saddlestack/control/session.py
+++ b/src/saddlestack/control/session.py
@@ -277,7 +277,7 @@
         now = self._clock.now()
         if reply.refusal is None:
             self._settle(key)
-            self._owner.board.started(run, now)
+            self._owner.cluster_state.run_started(run, now)
             self._owner.reschedule()
             self._watch_progress()
             return
@@ -359,7 +359,7 @@
         """No order for a run is under way, and none was carried out."""
         self._doubts.answered(self.worker.worker_id, key)
         self._reports.withdrawn(key)
-        self._owner.board.not_started(run)
+        self._owner.cluster_state.run_not_started(run)
         self._owner.reschedule()
 
     # Looking
@@ -551,6 +551,8 @@
         self.over = True
         self.worker.listed = False
         log_over(self.worker.runs.values(), Proof.REPLACED, 0.0)
-        self._owner.board.worker_over(self.worker.worker_id, self._contact.end(unheard=False))
+        self._owner.cluster_state.worker_ended(
+            self.worker.worker_id, self._contact.end(unheard=False)
+        )
         self._owner.worker_replaced(self.worker)
         self._owner.reschedule()
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -281,7 +281,7 @@
             leader.vm.scheduler.cluster_state.evacuate(frozenset({FAR}))
             await asyncio.sleep(3.0)
             self.assertEqual(self.starts_in(cluster, FAR), 0)
-            leader.vm.scheduler.board.evacuate(frozenset())
+            leader.vm.scheduler.cluster_state.evacuate(frozenset())
             leader.vm.scheduler.reschedule()
             await cluster.until_state(A, JobState.COMPLETED)
 
--- a/tests/test_stale_beliefs.py
+++ b/tests/test_stale_beliefs.py
@@ -312,11 +312,11 @@
         cluster_state = ClusterState()
         context = unittest.mock.Mock(documents=PlatformDocuments(), metrics=unittest.mock.Mock())
         context.clock.now.return_value = 1.0
-        workers = WorkerList(context, board, unittest.mock.Mock())
+        workers = WorkerList(context, cluster_state, unittest.mock.Mock())
         workers.replace([Item("servers/w", encoded(), 1)])
         workers.replace([])
         workers.add_services([floor_record.service])
-        self.assertEqual(list(board.workers), [])
+        self.assertEqual(list(cluster_state.workers), [])
 
 
 if __name__ == "__main__":
