--- a/benchmarks/variants.py
+++ b/benchmarks/variants.py
@@ -163,7 +163,7 @@
         (
             Edit(
                 "control/health.py",
-                "            recovery.set_result(self._latest_s)",
+                "            recovery.set_result(self._latest_answered_s)",
                 "            recovery.set_result(-math.inf)",
             ),
         ),
--- a/src/saddlestack/control/__init__.py
+++ b/src/saddlestack/control/__init__.py
@@ -1,1 +1,1 @@
-"""The services of an entry VM that schedules through the platform's store."""
+"""The services of an entry VM, which schedule jobs through the platform's store."""
--- a/src/saddlestack/control/access.py
+++ b/src/saddlestack/control/access.py
@@ -135,8 +135,7 @@
         )
 
     async def _call(self, direct: Direct, relayed: Relayed, until: float) -> KeyAnswer:
-        """Retries both directly and through a relay until one is answered or the deadline
-        passes."""
+        """Retries both directly and through a relay, until one is answered or time is up."""
         state = _CallState()
         try:
             async with asyncio.timeout(max(0.0, until - self._context.clock.now())):
--- a/src/saddlestack/control/configuration.py
+++ b/src/saddlestack/control/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force on this VM: the newest that the store has shown."""
+"""The configuration in force on this VM: the latest version that was read from the store."""
 
 from __future__ import annotations
 
@@ -21,7 +21,10 @@
 
 
 class Configuration(Service):
-    """Follows the operators' document. Versions only rise within a life of the process."""
+    """Follows the operators' configuration document.
+
+    Older versions than the current one are ignored while the process runs.
+    """
 
     def __init__(self, context: EntryContext) -> None:
         super().__init__(NAME, context.clock)
@@ -31,24 +34,24 @@
         self.current: PoolConfiguration | None = None
         self._listeners: list[Listener] = []
         self._feed = Feed(
-            context, context.documents.locations.configuration_prefix, self._take, self._take
+            context, context.documents.locations.configuration_prefix, self._receive, self._receive
         )
 
     def add_listener(self, listener: Listener) -> None:
-        """Tell of each new configuration, beginning with the present one."""
+        """Calls a listener with each new configuration, starting with the current one."""
         self._listeners.append(listener)
         if self.current is not None:
             listener(self.current)
 
     def remove_listener(self, listener: Listener) -> None:
-        """Tell no more."""
+        """Stops calling a listener."""
         self._listeners.remove(listener)
 
     async def start(self) -> None:
-        """Begin to follow."""
+        """Starts to follow the document."""
         self.tasks.spawn(self._feed.run())
 
-    def _take(self, items: tuple[Item, ...]) -> None:
+    def _receive(self, items: tuple[Item, ...]) -> None:
         for item in items:
             if item.key == self._key and item.revision:
                 self._apply(item)
--- a/src/saddlestack/control/context.py
+++ b/src/saddlestack/control/context.py
@@ -1,4 +1,4 @@
-"""What every service of an entry VM is given."""
+"""The context that is shared by the services of an entry VM."""
 
 from __future__ import annotations
 
@@ -17,17 +17,17 @@
 from saddlestack.wire.dialer import Dialer
 
 OrdersFactory = Callable[[WorkerRecord], WorkerOrders]
-"""Opens the way to one life of a worker."""
+"""Opens a connection for orders to one incarnation of a worker."""
 
 
 @dataclass(slots=True)
 class EntryContext:
-    """Settings, clock, randomness, and the platform of one entry VM.
+    """Settings, clock, random numbers, and the platform of one entry VM.
 
-    :param health: whether the store answers this VM.
-    :param machines: orders about whole machines, where the platform takes them.
-    :param adviser: knows which workers may run a step, where there is one.
-    :param incarnation: rises with each start of the VM's process.
+    :param health: whether the store is available to this VM.
+    :param machines: sends orders about whole machines; ``None`` if the platform accepts none.
+    :param adviser: tells which workers may run a step; ``None`` if there is no adviser.
+    :param incarnation: increases with each start of the process.
     """
 
     settings: EntrySettings
--- a/src/saddlestack/control/entry.py
+++ b/src/saddlestack/control/entry.py
@@ -1,4 +1,4 @@
-"""One entry VM's process on the platform's machines: its services, started and stopped."""
+"""The process of an entry VM on the platform's machines: starts and stops its services."""
 
 from __future__ import annotations
 
@@ -46,9 +46,9 @@
 log = logging.getLogger("saddlestack.entry")
 
 MAX_CONNECTIONS = 3000
-NOTICE_S = 2.2
-"""After a stop is asked for, the platform sends new connections for so long."""
-LAST_CLOSE_S = 0.5
+DRAIN_DELAY_S = 2.2
+"""Time for which the platform still routes new connections to a VM that was asked to stop."""
+CLOSE_RESERVE_S = 0.5
 METRICS_PATH = "/metrics"
 
 
@@ -73,7 +73,7 @@
         clock = clock or SystemClock()
         self.metrics = Metrics(settings.vm, clock)
         show_none(self.metrics)
-        store = store or _store_at(settings.store, dialer)
+        store = store or _open_store(settings.store, dialer)
         self.health = StoreHealth(store, clock)
         self.context = EntryContext(
             settings=settings,
@@ -84,10 +84,10 @@
             store=GuardedStore(store, self.health),
             health=self.health,
             documents=documents or PlatformDocuments(),
-            orders=orders or _orders_by(dialer),
+            orders=orders or _orders_factory(dialer),
             metrics=self.metrics,
-            machines=machines or _machines_at(settings.machines, dialer),
-            adviser=adviser or _adviser_at(settings.adviser, dialer),
+            machines=machines or _open_machines(settings.machines, dialer),
+            adviser=adviser or _open_adviser(settings.adviser, dialer),
         )
         self.configuration = Configuration(self.context)
         self.membership = Membership(self.context)
@@ -99,7 +99,7 @@
         relays = Relays(self.peers, self.membership, self.health)
         access = StoreAccess(self.context, self.peers, relays)
         self.jobs = Jobs(self.context, access, desk)
-        gateway = Gateway(self.jobs, lambda: self.configuration.current, self._ready)
+        gateway = Gateway(self.jobs, lambda: self.configuration.current, self._is_ready)
         self.clients = HttpServer(gateway.handle, max_connections=MAX_CONNECTIONS)
         self.readiness = HttpServer(gateway.readiness)
         self.metrics_server = HttpServer(self._serve_metrics)
@@ -111,7 +111,7 @@
         self._tasks = TaskGroup("entry")
 
     async def start(self) -> None:
-        """Serve clients and take part in scheduling."""
+        """Starts to serve clients and to take part in scheduling."""
         await self.peers.start()
         for server, text in (
             (self.clients, self.settings.clients),
@@ -131,19 +131,19 @@
         log.info("started", extra={"event": "started", "data_hall": self.settings.data_hall})
 
     async def drain(self) -> None:
-        """A planned stop: hand the leadership over, answer what was read, leave."""
+        """Stops as planned: hands over the leadership, and answers requests that were received."""
         log.info("stopping", extra={"event": "stopping"})
         self.stop_requested.set()
         await self.leadership.resign()
-        await asyncio.sleep(NOTICE_S)
-        grace_s = self.settings.timings.grace_s - NOTICE_S - LAST_CLOSE_S
+        await asyncio.sleep(DRAIN_DELAY_S)
+        grace_s = self.settings.timings.grace_s - DRAIN_DELAY_S - CLOSE_RESERVE_S
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(max(0.5, grace_s)):
                 await asyncio.gather(self.clients.drain(), self.callers.drain())
         await self.stop()
 
     async def stop(self) -> None:
-        """Stop every service."""
+        """Stops all services."""
         await self.deposed()
         await self.leadership.stop()
         await self.membership.stop()
@@ -158,16 +158,14 @@
         log.info("stopped", extra={"event": "stopped"})
 
     def abort(self) -> None:
-        """Close all sockets at once, as when the process dies."""
+        """Closes all sockets at once, as if the process had died."""
         self.clients.abort()
         self.readiness.abort()
         self.metrics_server.abort()
         self.callers.abort()
 
-    # What leadership tells
-
     async def elected(self, term: Term) -> None:
-        """This VM leads now."""
+        """Starts the scheduler when this VM becomes the leader."""
         await self.deposed()
         self.scheduler = Scheduler(
             self.context,
@@ -178,12 +176,12 @@
             self.renewals,
             lambda: self.leadership.grants_until(term),
             lambda: self.leadership.is_confirmed(term),
-            lambda: self._give_up(term),
+            lambda: self._end_term(term),
         )
         await self.scheduler.run()
 
     async def deposed(self) -> None:
-        """This VM no longer leads."""
+        """Stops the scheduler when this VM is no longer the leader."""
         scheduler, self.scheduler = self.scheduler, None
         if scheduler is None:
             return
@@ -194,31 +192,31 @@
             self._stopping -= 1
 
     def _renews(self) -> bool:
-        """Whether this VM renews workers' leases, or may have done so this moment."""
+        """Whether this VM renews workers' leases, or may just have done so."""
         return self.scheduler is not None or self._stopping > 0
 
-    def _give_up(self, term: Term) -> None:
-        """The scheduler found that another leader has taken over."""
+    def _end_term(self, term: Term) -> None:
+        """Ends the term after its scheduler found that another leader has taken over."""
         self._tasks.spawn(self.leadership.end_term(term))
 
     async def _serve_metrics(self, request: Request) -> Response:
-        """Answer with counters and latencies as text."""
+        """Serves counters and latencies as text."""
         if request.path != METRICS_PATH:
             return Response(404)
         text = as_text(self.metrics.view())
         return Response(200, text.encode(), content_type="text/plain")
 
-    def _ready(self) -> bool:
+    def _is_ready(self) -> bool:
         configured = self.configuration.current is not None
         return configured and self.health.is_available and not self.stop_requested.is_set()
 
 
-def _store_at(text: str, dialer: Dialer) -> MetadataStore:
+def _open_store(text: str, dialer: Dialer) -> MetadataStore:
     address = parse_address(text)
     return KvStore(address.address, address.port, dialer=dialer)
 
 
-def _orders_by(dialer: Dialer) -> OrdersFactory:
+def _orders_factory(dialer: Dialer) -> OrdersFactory:
     def open_orders(record: WorkerRecord) -> WorkerOrders:
         address = parse_address(record.address)
         return HttpWorkerOrders(record.worker_id, address.address, address.port, dialer=dialer)
@@ -226,14 +224,14 @@
     return open_orders
 
 
-def _machines_at(text: str | None, dialer: Dialer) -> Machines | None:
+def _open_machines(text: str | None, dialer: Dialer) -> Machines | None:
     if text is None:
         return None
     address = parse_address(text)
     return HttpMachines(address.address, address.port, dialer=dialer)
 
 
-def _adviser_at(text: str | None, dialer: Dialer) -> Adviser | None:
+def _open_adviser(text: str | None, dialer: Dialer) -> Adviser | None:
     if text is None:
         return None
     address = parse_address(text)
@@ -241,11 +239,11 @@
 
 
 async def serve(settings: EntrySettings, path: Path) -> None:
-    """Run an entry VM until SIGTERM or SIGINT, then drain it. SIGHUP re-reads the settings."""
+    """Runs an entry VM until SIGTERM or SIGINT, then drains it. SIGHUP checks the settings file."""
     entry = EntryVm(settings)
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, entry.stop_requested.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, entry.stop_requested.set)
     loop.add_signal_handler(signal.SIGHUP, _reload, path)
     await entry.start()
     await entry.stop_requested.wait()
@@ -253,10 +251,13 @@
 
 
 def _reload(path: Path) -> None:
-    """Check the settings anew; what a life began with stays in force until its end."""
+    """Checks the settings file again.
+
+    The settings that were read at the start stay in force until the process ends.
+    """
     try:
         load(path)
     except SaddlestackError as error:
-        log.error("settings are wrong", extra={"event": "reload_failed", "reason": str(error)})
+        log.error("invalid settings", extra={"event": "reload_failed", "reason": str(error)})
         return
-    log.info("settings read again", extra={"event": "reload"})
+    log.info("settings checked again", extra={"event": "reload"})
--- a/src/saddlestack/control/guarded.py
+++ b/src/saddlestack/control/guarded.py
@@ -1,8 +1,8 @@
-"""The store as services use it: calls that an outage has swallowed do not wait for their time-out.
+"""Wraps the store so that calls lost in an outage don't wait for their timeout.
 
-When the store answers again, each call that was sent before the answered heartbeat is given up.
-Reads, watches and renewals are sent anew at once; a write is reported to be in doubt, so that its
-writer repeats it under the same conditions.
+When the store is available again, each call is abandoned that was sent before the heartbeat which
+was answered. Reads, watches and renewals are retried at once. For a write, the outcome is reported
+as unknown, so that the caller repeats it under the same conditions.
 """
 
 from __future__ import annotations
@@ -26,65 +26,65 @@
 T = TypeVar("T")
 
 
-class _GivenUp(Exception):
-    """The store answers again, and has not answered a call that was sent before."""
+class _CallAbandoned(Exception):
+    """The store is available again, but has not answered a call that was sent before."""
 
 
 class GuardedStore:
-    """A :class:`saddlestack.interfaces.store.MetadataStore` on top of another one."""
+    """A :class:`saddlestack.interfaces.store.MetadataStore` that wraps another one."""
 
     def __init__(self, store: MetadataStore, health: StoreHealth) -> None:
         self._store = store
         self._health = health
 
     def reconnect(self) -> None:
-        """Use new connections from now on."""
+        """Uses new connections from now on."""
         self._store.reconnect()
 
     async def get(self, key: str) -> Item:
-        """A key; revision 0 where it is absent."""
-        return await self._repeated(lambda: self._store.get(key))
+        """Returns a key; its revision is 0 if it is absent."""
+        return await self._retried(lambda: self._store.get(key))
 
     async def list(self, prefix: str) -> Listing:
-        """All keys under a prefix."""
-        return await self._repeated(lambda: self._store.list(prefix))
+        """Returns all keys under a prefix."""
+        return await self._retried(lambda: self._store.list(prefix))
 
     async def watch(self, prefix: str, after: int, wait_s: float) -> Listing:
-        """Changes after a revision; removed keys have revision 0."""
-        return await self._repeated(lambda: self._store.watch(prefix, after, wait_s))
+        """Returns changes after a revision; removed keys have revision 0."""
+        return await self._retried(lambda: self._store.watch(prefix, after, wait_s))
 
     async def transact(self, transaction: Transaction) -> Committed | Conflict:
-        """Make changes all together."""
+        """Applies a transaction atomically."""
         try:
             return await self._guarded(self._store.transact(transaction))
-        except _GivenUp as error:
-            raise WriteInDoubt("sent while the store was lost") from error
+        except _CallAbandoned as error:
+            raise WriteInDoubt("sent while the store was unavailable") from error
 
     async def grant_lease(self, ttl_s: float) -> tuple[int, float]:
-        """A new lease and the seconds it lasts."""
+        """Grants a lease; returns it and the seconds it lasts."""
         try:
             return await self._guarded(self._store.grant_lease(ttl_s))
-        except _GivenUp as error:
-            raise StoreUnavailable("sent while the store was lost") from error
+        except _CallAbandoned as error:
+            raise StoreUnavailable("sent while the store was unavailable") from error
 
     async def renew_lease(self, lease: int) -> None:
-        """Renew a lease."""
-        await self._repeated(lambda: self._store.renew_lease(lease))
+        """Renews a lease."""
+        await self._retried(lambda: self._store.renew_lease(lease))
 
     async def end_lease(self, lease: int) -> None:
-        """End a lease and its keys."""
-        await self._repeated(lambda: self._store.end_lease(lease))
+        """Ends a lease, and removes its keys."""
+        await self._retried(lambda: self._store.end_lease(lease))
 
-    async def _repeated(self, call: Callable[[], Awaitable[T]]) -> T:
-        """Make a call that does no harm if it is made twice."""
+    async def _retried(self, call: Callable[[], Awaitable[T]]) -> T:
+        """Makes an idempotent call, and retries it if it is abandoned."""
         while True:
             try:
                 return await self._guarded(call())
-            except _GivenUp:
+            except _CallAbandoned:
                 continue
 
     async def _guarded(self, call: Awaitable[T]) -> T:
-        """Wait for the answer of a call.
+        """Waits for the answer to a call.
 
         :raises _GivenUp: the store has answered a heartbeat that was sent later.
         """
@@ -93,12 +93,12 @@
         try:
             while True:
                 recovery = self._health.recovery
-                either: set[asyncio.Future[Any]] = {task, recovery}
-                await asyncio.wait(either, return_when=asyncio.FIRST_COMPLETED)
+                waited_for: set[asyncio.Future[Any]] = {task, recovery}
+                await asyncio.wait(waited_for, return_when=asyncio.FIRST_COMPLETED)
                 if task.done():
                     return task.result()
                 if recovery.result() > sent:
-                    raise _GivenUp
+                    raise _CallAbandoned
         except (StoreUnavailable, WriteInDoubt):
             self._health.probe_now()
             raise
--- a/src/saddlestack/control/halls.py
+++ b/src/saddlestack/control/halls.py
@@ -1,8 +1,9 @@
-"""Whether the other data halls can be reached: the leader asks some of their VMs all the time.
+"""Checks whether the other data halls are reachable.
 
-A hall that is cut off takes its workers along. Nothing new goes to a worker of a hall whose VMs are
-silent, until that worker itself has answered a look that was sent afterwards; a hall whose VMs are
-all being restarted therefore costs one look at each of its workers.
+The leader pings some of their VMs continuously. If a data hall is cut off, so are its workers.
+Nothing is started on a worker of a hall whose VMs are unreachable until the worker itself has
+answered a poll that was sent afterwards. So if all VMs of a hall are just being restarted, this
+costs one poll of each of its workers.
 """
 
 from __future__ import annotations
@@ -20,72 +21,85 @@
 
 log = logging.getLogger("saddlestack.halls")
 
-PING_S = 0.25
-"""Between pings of a hall: 0.1 KB each, so 2 KB a second for two VMs in each of four halls."""
+PING_INTERVAL_S = 0.25
+"""Interval between pings.
+
+A ping has 0.1 KB, so pings of two VMs in each of four halls cost 2 KB per second.
+"""
 ANSWER_TIMEOUT_S = 0.25
-"""A VM is silent after this; answers take 1 to 3 ms, 0.1 s where a VM runs slow. No longer than
-the time between pings, so that they do not overtake each other."""
+"""A VM counts as unreachable if it doesn't answer within this time.
+
+Answers take 1 to 3 ms, or 0.1 s if a VM is slow. It must not exceed the interval between pings, so
+that pings don't overtake each other.
+"""
 VMS_PER_HALL = 2
-"""VMs of a hall that are asked at once; all of them have to be silent."""
+"""Number of VMs pinged in each hall at the same time.
+
+The hall counts as unreachable if none of them answers.
+"""
 
-Silent = Callable[[str], None]
-"""Told of a data hall none of whose VMs answers."""
+OnUnreachable = Callable[[str], None]
+"""Called with the name of a data hall when none of its VMs answers."""
 
 
 class PingQuestion(msgspec.Struct, frozen=True):
-    """Asks a VM whether it can be reached."""
+    """Asks a VM whether it is reachable."""
 
 
 class PingAnswer(msgspec.Struct, frozen=True):
-    """It can."""
+    """Confirms that a VM is reachable."""
 
 
 async def answer_ping(question: PingQuestion) -> PingAnswer:
-    """Answer a ping."""
+    """Answers a ping."""
     return PingAnswer()
 
 
 class HallMonitor:
-    """Pings the VMs of the other halls, and tells when a hall falls silent."""
+    """Pings VMs of the other data halls, and reports halls that become unreachable."""
 
     def __init__(
-        self, context: EntryContext, peers: Peers, membership: Membership, on_silent: Silent
+        self,
+        context: EntryContext,
+        peers: Peers,
+        membership: Membership,
+        on_unreachable: OnUnreachable,
     ) -> None:
         self._context = context
         self._peers = peers
         self._membership = membership
-        self._on_silent = on_silent
-        self._silent: set[str] = set()
+        self._on_silent = on_unreachable
+        self._unreachable: set[str] = set()
 
     async def run(self) -> None:
-        """Ask until cancelled."""
-        async with asyncio.TaskGroup() as asking:
+        """Pings until cancelled."""
+        async with asyncio.TaskGroup() as pings:
             while True:
                 halls = self._halls()
-                self._silent &= halls.keys()
+                self._unreachable &= halls.keys()
                 for hall, vms in halls.items():
-                    asking.create_task(self._ask(hall, vms))
-                await asyncio.sleep(PING_S)
+                    pings.create_task(self._ping(hall, vms))
+                await asyncio.sleep(PING_INTERVAL_S)
 
     def _halls(self) -> dict[str, list[Member]]:
-        """Some VMs of each other hall, chosen by chance each time."""
+        """Returns some VMs of each other data hall, chosen at random each time."""
         halls = self._membership.sample_by_hall(VMS_PER_HALL)
         halls.pop(self._membership.local.data_hall, None)
         return halls
 
-    async def _ask(self, hall: str, vms: list[Member]) -> None:
-        answers = await asyncio.gather(*(self._answers(member) for member in vms))
+    async def _ping(self, hall: str, vms: list[Member]) -> None:
+        answers = await asyncio.gather(*(self._is_reachable(member) for member in vms))
         if any(answers):
-            if hall in self._silent:
-                log.info("hall answers again", extra={"event": "hall_back", "hall": hall})
-            self._silent.discard(hall)
+            if hall in self._unreachable:
+                log.info("data hall is reachable again", extra={"event": "hall_back", "hall": hall})
+            self._unreachable.discard(hall)
             return
-        if hall not in self._silent:
-            log.warning("hall does not answer", extra={"event": "hall_silent", "hall": hall})
-            self._silent.add(hall)
+        if hall not in self._unreachable:
+            log.warning("data hall is unreachable", extra={"event": "hall_silent", "hall": hall})
+            self._unreachable.add(hall)
             self._on_silent(hall)
 
-    async def _answers(self, member: Member) -> bool:
+    async def _is_reachable(self, member: Member) -> bool:
         try:
             async with asyncio.timeout(ANSWER_TIMEOUT_S):
                 await self._peers.ask(member.vm, PingQuestion(), PingAnswer)
--- a/src/saddlestack/control/keys.py
+++ b/src/saddlestack/control/keys.py
@@ -1,7 +1,7 @@
-"""Where saddlestack keeps what must last, in the platform's store.
+"""Keys under which saddlestack keeps durable data in the platform's store.
 
-``job`` and ``cancel`` keys are written by whoever accepts or cancels, ``progress`` keys by
-the leader alone; no two writers share a key.
+``job`` and ``cancel`` keys are written by the VM that accepts or cancels a job, ``progress`` keys
+only by the leader, so no key has two writers.
 """
 
 from __future__ import annotations
@@ -18,44 +18,44 @@
 
 
 def wave_key(wave: int) -> str:
-    """Where it is kept how far a wave of upkeep is."""
+    """Returns the key of the progress of an upkeep wave."""
     return f"{_WAVES}{wave}"
 
 
 def member_key(vm: str) -> str:
-    """Where an entry VM tells how it is reached."""
+    """Returns the key of an entry VM's record, which holds its address."""
     return MEMBERS + vm
 
 
 def job_key(job_id: str) -> str:
-    """Where an accepted job is kept."""
+    """Returns the key of an accepted job."""
     return _JOB + job_id
 
 
 def cancel_key(job_id: str) -> str:
-    """Where the mark is kept that a job is cancelled."""
+    """Returns the key of the marker that a job is cancelled."""
     return _CANCEL + job_id
 
 
 def progress_key(occurrence: str) -> str:
-    """Where the progress of an occurrence (``JOB.NUMBER``) is kept."""
+    """Returns the key of the progress of an occurrence (``JOB.NUMBER``)."""
     return PROGRESS + occurrence
 
 
 def job_of(key: str) -> str | None:
-    """The job that a ``job`` key is of."""
+    """Returns the job of a ``job`` key, or ``None`` for any other key."""
     return key.removeprefix(_JOB) if key.startswith(_JOB) else None
 
 
 def cancelled_job_of(key: str) -> str | None:
-    """The job that a ``cancel`` key is of."""
+    """Returns the job of a ``cancel`` key, or ``None`` for any other key."""
     return key.removeprefix(_CANCEL) if key.startswith(_CANCEL) else None
 
 
 def occurrence_of(key: str) -> tuple[str, int]:
-    """The job and the number of the occurrence that a ``progress`` key is of.
+    """Returns the job and the number of the occurrence of a ``progress`` key.
 
-    :raises ValueError: it is of none.
+    :raises ValueError: the key is not that of an occurrence.
     """
     job_id, _, text = key.removeprefix(PROGRESS).rpartition(".")
     number = int(text)
--- a/src/saddlestack/control/leases.py
+++ b/src/saddlestack/control/leases.py
@@ -34,8 +34,7 @@
         self.inherited_until = min(self.inherited_until, moment + self.lapse_after_s)
 
     def record_grant(self, worker_id: str, now: float) -> None:
-        """Notes that a lease is sent to a worker; if it arrives late, it doesn't last longer for
-        that."""
+        """Notes that a lease is sent to a worker. Late arrival doesn't extend it."""
         until = now + self.lapse_after_s
         self._granted_until[worker_id] = max(until, self._granted_until.get(worker_id, until))
 
--- a/src/saddlestack/control/listing.py
+++ b/src/saddlestack/control/listing.py
@@ -40,8 +40,7 @@
         self._incarnations: dict[str, str] = {}
 
     def add_services(self, services: Iterable[str]) -> None:
-        """Allows workers of these services to be used, including those whose records were read
-        before.
+        """Allows workers of these services to be used, also if their records were read before.
 
         A service stays allowed for the whole term, since there may be work left that needs its
         workers.
--- a/src/saddlestack/control/membership.py
+++ b/src/saddlestack/control/membership.py
@@ -124,8 +124,7 @@
         self.tasks.spawn(self._register())
 
     def member(self, vm: str) -> Member | None:
-        """Returns the latest incarnation of a VM, if known; its record may have been removed
-        recently."""
+        """Returns the latest incarnation of a VM, also shortly after its record was removed."""
         if vm == self.local.vm:
             return self.local
         return self._members.get(vm) or self._recently_removed().get(vm)
--- a/src/saddlestack/control/owner.py
+++ b/src/saddlestack/control/owner.py
@@ -1,4 +1,4 @@
-"""What a worker's session needs of its scheduler."""
+"""The interface that sessions with workers need of their scheduler."""
 
 from __future__ import annotations
 
@@ -10,44 +10,47 @@
 
 
 class SessionOwner(Protocol):
-    """What a session needs of its scheduler."""
+    """What a session with a worker needs of its scheduler."""
 
     @property
     def cluster_state(self) -> ClusterState:
-        """What is known and decided."""
+        """The state that the scheduler decides on."""
         ...
 
     @property
     def fence(self) -> int:
-        """The fencing token of the term."""
+        """Fencing token of the term."""
         ...
 
     @property
     def max_lease_s(self) -> float:
-        """How long workers lease at most."""
+        """Longest lease that workers accept."""
         ...
 
     @property
     def may_grant(self) -> bool:
-        """Whether the term may still grant leases: a successor counts those that it granted."""
+        """Whether the term may still grant leases that a successor takes into account."""
         ...
 
     def reschedule(self) -> None:
-        """Decide anew."""
+        """Requests another scheduling round."""
         ...
 
     async def wait_written(self, jobs: Iterable[str]) -> None:
-        """Wait until the store has all that is known of some jobs by now."""
+        """Waits until everything that is known of some jobs by now is in the store."""
         ...
 
     def call_missed(self, worker: Worker) -> None:
-        """A call to a worker was not answered; its neighbours may be out of reach as well."""
+        """Notes that a worker did not answer a call.
+
+        Other workers of its data hall may be unreachable, too.
+        """
         ...
 
     def worker_replaced(self, worker: Worker) -> None:
-        """Another life answered where a worker's was: this one is over."""
+        """Notes that an incarnation is over, since another one answered at its address."""
         ...
 
     def worker_fenced(self) -> None:
-        """A worker obeys a later term."""
+        """Notes that a worker follows a later term."""
         ...
--- a/src/saddlestack/control/peers.py
+++ b/src/saddlestack/control/peers.py
@@ -35,7 +35,7 @@
 
 
 class PeerUnavailable(Exception):
-    """The other VM was not reached, or did not answer.
+    """The other VM could not be reached, or did not answer.
 
     :param sent: whether the call may have been carried out.
     """
@@ -46,7 +46,7 @@
 
 
 class Peers(Service):
-    """Serves other VMs' calls and keeps one stream to each VM that is called."""
+    """Serves calls of other VMs, and keeps one stream to each VM that is called."""
 
     def __init__(self, context: EntryContext, membership: Membership) -> None:
         super().__init__(NAME, context.clock)
@@ -55,20 +55,20 @@
         self._server: asyncio.Server | None = None
         self._methods: dict[str, tuple[type[Any], Callable[[Any], Awaitable[object]]]] = {}
         self._links: dict[str, PeerLink] = {}
-        self._dialling: dict[str, asyncio.Lock] = {}
+        self._dial_locks: dict[str, asyncio.Lock] = {}
         self._accepted: set[PeerLink] = set()
 
     def serve(self, question: type[A], answer: Callable[[A], Awaitable[object]]) -> None:
-        """Answer a kind of question."""
+        """Registers the handler of one type of question."""
         self._methods[question.__name__] = (question, answer)
 
     async def start(self) -> None:
-        """Listen for other VMs."""
+        """Starts to listen for other VMs."""
         address = self._context.settings.peer_address
         self._server = await asyncio.start_server(self._accept, address.address, address.port)
 
     async def stop(self) -> None:
-        """Close all streams."""
+        """Closes all streams."""
         if self._server is not None:
             self._server.close()
         for link in [*self._links.values(), *self._accepted]:
@@ -76,10 +76,11 @@
         await super().stop()
 
     async def ask(self, vm: str, question: object, kind: type[T]) -> T:
-        """Ask a VM; this VM answers itself.
+        """Sends a question to a VM, which may be this one.
 
-        :raises SaddlestackError: its answer is an error.
-        :raises PeerUnavailable: it was not reached, or did not answer.
+        :param kind: type of the answer.
+        :raises SaddlestackError: the answer is an error.
+        :raises PeerUnavailable: the VM could not be reached, or did not answer.
         """
         method = type(question).__name__
         if vm == self._membership.local.vm:
@@ -96,7 +97,7 @@
             raise PeerUnavailable(str(error), sent=True) from error
 
     async def _link(self, member: Member) -> PeerLink:
-        async with self._dialling.setdefault(member.vm, asyncio.Lock()):
+        async with self._dial_locks.setdefault(member.vm, asyncio.Lock()):
             link = self._links.get(member.vm)
             if link is not None and not link.closed and not link.silent:
                 if link.peer.incarnation == member.incarnation:
@@ -115,7 +116,7 @@
         reader, writer = await dialer.open(member.address, member.port, CONNECT_TIMEOUT_S)
         stream = FrameStream(reader, writer)
         try:
-            peer = await Handshake(self._me(), member.secret).dial(stream)
+            peer = await Handshake(self._local_name(), member.secret).dial(stream)
         except BaseException:
             stream.close()
             raise
@@ -124,11 +125,11 @@
         return link
 
     def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        self.tasks.spawn(self._welcome(FrameStream(reader, writer)))
+        self.tasks.spawn(self._serve_link(FrameStream(reader, writer)))
 
-    async def _welcome(self, stream: FrameStream) -> None:
+    async def _serve_link(self, stream: FrameStream) -> None:
         try:
-            peer = await Handshake(self._me(), self._membership.local.secret).accept(stream)
+            peer = await Handshake(self._local_name(), self._membership.local.secret).accept(stream)
         except (OSError, EOFError, TimeoutError, SaddlestackError):
             stream.close()
             return
@@ -146,10 +147,10 @@
         kind, answer = entry
         return await answer(from_msgpack(bytes(body), kind))
 
-    def _me(self) -> PeerName:
-        me = self._membership.local
-        return PeerName(me.vm, me.data_hall, me.incarnation)
+    def _local_name(self) -> PeerName:
+        local = self._membership.local
+        return PeerName(local.vm, local.data_hall, local.incarnation)
 
 
 def _ignore_beat(link: PeerLink, beat: Beat) -> None:
-    """Streams between entry VMs carry no heartbeats; the store's leases tell who lives."""
+    """Ignores heartbeats: leases in the store show which entry VMs are alive."""
--- a/src/saddlestack/control/relays.py
+++ b/src/saddlestack/control/relays.py
@@ -1,7 +1,7 @@
-"""Finds an entry VM that reaches the store, for one whose own way to it is lost.
+"""Finds another entry VM that reaches the store, for a VM whose own connection to it is lost.
 
-Asking first costs one round trip and keeps calls out of doubt: what is asked changes nothing, and
-a call goes only to a VM that has just said that the store answers it.
+Querying first costs one round trip, but prevents calls whose outcome is unknown: the query changes
+nothing, and a call is sent only to a VM that has just confirmed that the store answers it.
 """
 
 from __future__ import annotations
@@ -20,9 +20,9 @@
 from saddlestack.errors import SaddlestackError
 
 ANSWER_TIMEOUT_S = 0.25
-"""VMs answer in 1 to 3 ms, in 0.1 s where they run slow."""
+"""VMs answer within 1 to 3 ms, or 0.1 s if they are slow."""
 VMS_PER_HALL = 2
-"""VMs of each hall that are asked at once."""
+"""Number of VMs queried in each data hall, all at the same time."""
 
 
 class StoreQuestion(msgspec.Struct, frozen=True):
@@ -37,11 +37,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RelayResult:
-    """What the other VMs say.
+    """Result of a query of other VMs.
 
-    :param vm: one that the store answers, or ``None``.
-    :param cut_off: no VM of any other hall is reached, there are some, and none of them has said
-        during this outage that the store is lost to it as well.
+    :param vm: a VM that the store answers, or ``None``.
+    :param cut_off: whether other data halls have VMs, none of these answers, and none of them has
+        answered during this outage that the store is unavailable to it too.
     """
 
     vm: str | None
@@ -49,57 +49,63 @@
 
 
 class Relays:
-    """Asks the others, and answers them."""
+    """Queries other VMs, and answers their queries."""
 
     def __init__(self, peers: Peers, membership: Membership, health: StoreHealth) -> None:
         self._peers = peers
         self._membership = membership
         self._health = health
-        self._refused_s = -math.inf
+        self._outage_confirmed_s = -math.inf
         peers.serve(StoreQuestion, self._answer)
 
     async def find(self) -> RelayResult:
-        """Ask some VMs of each hall at once; the first that says yes is taken."""
+        """Queries some VMs of each data hall at the same time.
+
+        :return: the first VM that the store answers.
+        """
         halls = self._membership.sample_by_hall(VMS_PER_HALL)
         members = [member for vms in halls.values() for member in vms]
-        asked = {asyncio.create_task(self._ask(member)): member for member in members}
-        heard: set[str] = set()
+        asked = {asyncio.create_task(self._query(member)): member for member in members}
+        reachable_halls: set[str] = set()
         try:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(ANSWER_TIMEOUT_S):
-                    return await self._first(asked, heard)
+                    return await self._first_available(asked, reachable_halls)
         finally:
             for call in asked:
                 call.cancel()
             await asyncio.gather(*asked, return_exceptions=True)
-        return self._none(asked.values(), heard)
+        return self._not_found(asked.values(), reachable_halls)
 
-    def _none(self, asked: Iterable[Member], heard: set[str]) -> RelayResult:
+    def _not_found(self, asked: Iterable[Member], reachable_halls: set[str]) -> RelayResult:
         others = {member.data_hall for member in asked} - {self._membership.local.data_hall}
         now = self._health.clock.now()
-        if heard & others:
-            self._refused_s = now
-        lost_everywhere = self._refused_s >= now - self._health.outage_s
+        if reachable_halls & others:
+            self._outage_confirmed_s = now
+        lost_everywhere = self._outage_confirmed_s >= now - self._health.outage_s
         return RelayResult(
-            None, cut_off=bool(others) and not heard & others and not lost_everywhere
+            None, cut_off=bool(others) and not reachable_halls & others and not lost_everywhere
         )
 
-    async def _first(
-        self, asked: Mapping[asyncio.Task[bool], Member], heard: set[str]
+    async def _first_available(
+        self, asked: Mapping[asyncio.Task[bool], Member], reachable_halls: set[str]
     ) -> RelayResult:
-        """Wait for a VM that the store answers; notes the halls that are heard meanwhile."""
+        """Waits for a VM that the store answers.
+
+        :param reachable_halls: collects the data halls whose VMs answer.
+        """
         waiting = set(asked)
         while waiting:
             done, waiting = await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
             for call in done:
                 answers = _result(call)
                 if answers is not None:
-                    heard.add(asked[call].data_hall)
+                    reachable_halls.add(asked[call].data_hall)
                 if answers:
                     return RelayResult(asked[call].vm, cut_off=False)
-        return self._none(asked.values(), heard)
+        return self._not_found(asked.values(), reachable_halls)
 
-    async def _ask(self, member: Member) -> bool:
+    async def _query(self, member: Member) -> bool:
         answer = await self._peers.ask(member.vm, StoreQuestion(), StoreAnswer)
         return answer.answers
 
@@ -108,7 +114,7 @@
 
 
 def _result(call: asyncio.Task[bool]) -> bool | None:
-    """A VM's answer; ``None`` where it gave none."""
+    """Returns a VM's answer, or ``None`` if there was none."""
     try:
         return call.result()
     except (PeerUnavailable, SaddlestackError):
--- a/src/saddlestack/control/renewals.py
+++ b/src/saddlestack/control/renewals.py
@@ -48,8 +48,10 @@
         peers.serve(RenewingQuestion, self._answer)
 
     async def are_over(self) -> bool:
-        """Returns whether all other VMs answer that they renew nothing; stops at the first that
-        doesn't."""
+        """Returns whether all other VMs answer that they renew nothing.
+
+        Stops at the first VM that doesn't.
+        """
         if not self._membership.loaded.is_set() or not self._membership.is_complete:
             return False
         others = self._membership.possible_renewers()
--- a/src/saddlestack/control/settings.py
+++ b/src/saddlestack/control/settings.py
@@ -1,4 +1,4 @@
-"""Settings of an entry VM on the platform's machines: JSON with comments, checked whole."""
+"""Settings of an entry VM on the platform's machines, read from JSON with comments."""
 
 from __future__ import annotations
 
@@ -13,20 +13,28 @@
 MAX_PORT = 65_535
 MACHINE_KEYS = ("cores", "cpu_share", "link_mbps")
 LEADER_CORES = 1.0
-"""A leader of 176 workers uses little of this, but starts and takes over by its speed."""
+"""Processor cores that a leader needs.
+
+A leader of 176 workers uses only a small part of this on average, but needs it to start and to take
+over quickly.
+"""
 LEADER_LINK_MBPS = 50.0
-"""A new leader of 176 workers read for 2.2 s over a link of 10 Mbit/s, and was late with orders."""
+"""Network bandwidth that a leader needs.
+
+Over a link of 10 Mbit/s, a new leader of 176 workers took 2.2 s to read the state, and its orders
+were late.
+"""
 
 
 class Timings(Model, frozen=True):
-    """Times that the platform promises or asks for.
-
-    :param longest_hold_ms: the longest lease that a worker grants.
-    :param retention_s: for how long a job that is over stays known, so that repeats find it.
-    :param machine_lease_ms: orders about a machine by two holders lie further apart than this.
-    :param upkeep_s: how long a machine is down for its upkeep.
-    :param grace_s: from SIGTERM to SIGKILL.
-    :param status_s: for how long a job's state is kept at least.
+    """Times that the platform guarantees or requires.
+
+    :param longest_hold_ms: longest lease that a worker accepts.
+    :param grace_s: time from SIGTERM to SIGKILL.
+    :param status_s: minimum time for which a job's state is kept.
+    :param retention_s: how long a finished job stays known, so that repeated requests find it.
+    :param machine_lease_ms: minimum time between orders about the same machine by two holders.
+    :param upkeep_s: how long a machine is down for upkeep.
     """
 
     longest_hold_ms: float
@@ -38,20 +46,21 @@
 
 
 class EntrySettings(Model, frozen=True):
-    """What an entry VM has to know to start.
-
-    :param vm: the name of this VM.
-    :param data_hall: the data hall it stands in.
-    :param clients: where clients are served, as ``IP:PORT``.
-    :param readiness: where the platform asks whether we are ready.
-    :param peer_ports: first and last port kept free for traffic between daemons.
-    :param store: the platform's store.
-    :param machines: the platform's interface for whole machines, if there is one.
-    :param adviser: the service that knows which workers may run a step, if there is one.
-    :param callers: where the product's own interface is served, if it is.
-    :param cores: processors of this VM...
-    :param cpu_share: ...and the share of them that it gets.
-    :param link_mbps: what its network link carries, in Mbit/s.
+    """Settings that an entry VM needs to start.
+
+    :param vm: name of this VM.
+    :param data_hall: data hall of this VM.
+    :param clients: address for clients, as ``IP:PORT``.
+    :param readiness: address for the platform's readiness checks.
+    :param peer_ports: first and last port reserved for traffic between daemons.
+    :param store: address of the platform's store.
+    :param machines: address of the platform's interface for whole machines, if there is one.
+    :param adviser: address of the adviser, which tells which workers may run a step, if there is
+        one.
+    :param callers: address of the product's own API, if it is served.
+    :param cores: processor cores of this VM.
+    :param cpu_share: share of these cores that the VM gets.
+    :param link_mbps: bandwidth of the VM's network link, in Mbit/s.
     """
 
     vm: str
@@ -71,24 +80,24 @@
 
     @property
     def peer_address(self) -> Address:
-        """Where other daemons connect."""
+        """Address at which other daemons connect."""
         return Address(address=parse_address(self.clients).address, port=self.peer_ports[0])
 
     @property
     def strength(self) -> float:
-        """How well this VM can lead: 1 and more where neither processor nor link is scarce."""
+        """How well this VM can lead: 1 or more if neither processor nor link is a bottleneck."""
         return min(self.cores * self.cpu_share / LEADER_CORES, self.link_mbps / LEADER_LINK_MBPS)
 
     @property
     def metrics_address(self) -> Address:
-        """Where counters and histograms are served."""
+        """Address at which counters and histograms are served."""
         return Address(address=parse_address(self.clients).address, port=self.peer_ports[0] + 1)
 
 
 def load(path: Path) -> EntrySettings:
-    """Read and check a settings file.
+    """Reads and checks a settings file.
 
-    :raises SaddlestackError: with every fault found, each with its line or key path.
+    :raises SaddlestackError: with every error found, each with its line or key path.
     """
     settings = read_commented(path, EntrySettings)
     faults = check(settings)
@@ -98,7 +107,7 @@
 
 
 def check(settings: EntrySettings) -> list[str]:
-    """Every fault of the settings: key path and what was expected.
+    """Returns every error in the settings, each as its key path and what was expected.
 
     :rtype: list[str]
     """
@@ -136,9 +145,9 @@
 
 
 def parse_address(text: str) -> Address:
-    """The address that ``IP:PORT`` spells; one of IPv6 stands in brackets.
+    """Parses an ``IP:PORT`` address; an IPv6 address is in brackets.
 
-    :raises ValueError: it spells none.
+    :raises ValueError: the text is not an address.
     """
     address, _, port = text.rpartition(":")
     if address.startswith("["):
--- a/tests/test_halls.py
+++ b/tests/test_halls.py
@@ -12,7 +12,7 @@
 from saddlestack.control.context import EntryContext
 from saddlestack.control.halls import (
     ANSWER_TIMEOUT_S,
-    PING_S,
+    PING_INTERVAL_S,
     HallMonitor,
     PingAnswer,
     PingQuestion,
@@ -26,7 +26,7 @@
 from tests.support import bare_context
 
 SILENCE_S = 5.0
-NOTICED_S = PING_S + ANSWER_TIMEOUT_S + 0.05
+NOTICED_S = PING_INTERVAL_S + ANSWER_TIMEOUT_S + 0.05
 KEY = "saddlestack/requests/job/a"
 
 
