--- a/src/saddlestack/control/health.py
+++ b/src/saddlestack/control/health.py
@@ -150,8 +150,10 @@
             log.warning("store is unavailable", extra={"event": "store_lost", "reason": reason})
 
     def _handle_overtaken(self, sent: float) -> None:
-        """Handles a heartbeat that a later one overtook: calls sent at that time may be lost,
-        too."""
+        """Handles a heartbeat that a later one overtook.
+
+        Calls that were sent at the same time may be lost, too.
+        """
         if sent > self._recovered_s:
             self._wake_all()
 
--- a/src/saddlestack/interfaces/__init__.py
+++ b/src/saddlestack/interfaces/__init__.py
@@ -1,4 +1,5 @@
-"""What the services need of a platform, in the product's own words.
+"""Interfaces to a platform, independent of any particular one.
 
-A platform's adapter implements these protocols; nothing else knows its names.
+They are implemented by a platform's adapter, which is the only code that knows the platform's own
+names.
 """
--- a/src/saddlestack/interfaces/clients.py
+++ b/src/saddlestack/interfaces/clients.py
@@ -1,4 +1,4 @@
-"""What clients may ask of an entry VM."""
+"""The calls that clients may make to an entry VM."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientCall:
-    """Who calls and about which queue.
+    """The caller of a request and the queue that it is for.
 
     :param deadline_s: seconds until the client stops waiting.
     """
@@ -22,35 +22,38 @@
 
 
 class JobService(Protocol):
-    """What clients may ask. Every call may raise :class:`SaddlestackError`."""
+    """Operations on jobs for clients. Each may raise :class:`SaddlestackError`."""
 
     async def submit(self, call: ClientCall, job_id: str, request: JobRequest) -> AcceptedJob:
-        """Accept a job, or find it accepted."""
+        """Accepts a job, or returns it if it was accepted before."""
         ...
 
     async def accepted(self, call: ClientCall, job_id: str) -> AcceptedJob | None:
-        """A job as it was accepted; ``None`` where no such job exists."""
+        """Returns a job as it was accepted; ``None`` if there is no such job."""
         ...
 
     async def state(self, call: ClientCall, job_id: str) -> JobState | None:
-        """A job's state; ``None`` where no such job exists."""
+        """Returns a job's state; ``None`` if there is no such job."""
         ...
 
     async def waits(self, call: ClientCall, job_id: str) -> str | None:
-        """What a job waits for, or why it failed; ``None`` where it runs, or that is not known."""
+        """Returns what a job waits for, or why it failed.
+
+        ``None`` if the job runs, or if the reason is not known.
+        """
         ...
 
     async def cancel(self, call: ClientCall, job_id: str) -> bool:
-        """Cancel a job; ``False`` where no such job exists."""
+        """Cancels a job; ``False`` if there is no such job."""
         ...
 
     async def clear(self, call: ClientCall, job_id: str) -> int:
-        """Hold the tasks of a job to be sound, though workers crashed under them.
+        """Clears the tasks of a job of the suspicion that they crash workers.
 
-        :return: so many of them were suspects.
+        :return: the number of tasks that were suspects.
         """
         ...
 
     async def pending(self, call: ClientCall) -> int:
-        """Accepted jobs of a queue none of whose tasks has begun."""
+        """Returns the number of accepted jobs of a queue of which no task has started."""
         ...
--- a/src/saddlestack/interfaces/documents.py
+++ b/src/saddlestack/interfaces/documents.py
@@ -1,4 +1,4 @@
-"""The operators' documents and the workers' records, as an adapter reads them."""
+"""The operators' documents and the workers' records, as decoded by a platform's adapter."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 class Queue:
     """A queue of the configuration.
 
-    :param open: needs no key.
-    :param advised: a start needs the adviser's leave.
+    :param open: no API key is needed.
+    :param advised: each start needs the adviser's approval.
     """
 
     name: str
@@ -35,7 +35,7 @@
 class ClientAccount:
     """A client account of the configuration.
 
-    :param guaranteed: accelerators that it owns for jobs of priority 0.
+    :param guaranteed: accelerators that are guaranteed to its jobs of priority 0.
     """
 
     name: str
@@ -47,7 +47,7 @@
 class Pool:
     """The workers of one service.
 
-    :param admission_check: workers refuse what does not fit.
+    :param admission_check: whether workers refuse a run that doesn't fit.
     """
 
     name: str
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientLimits:
-    """Bounds on what clients may send."""
+    """Limits on the size of clients' requests."""
 
     body_bytes: int = 262_144
 
@@ -74,10 +74,10 @@
 
 @dataclass(frozen=True, slots=True)
 class DocumentLocations:
-    """Where the platform keeps the operators' documents and the workers' records.
+    """Keys of the operators' documents and of the workers' records in the platform's store.
 
-    :param evacuations_prefix: of a key for each data hall that is being evacuated; the rest of the
-        key is the hall's name.
+    :param evacuations_prefix: prefix of the key for each data hall that is being evacuated,
+        followed by the name of the hall.
     """
 
     configuration_prefix: str
@@ -89,34 +89,34 @@
 
 
 class DocumentReader(Protocol):
-    """Reads the platform's documents into the product's models."""
+    """Decodes the platform's documents."""
 
     @property
     def locations(self) -> DocumentLocations:
-        """Where the documents are."""
+        """Where the documents are stored."""
         ...
 
     def configuration(self, value: bytes) -> PoolConfiguration:
-        """The configuration that a document holds.
+        """Decodes a configuration.
 
-        :raises SaddlestackError: it holds none.
+        :raises SaddlestackError: the document is invalid.
         """
         ...
 
     def wave(self, item: Item) -> Wave:
-        """The wave of upkeep that a document orders.
+        """Decodes an order for a wave of upkeep.
 
-        :raises SaddlestackError: it orders none.
+        :raises SaddlestackError: the document is invalid.
         """
         ...
 
     def wave_status(self, *, completed: bool) -> bytes:
-        """What tells the operator how far a wave is."""
+        """Encodes the status of a wave for the operator."""
         ...
 
     def worker(self, item: Item) -> WorkerRecord:
-        """The worker that a record describes.
+        """Decodes a worker's record.
 
-        :raises SaddlestackError: it describes none.
+        :raises SaddlestackError: the record is invalid.
         """
         ...
--- a/src/saddlestack/interfaces/incarnations.py
+++ b/src/saddlestack/interfaces/incarnations.py
@@ -1,29 +1,29 @@
-"""The names of workers' lives: a worker's id, and when it was born where it tells.
+"""Names of workers' incarnations: the worker's id, and its start time if the worker reports it.
 
-A worker may start again under its id. It then holds and knows nothing of before, so whatever is
-kept of a worker, from its runs to its clock, is kept of one life and goes by its name.
+A worker may restart under the same id. It then has none of its former state, so everything that is
+recorded for a worker, from its runs to its clock, is recorded for one incarnation, by its name.
 """
 
 from __future__ import annotations
 
-_MARK = "/"
-"""No id of a worker has a slash."""
+_SEPARATOR = "/"
+"""Worker ids don't contain slashes."""
 
 
-def incarnation_name(worker_id: str, born: int) -> str:
-    """The name of one life of a worker.
+def incarnation_name(worker_id: str, started_ms: int) -> str:
+    """Returns the name of one incarnation of a worker.
 
-    :param born: when it was born, in milliseconds since 1970; 0 where the worker does not tell.
+    :param started_ms: when it started, in milliseconds since 1970; 0 if not reported.
     """
-    return f"{worker_id}{_MARK}{born}" if born else worker_id
+    return f"{worker_id}{_SEPARATOR}{started_ms}" if started_ms else worker_id
 
 
 def worker_id_of(life: str) -> str:
-    """The id of the worker that a life is of."""
-    return life.partition(_MARK)[0]
+    """Returns the id of the worker that an incarnation belongs to."""
+    return life.partition(_SEPARATOR)[0]
 
 
 def started_ms_of(life: str) -> int:
-    """When a life was born, in milliseconds since 1970; 0 where its name does not tell."""
-    born = life.partition(_MARK)[2]
-    return int(born) if born.isdecimal() else 0
+    """Returns when an incarnation started, in milliseconds since 1970; 0 if unknown."""
+    started_ms = life.partition(_SEPARATOR)[2]
+    return int(started_ms) if started_ms.isdecimal() else 0
--- a/src/saddlestack/interfaces/machines.py
+++ b/src/saddlestack/interfaces/machines.py
@@ -1,4 +1,4 @@
-"""The platform's whole machines, and its adviser."""
+"""Interfaces to the platform's whole machines, and to its adviser."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Wave:
-    """The operator's order that machines have their upkeep.
+    """The operator's order for upkeep of some machines.
 
-    :param deadline_s: seconds from the order until all should have had it.
-    :param most: machines that may be down for it at once.
+    :param deadline_s: seconds from the order until all of them should have had their upkeep.
+    :param max_down: number of machines that may be down for upkeep at the same time.
     """
 
     wave: int
     machines: tuple[str, ...]
     deadline_s: float
-    most: int
+    max_down: int
 
 
 class UpkeepOutcome(enum.StrEnum):
-    """What became of an order of upkeep."""
+    """Outcome of an upkeep order."""
 
     BEGUN = "begun"
     BUSY = "busy"
@@ -32,14 +32,14 @@
 
 
 class MachinesUnavailable(Exception):
-    """The platform's machines interface did not answer; an order may have been done."""
+    """The platform's machines interface did not answer; an order may have been carried out."""
 
 
 class Machines(Protocol):
     """Orders to the platform about whole machines."""
 
     async def upkeep(self, machine: str, wave: int, holder: str, fence: int) -> UpkeepOutcome:
-        """Take a machine down for its upkeep; all that runs there dies at once.
+        """Takes a machine down for its upkeep, which kills everything that runs there at once.
 
         :raises MachinesUnavailable: no answer.
         """
@@ -48,9 +48,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Leave:
-    """The adviser's leave for a step to run at one life of a worker.
+    """The adviser's approval for a step to run on one incarnation of a worker.
 
-    :param valid_s: for so long.
+    :param valid_s: seconds for which it is valid.
     """
 
     worker_id: str
@@ -59,14 +59,14 @@
 
 
 class AdviserUnavailable(Exception):
-    """The adviser did not answer, or has too many calls waiting."""
+    """The adviser did not answer, or has too many calls pending."""
 
 
 class Adviser(Protocol):
-    """Knows which workers may run a step of an advised queue."""
+    """Tells which workers may run a step of an advised queue."""
 
     async def advise(self, step: str, workers: tuple[str, ...]) -> tuple[Leave, ...]:
-        """The workers among these that may run a step.
+        """Returns approvals for those of the given workers that may run a step.
 
         :raises AdviserUnavailable: no answer.
         """
--- a/src/saddlestack/interfaces/store.py
+++ b/src/saddlestack/interfaces/store.py
@@ -1,4 +1,4 @@
-"""The platform's store: what the services need of it."""
+"""Interface to the platform's store."""
 
 from __future__ import annotations
 
@@ -7,26 +7,27 @@
 
 
 class StoreUnavailable(Exception):
-    """The store did not take the call: nothing was done."""
+    """The store did not accept the call: nothing was done."""
 
 
 class WriteInDoubt(Exception):
-    """The write may have been done, or may still be done while its conditions hold."""
+    """The outcome is unknown: the write may have been done, or may be later if its conditions
+    hold."""
 
 
 class HistoryGone(Exception):
-    """The store forgot the changes asked for: read everything again."""
+    """The store no longer has the requested changes: read everything again."""
 
 
 class LeaseExpired(Exception):
-    """The lease has ended."""
+    """The lease has expired or was ended."""
 
 
 @dataclass(frozen=True, slots=True)
 class Item:
-    """A key of the store.
+    """A key of the store and its value.
 
-    :param revision: of its last change; 0 where the key is absent.
+    :param revision: revision of its last change; 0 if the key is absent.
     """
 
     key: str
@@ -36,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Listing:
-    """All keys under a prefix, and the revision from which to watch."""
+    """All keys under a prefix, and the revision to watch from."""
 
     items: tuple[Item, ...]
     revision: int
@@ -44,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Put:
-    """A key to write; with a lease, the key ends with it."""
+    """A key to write. If it has a lease, it is removed when the lease ends."""
 
     key: str
     value: bytes
@@ -53,9 +54,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Transaction:
-    """Changes made all together, if every expected revision holds.
+    """Changes that are applied atomically if every expected revision matches.
 
-    :param expect: keys and the revision each must have; 0 means absent.
+    :param expect: keys, and the revision that each must have; 0 means absent.
     """
 
     expect: tuple[tuple[str, int], ...] = ()
@@ -65,16 +66,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Committed:
-    """The transaction was done, as one revision."""
+    """The transaction was applied, as one revision."""
 
     revision: int
 
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """An expected revision did not hold: nothing was done.
+    """An expected revision did not match: nothing was done.
 
-    :param items: the expected keys as they are.
+    :param items: the current state of the expected keys.
     """
 
     items: tuple[Item, ...]
@@ -84,57 +85,57 @@
     """The platform's store: linearizable reads, transactions, leases, watches."""
 
     def reconnect(self) -> None:
-        """Use new connections from now on: the open ones may have gone silent."""
+        """Uses new connections from now on, since the open ones may be dead."""
         ...
 
     async def get(self, key: str) -> Item:
-        """A key; revision 0 where it is absent.
+        """Returns a key; its revision is 0 if it is absent.
 
         :raises StoreUnavailable: no answer.
         """
         ...
 
     async def list(self, prefix: str) -> Listing:
-        """All keys under a prefix.
+        """Returns all keys under a prefix.
 
         :raises StoreUnavailable: no answer.
         """
         ...
 
     async def watch(self, prefix: str, after: int, wait_s: float) -> Listing:
-        """Changes after a revision; removed keys have revision 0.
+        """Returns changes after a revision; removed keys have revision 0.
 
         :raises StoreUnavailable: no answer.
-        :raises HistoryGone: the changes are no longer known.
+        :raises HistoryGone: the store no longer has the changes.
         """
         ...
 
     async def transact(self, transaction: Transaction) -> Committed | Conflict:
-        """Make changes all together.
+        """Applies a transaction atomically.
 
         :raises StoreUnavailable: nothing was done.
-        :raises WriteInDoubt: not known whether it was done.
-        :raises LeaseOver: a lease named in it has ended; nothing was done.
+        :raises WriteInDoubt: the outcome is unknown.
+        :raises LeaseExpired: a lease that it names has ended; nothing was done.
         """
         ...
 
     async def grant_lease(self, ttl_s: float) -> tuple[int, float]:
-        """A new lease and the seconds it lasts.
+        """Grants a lease; returns it and the seconds it lasts.
 
         :raises StoreUnavailable: no answer.
         """
         ...
 
     async def renew_lease(self, lease: int) -> None:
-        """Renew a lease.
+        """Renews a lease.
 
-        :raises LeaseOver: it has ended.
+        :raises LeaseExpired: the lease has ended.
         :raises StoreUnavailable: no answer.
         """
         ...
 
     async def end_lease(self, lease: int) -> None:
-        """End a lease and its keys.
+        """Ends a lease, and removes its keys.
 
         :raises StoreUnavailable: no answer.
         """
--- a/src/saddlestack/interfaces/workers.py
+++ b/src/saddlestack/interfaces/workers.py
@@ -1,4 +1,4 @@
-"""The platform's workers: how they record themselves, and the orders they take."""
+"""The platform's workers: their records, and the orders that they accept."""
 
 from __future__ import annotations
 
@@ -10,23 +10,23 @@
 
 
 class WorkerUnreachable(Exception):
-    """The worker did not answer; an order may have been done, or may be done later."""
+    """The worker did not answer; an order may have been carried out, or may be later."""
 
 
 class WorkerNotReached(WorkerUnreachable):
-    """No connection to the worker could be opened: the order never left."""
+    """No connection to the worker could be opened: the order was not sent."""
 
 
 class WorkerReplaced(Exception):
-    """Another life answers at the worker's address: this one is over."""
+    """Another incarnation answers at the worker's address: this one is over."""
 
 
 class WorkerFenced(Exception):
-    """The worker has seen a higher fencing token: we have been replaced as leader."""
+    """The worker has seen a higher fencing token: another VM has become the leader."""
 
 
 class WorkerBusy(Exception):
-    """The worker is unhealthy and has done nothing."""
+    """The worker is unhealthy, and has done nothing."""
 
 
 class Refusal(enum.StrEnum):
@@ -55,9 +55,11 @@
 class RunningTask:
     """A run that a worker reports as present.
 
-    :param percent: of the work done, 0 to 100; a lasting task is at work at 100.
-    :param figure: of the last half second: the tail of a serving task's answers in
-        milliseconds, else the processor time in use in thousandths of a core.
+    :param saved: latest checkpoint.
+    :param percent: share of the work that is done, 0 to 100; a long-running task that serves is at
+        100.
+    :param figure: over the last half second: a serving task's tail latency in milliseconds, else
+        the processor time used, in thousandths of a core.
     """
 
     task: str
@@ -69,9 +71,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EndedTask:
-    """A run that a worker reports as over.
+    """A run that a worker reports as ended.
 
-    :param number: rises with each end at the worker.
+    :param number: sequence number, which increases with each end at the worker.
+    :param saved: latest checkpoint.
     """
 
     number: int
@@ -83,10 +86,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerReport:
-    """What a worker answered: its clock, and what runs and ended there.
+    """A worker's answer to a poll: its clock, its runs, and those that ended.
 
-    :param more: there are more ends, which it tells of once these were acknowledged.
-    :param born: when its life was born, in milliseconds since 1970; 0 where it does not tell.
+    :param more: there are more ends, which are reported after these were acknowledged.
+    :param born: when its incarnation started, in milliseconds since 1970; 0 if it isn't reported.
     """
 
     clock_ms: int
@@ -98,10 +101,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StartOrder:
-    """One run of a task to be started.
+    """An order to start one run of a task.
 
-    :param deadline_ms: until when, on the worker's clock, everything there may run.
-    :param ticket: the adviser's leave, where the queue asks for one.
+    :param saved: checkpoint to resume from.
+    :param deadline_ms: until when everything may run there, on the worker's clock.
+    :param ticket: the adviser's approval, if the queue requires one.
     """
 
     task: str
@@ -115,50 +119,55 @@
 
 @dataclass(frozen=True, slots=True)
 class StartReply:
-    """A worker's answer to a start; ``refusal`` is ``None`` where the run is there."""
+    """A worker's answer to a start order; ``refusal`` is ``None`` if the run was started."""
 
     clock_ms: int | None
     refusal: Refusal | None
 
 
 class WorkerOrders(Protocol):
-    """Orders to one life of a worker; no other life is given them, also not under the same id.
+    """Orders to one incarnation of a worker. No other accepts them, even with the same id.
 
-    Every call raises :class:`WorkerUnreachable`, :class:`WorkerReplaced`,
-    :class:`WorkerFenced` or :class:`WorkerBusy` where it was not carried out for sure.
+    Every call raises :class:`WorkerUnreachable`, :class:`WorkerReplaced`, :class:`WorkerFenced` or
+    :class:`WorkerBusy` unless it is known to have been carried out.
     """
 
     async def start(self, order: StartOrder, timeout_s: float) -> StartReply:
-        """Start a run."""
+        """Starts a run."""
         ...
 
     async def stop(self, task: str, run: int, fence: int, timeout_s: float) -> None:
-        """Stop a run; one that is not there yet will be refused when it comes."""
+        """Stops a run. One that hasn't arrived yet is refused when it does."""
         ...
 
     async def pace(self, task: str, run: int, percent: int, fence: int, timeout_s: float) -> None:
-        """Let a run work at a share of its full speed, 0 to 100."""
+        """Limits a run to a share of its full speed, 0 to 100."""
         ...
 
     async def hold(
         self, fence: int, deadline_ms: int | None, seen: int, wait_s: float, timeout_s: float
     ) -> WorkerReport:
-        """Renew the lease of what runs, acknowledge ends up to ``seen``, and look."""
+        """Renews the lease of all runs, acknowledges ends up to ``seen``, and polls the worker.
+
+        :param deadline_ms: when the lease ends, on the worker's clock; ``None`` to leave it
+            unchanged.
+        :param wait_s: how long the worker may wait for an end before it answers.
+        """
         ...
 
     def close(self) -> None:
-        """Close all connections."""
+        """Closes all connections."""
         ...
 
 
 @dataclass(frozen=True, slots=True)
 class WorkerRecord:
-    """One life of a worker as it records itself.
+    """The record of one incarnation of a worker.
 
-    :param worker_id: the life's name, see :mod:`saddlestack.interfaces.incarnations`.
-    :param labels: its kind, its rack and others that steps may ask for.
+    :param worker_id: name of the incarnation, see :mod:`saddlestack.interfaces.incarnations`.
+    :param labels: its kind, its rack, and others that steps may require.
     :param remaining_ms: while it drains, the least time until it leaves.
-    :param cold_ms: for how long it is still slow.
+    :param cold_ms: remaining time of its slow start.
     """
 
     worker_id: str
--- a/src/saddlestack/kernel/__init__.py
+++ b/src/saddlestack/kernel/__init__.py
@@ -1,1 +1,1 @@
-"""The micro-kernel: a registry of named services, mailboxes and the clock."""
+"""The kernel: a registry of named services, mailboxes and the clock."""
--- a/src/saddlestack/kernel/clock.py
+++ b/src/saddlestack/kernel/clock.py
@@ -1,4 +1,4 @@
-"""Time as the services see it: a steady clock for intervals, the wall's for records."""
+"""Time for services: a monotonic clock for intervals, and wall-clock time for records."""
 
 from __future__ import annotations
 
@@ -10,34 +10,34 @@
     """The clock of a daemon. Intervals follow the running event loop."""
 
     def now(self) -> float:
-        """Seconds on a clock that never goes back."""
+        """Returns seconds on a monotonic clock."""
         return asyncio.get_running_loop().time()
 
     def suspended_s(self) -> float:
-        """Seconds for which the machine has been suspended, as far as its event loop missed them.
+        """Returns how long the machine has been suspended without its event loop counting it.
 
-        It rises with each suspension; from where it counts makes no difference.
+        The value increases with each suspension; only differences are meaningful.
         """
         return 0.0
 
     def wall(self) -> float:
-        """Seconds since the epoch."""
+        """Returns seconds since the epoch."""
         return time.time()
 
     async def sleep(self, seconds: float) -> None:
-        """Wait on the loop's clock."""
+        """Waits on the event loop's clock."""
         await asyncio.sleep(seconds)
 
 
 class SystemClock(Clock):
     """The clock of a daemon on a machine that may be suspended.
 
-    The event loop's clock, and with it every timer, stands still meanwhile. Leases, terms and
-    deadlines do not: what was granted before is over once this clock says so.
+    The event loop's clock and all its timers stop during a suspension, but leases, terms and
+    deadlines don't: this clock goes on, so what was granted before the suspension expires by it.
     """
 
     def now(self) -> float:
-        """Seconds on a clock that never goes back, and that counts suspensions."""
+        """Returns seconds on a monotonic clock that includes suspensions."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def suspended_s(self) -> float:
--- a/src/saddlestack/kernel/registry.py
+++ b/src/saddlestack/kernel/registry.py
@@ -1,4 +1,4 @@
-"""The registry in which services find each other by name."""
+"""The registry through which services find each other by name."""
 
 from __future__ import annotations
 
@@ -8,13 +8,13 @@
 
 
 class Registry:
-    """Services by name. Each daemon has one."""
+    """Services by name. Each daemon has one registry."""
 
     def __init__(self) -> None:
         self._services: dict[str, object] = {}
 
     def add(self, name: str, service: object) -> None:
-        """Register a service.
+        """Registers a service.
 
         :raises ValueError: the name is taken.
         """
@@ -23,13 +23,13 @@
         self._services[name] = service
 
     def remove(self, name: str) -> None:
-        """Forget a service; unknown names are ignored."""
+        """Removes a service; unknown names are ignored."""
         self._services.pop(name, None)
 
     def get(self, name: str, kind: type[S]) -> S:
-        """The service of that name.
+        """Returns the service with a name.
 
-        :raises LookupError: there is none, or it is of another kind.
+        :raises LookupError: there is none, or it is of another type.
         """
         service = self._services.get(name)
         if not isinstance(service, kind):
@@ -37,6 +37,6 @@
         return service
 
     def find(self, name: str, kind: type[S]) -> S | None:
-        """The service of that name, or ``None``."""
+        """Returns the service with a name, or ``None``."""
         service = self._services.get(name)
         return service if isinstance(service, kind) else None
--- a/src/saddlestack/kernel/service.py
+++ b/src/saddlestack/kernel/service.py
@@ -1,4 +1,4 @@
-"""The base of services: tasks that own their state and are spoken to by messages."""
+"""Base classes of services, which own their tasks and communicate by messages."""
 
 from __future__ import annotations
 
@@ -23,21 +23,24 @@
     def __init__(self, name: str) -> None:
         self._name = name
         self._tasks: set[asyncio.Task[Any]] = set()
-        self._ended_all = False
+        self._cancelled = False
 
     def spawn(self, work: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-        """Run a coroutine; a failure is logged, never silent."""
-        if self._ended_all:
+        """Runs a coroutine as a task; an exception is logged.
+
+        :raises asyncio.CancelledError: the group has been cancelled.
+        """
+        if self._cancelled:
             work.close()
             raise asyncio.CancelledError
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_done)
         return task
 
     async def cancel(self) -> None:
-        """End all tasks and wait until they have; later ones are not begun."""
-        self._ended_all = True
+        """Cancels all tasks and waits until they have ended; none can be spawned afterwards."""
+        self._cancelled = True
         tasks = [task for task in self._tasks if task is not asyncio.current_task()]
         for task in tasks:
             task.cancel()
@@ -46,7 +49,7 @@
     def __len__(self) -> int:
         return len(self._tasks)
 
-    def _ended(self, task: asyncio.Task[Any]) -> None:
+    def _on_done(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
         if task.cancelled():
             return
@@ -60,7 +63,7 @@
 
 
 class Service:
-    """A named part of a daemon with tasks of its own."""
+    """A named part of a daemon, with its own tasks."""
 
     def __init__(self, name: str, clock: Clock) -> None:
         self.name = name
@@ -68,10 +71,10 @@
         self.tasks = TaskGroup(name)
 
     async def start(self) -> None:
-        """Begin to work."""
+        """Starts the service."""
 
     async def stop(self) -> None:
-        """End all work of the service."""
+        """Stops the service and all its tasks."""
         await self.tasks.cancel()
 
 
@@ -82,23 +85,25 @@
         self._queue: asyncio.Queue[M] = asyncio.Queue(size)
 
     def put(self, message: M) -> None:
-        """Leave a message.
+        """Adds a message.
 
-        :raises SaddlestackError: the mailbox is full; the message was not taken.
+        :raises SaddlestackError: the mailbox is full; the message was not added.
         """
         try:
             self._queue.put_nowait(message)
         except asyncio.QueueFull:
             raise SaddlestackError(
-                ErrorKind.QUEUE_FULL, "too much waits here", retry_after=RETRY_AFTER_FULL_S
+                ErrorKind.QUEUE_FULL,
+                "too many messages are waiting",
+                retry_after=RETRY_AFTER_FULL_S,
             ) from None
 
     async def get(self) -> M:
-        """The next message."""
+        """Waits for the next message."""
         return await self._queue.get()
 
-    def take_now(self) -> M | None:
-        """The next message if there is one already."""
+    def get_nowait(self) -> M | None:
+        """Returns the next message, or ``None`` if there is none yet."""
         try:
             return self._queue.get_nowait()
         except asyncio.QueueEmpty:
--- a/src/saddlestack/policy/upkeep.py
+++ b/src/saddlestack/policy/upkeep.py
@@ -34,7 +34,7 @@
 class WaveState:
     """One wave as its leader drives it.
 
-    At most ``most`` machines are being prepared, ordered or down at any time, so that never
+    At most ``max_down`` machines are being prepared, ordered or down at any time, so that never
     more can be down at once, whatever became of an order without an answer.
 
     :param seen_s: when the leader first saw the wave.
@@ -74,7 +74,7 @@
         waiting = [n for n, m in self.machines.items() if m.status is MachineStatus.WAITING]
         waiting.sort(key=lambda name: _load(workers.get(name)))
         for name in waiting:
-            if self._busy() >= self.wave.most:
+            if self._busy() >= self.wave.max_down:
                 break
             worker = workers.get(name)
             machine = self.machines[name]
@@ -140,7 +140,7 @@
     def _preparation(self, now: float) -> float:
         """Seconds that a machine may take to run empty, so that all are through in time."""
         left = sum(1 for m in self._all() if m.status is not MachineStatus.DONE)
-        rounds = max(1, -(-left // max(1, self.wave.most)))
+        rounds = max(1, -(-left // max(1, self.wave.max_down)))
         remaining = self.seen_s + self.wave.deadline_s - now - SLACK_S
         return max(LEAST_PREPARATION_S, remaining / rounds - self.down_s - SLACK_S)
 
--- a/src/saddlestack/services/scheduler.py
+++ b/src/saddlestack/services/scheduler.py
@@ -73,7 +73,7 @@
         error = SaddlestackError(
             ErrorKind.CELL_UNAVAILABLE, f"cell {self.cell} moved", retry_after=1
         )
-        while (message := self._mailbox.take_now()) is not None:
+        while (message := self._mailbox.get_nowait()) is not None:
             if isinstance(message, SubmitMessage | CancelMessage):
                 refuse(message.reply, error)
 
@@ -248,7 +248,7 @@
             message = await self._mailbox.get()
             for _ in range(BATCH):
                 self._handle(message)
-                following = self._mailbox.take_now()
+                following = self._mailbox.get_nowait()
                 if following is None:
                     break
                 message = following
