--- a/tests/test_contact.py
+++ b/tests/test_contact.py
@@ -1,4 +1,4 @@
-"""What a leader may take a worker's clock to be."""
+"""The leader's lower bound of a worker's clock."""
 
 from __future__ import annotations
 
@@ -10,19 +10,19 @@
 
 
 class WorkerClockTest(unittest.TestCase):
-    """An answer that is heard at 10.5 s says 1,000 ms."""
+    """The worker's answer, received at 10.5 s, contains a clock of 1,000 ms."""
 
     def clock(self) -> WorkerClock:
         clock = WorkerClock()
         clock.update(1000, 10.5)
         return clock
 
-    def test_a_clock_that_runs_slow_says_no_less_than_the_earliest(self) -> None:
-        for rested_s in (0.0, 30.0, 300.0, 3600.0):
-            slow_ms = 1000 + rested_s * 1000 * SLOWEST
-            self.assertLessEqual(self.clock().earliest(10.5 + rested_s), round(slow_ms))
+    def test_a_slow_clock_shows_no_less_than_the_lower_bound(self) -> None:
+        for idle_s in (0.0, 30.0, 300.0, 3600.0):
+            slow_ms = 1000 + idle_s * 1000 * SLOWEST
+            self.assertLessEqual(self.clock().earliest(10.5 + idle_s), round(slow_ms))
 
-    def test_an_answer_that_was_passed_by_a_later_one_changes_nothing(self) -> None:
+    def test_an_answer_overtaken_by_a_later_one_is_ignored(self) -> None:
         clock = self.clock()
         clock.update(900, 10.6)
         self.assertEqual((clock.clock_ms, clock.updated_s), (1000, 10.5))
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -1,8 +1,8 @@
-"""Records of workers that come from another writer: what runs there meanwhile, and what may follow.
+"""Workers' records that are changed by another writer: what may happen to runs and to new work.
 
-A record may lose its address, turn into bytes that nobody can read, or name another address, while
-the life that it is of works on. None of these tells that the life has ended, and none names a
-worker to use.
+A record may lose its address, become undecodable, or contain another address, while its incarnation
+goes on working. None of these shows that the incarnation has ended, and none names a worker that
+may be used.
 """
 
 from __future__ import annotations
@@ -22,18 +22,19 @@
 from tests.malformed import encoded, worker_records
 from tests.test_inherited import HOLD_S, INHERITED_S, SOON_S, A, B, InheritedCase
 
-HEARD_S = 1.0
-"""Within this a leader has heard of a change of a record."""
+RECORD_DELAY_S = 1.0
+"""Time within which a leader has received a change of a record."""
 LONGEST_LINE = 400
 
 
 class EntryCase(InheritedCase):
     def write(self, cluster: PoolCluster, worker: FloorWorker, value: bytes) -> None:
-        """Another writer puts bytes into a worker's record."""
+        """Writes bytes to a worker's record, as another writer would."""
         cluster.store.put(f"servers/{worker.worker_id}", value)
 
     def rewrite(self, cluster: PoolCluster, worker: FloorWorker, **fields: object) -> None:
-        """Another writer changes fields of a worker's record; ``None`` removes one."""
+        """Changes fields of a worker's record, as another writer would; ``None`` removes a
+        field."""
         record = msgspec.json.decode(cluster.store.item(f"servers/{worker.worker_id}").value)
         for name, value in fields.items():
             record[name.replace("_", "-")] = value
@@ -41,13 +42,13 @@
         self.write(cluster, worker, msgspec.json.encode(kept))
 
     def counted(self, cluster: PoolCluster, name: str) -> int:
-        """A counter of the present leader."""
+        """Returns a counter of the current leader."""
         leader = cluster.leader
         assert leader is not None
         return leader.metrics.view().counters.get(name, 0)
 
     def known(self, cluster: PoolCluster) -> set[str]:
-        """Workers that the leader may give work to, by id."""
+        """Returns the ids of workers that the leader may give work to."""
         leader = cluster.leader
         assert leader is not None and leader.scheduler is not None
         cluster_state = leader.scheduler.cluster_state
@@ -57,27 +58,27 @@
 class MalformedTest(EntryCase):
     """Records under ids that no worker has."""
 
-    def test_malformed_records_name_no_worker(self) -> None:
+    def test_malformed_records_add_no_worker(self) -> None:
         rows = worker_records()
 
         async def body(cluster: PoolCluster) -> None:
             for number, value in enumerate(rows.values()):
                 cluster.store.put(f"servers/bad-{number}", value)
-            await asyncio.sleep(HEARD_S)
+            await asyncio.sleep(RECORD_DELAY_S)
             self.assertEqual(self.known(cluster), set(cluster.floor.workers))
             self.assertEqual(self.counted(cluster, "worker_records_refused"), len(rows))
-            # More than the sound workers hold at once: the others would be used if they were taken.
+            # More than the valid workers can run at once, so the others would be used if accepted.
             await cluster.submit(A, job(64))
             await cluster.until_state(A, JobState.COMPLETED)
             self.assertLessEqual(cluster.opened, set(cluster.floor.workers))
-            # The feed goes on.
+            # The feed continues.
             late = cluster.floor.add("r1-1", "hall-1")
-            await asyncio.sleep(HEARD_S)
+            await asyncio.sleep(RECORD_DELAY_S)
             self.assertIn(late.worker_id, self.known(cluster))
 
         self.play(body)
 
-    def test_a_leader_that_begins_with_them_is_one_like_others(self) -> None:
+    def test_a_leader_that_starts_with_malformed_records_schedules(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             for number, value in enumerate(worker_records().values()):
                 cluster.store.put(f"servers/bad-{number}", value)
@@ -89,8 +90,8 @@
 
         self.play(body)
 
-    def test_a_hall_that_is_suspected_has_no_such_worker_asked(self) -> None:
-        """All workers of a hall are looked at where two of them do not answer."""
+    def test_their_workers_are_not_polled_when_a_hall_is_suspected(self) -> None:
+        """All workers of a data hall are polled if two of them don't answer."""
 
         async def body(cluster: PoolCluster) -> None:
             cluster.store.put("servers/bad-1", encoded(service="nobodys"))
@@ -123,24 +124,24 @@
 
         self.play(body, entries=1)
 
-    def test_a_service_counts_once_a_configuration_names_it(self) -> None:
+    def test_a_service_is_used_once_a_configuration_names_it(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             worker = cluster.floor.add("r1-1", "hall-1")
             self.rewrite(cluster, worker, service="nobodys")
-            await asyncio.sleep(HEARD_S)
+            await asyncio.sleep(RECORD_DELAY_S)
             self.assertNotIn(worker.worker_id, self.known(cluster))
             cluster.version += 1
             document = msgspec.json.decode(pool_document(cluster.version, attempts=3, guaranteed=0))
             document["services"].append({"name": "nobodys"})
             cluster.store.put("op/config", msgspec.json.encode(document))
-            await asyncio.sleep(2 * HEARD_S)
+            await asyncio.sleep(2 * RECORD_DELAY_S)
             self.assertIn(worker.worker_id, self.known(cluster))
 
         self.play(body)
 
 
 Change = Callable[[EntryCase, PoolCluster, FloorWorker], None]
-"""What another writer does to a worker's record."""
+"""Changes a worker's record, as another writer would."""
 
 CHANGES: dict[str, Change] = {
     "no address": lambda case, cluster, worker: case.rewrite(cluster, worker, address=""),
@@ -151,7 +152,7 @@
     "nobody's address": lambda case, cluster, worker: case.rewrite(
         cluster, worker, address="127.0.0.1:7"
     ),
-    "another life's address": lambda case, cluster, worker: case.rewrite(
+    "another incarnation's address": lambda case, cluster, worker: case.rewrite(
         cluster, worker, address=other_address(cluster, worker)
     ),
     "unknown state": lambda case, cluster, worker: case.rewrite(cluster, worker, state="dead"),
@@ -172,15 +173,15 @@
 
 
 def other_address(cluster: PoolCluster, worker: FloorWorker) -> str:
-    """Where another life answers."""
+    """Returns the address of another incarnation."""
     others = cluster.floor.workers.values()
     return next(other.address for other in others if other is not worker)
 
 
 class RunningTest(EntryCase):
-    """A record turns bad on a life that runs something."""
+    """A record becomes invalid while its incarnation has runs."""
 
-    def assert_runs_on(
+    def assert_run_continues(
         self,
         change: Change,
         *,
@@ -188,10 +189,11 @@
         accelerators: int = 8,
         after: Callable[[PoolCluster, FloorWorker], None] | None = None,
     ) -> None:
-        """What ran before a change of its worker's record ends there, once, after three leases.
+        """Checks that a run ends on its worker, once, after three leases, though the record was
+        changed.
 
-        :param terms: so many leaders deal with it.
-        :param after: what happens a second after the change.
+        :param terms: number of leaders during the test.
+        :param after: called a second after the change.
         """
 
         async def body(cluster: PoolCluster) -> None:
@@ -201,10 +203,10 @@
             await asyncio.sleep(1.0)
             change(self, cluster, worker)
             for _ in range(terms - 1):
-                await asyncio.sleep(HEARD_S)
+                await asyncio.sleep(RECORD_DELAY_S)
                 await cluster.kill(cluster.leader_name)
                 await cluster.until(lambda: cluster.leader is not None, 5.0)
-            await asyncio.sleep(HEARD_S)
+            await asyncio.sleep(RECORD_DELAY_S)
             if after is not None:
                 after(cluster, worker)
             floor = cluster.floor
@@ -217,31 +219,31 @@
 
         self.play(body, entries=terms + 1)
 
-    def test_without_an_address_what_runs_goes_on(self) -> None:
-        self.assert_runs_on(CHANGES["no address"])
+    def test_runs_continue_without_an_address(self) -> None:
+        self.assert_run_continues(CHANGES["no address"])
 
-    def test_what_runs_goes_on_whatever_its_record_becomes(self) -> None:
+    def test_runs_continue_with_any_record(self) -> None:
         for name, change in CHANGES.items():
             with self.subTest(name):
-                self.assert_runs_on(change)
+                self.assert_run_continues(change)
 
-    def test_it_goes_on_under_the_next_leader(self) -> None:
+    def test_runs_continue_under_the_next_leader(self) -> None:
         for name, change in CHANGES.items():
             with self.subTest(name):
-                self.assert_runs_on(change, terms=2)
+                self.assert_run_continues(change, terms=2)
 
-    def test_it_goes_on_where_the_record_then_goes(self) -> None:
-        """That the record goes proves nothing, since its worker did not write it last."""
+    def test_runs_continue_if_the_record_is_then_removed(self) -> None:
+        """The removal of the record proves nothing, since its worker did not write it last."""
 
         def remove(cluster: PoolCluster, worker: FloorWorker) -> None:
             cluster.floor.lapse(worker)
 
         for name, change in CHANGES.items():
             with self.subTest(name):
-                self.assert_runs_on(change, after=remove)
+                self.assert_run_continues(change, after=remove)
 
-    def test_it_goes_on_where_it_is_cut_off_and_the_record_then_goes(self) -> None:
-        """It is out of reach for some seconds, and comes back before its lease has lapsed."""
+    def test_runs_continue_if_the_worker_is_cut_off_and_the_record_removed(self) -> None:
+        """The worker is unreachable for some seconds, and is back before its lease has expired."""
 
         def remove(cluster: PoolCluster, worker: FloorWorker) -> None:
             worker.unreachable = True
@@ -251,10 +253,11 @@
 
         for name, change in CHANGES.items():
             with self.subTest(name):
-                self.assert_runs_on(change, after=remove)
+                self.assert_run_continues(change, after=remove)
 
-    def test_an_announced_end_is_not_proved_by_what_another_wrote(self) -> None:
-        """A worker announces its end, is cut off, and works on; another writer has its record."""
+    def test_an_announced_end_is_not_proved_by_another_writer(self) -> None:
+        """A worker announces its end, is cut off, and goes on; another writer changes its
+        record."""
         for name, change in CHANGES.items():
 
             async def body(cluster: PoolCluster, change: Change = change) -> None:
@@ -263,9 +266,9 @@
                 await asyncio.sleep(1.0)
                 worker.unreachable = True
                 cluster.floor.record(worker, remaining_ms=100)
-                await asyncio.sleep(HEARD_S)
+                await asyncio.sleep(RECORD_DELAY_S)
                 change(self, cluster, worker)
-                await asyncio.sleep(HEARD_S)
+                await asyncio.sleep(RECORD_DELAY_S)
                 cluster.floor.lapse(worker)
                 await asyncio.sleep(4.0)
                 self.assertEqual(cluster.floor.starts_of(A), 1)
@@ -273,21 +276,21 @@
             with self.subTest(name):
                 self.play(body)
 
-    def test_nothing_new_goes_there_until_a_sound_record_is_back(self) -> None:
+    def test_nothing_is_started_there_until_a_valid_record_is_back(self) -> None:
         for name, change in CHANGES.items():
 
             async def body(cluster: PoolCluster, change: Change = change) -> None:
                 worker = await self.run_on(cluster, job(1, work_s=HOLD_S))
                 sound = cluster.store.item(f"servers/{worker.worker_id}").value
                 change(self, cluster, worker)
-                await asyncio.sleep(HEARD_S)
+                await asyncio.sleep(RECORD_DELAY_S)
                 self.assertNotIn(worker.worker_id, self.known(cluster))
                 await cluster.submit(B, job(24, work_s=1.0))
                 await cluster.until_state(B, JobState.COMPLETED)
                 later = cluster.floor.history[1:]
                 self.assertNotIn(worker.worker_id, [run.worker for run in later])
                 self.write(cluster, worker, sound)
-                await asyncio.sleep(HEARD_S)
+                await asyncio.sleep(RECORD_DELAY_S)
                 self.assertIn(worker.worker_id, self.known(cluster))
                 await cluster.until_state(A, JobState.COMPLETED)
                 self.assertEqual(cluster.floor.starts_of(A), 1)
@@ -295,21 +298,21 @@
             with self.subTest(name):
                 self.play(body)
 
-    def test_what_is_cancelled_stops_there(self) -> None:
+    def test_cancelled_runs_stop_there(self) -> None:
         for name, change in CHANGES.items():
 
             async def body(cluster: PoolCluster, change: Change = change) -> None:
                 worker = await self.run_on(cluster, job(1, work_s=3 * HOLD_S))
                 change(self, cluster, worker)
-                await asyncio.sleep(HEARD_S)
+                await asyncio.sleep(RECORD_DELAY_S)
                 await cluster.cancel(A)
                 await cluster.until(lambda: cluster.floor.ends_of(A, EndKind.STOPPED) == 1, SOON_S)
 
             with self.subTest(name):
                 self.play(body)
 
-    def test_one_that_is_gone_is_waited_for_until_its_lease_has_lapsed(self) -> None:
-        """A proof still ends what ran there: nothing is held for ever."""
+    def test_a_crashed_worker_is_waited_for_until_its_lease_has_expired(self) -> None:
+        """A proof still ends the runs of the worker: nothing is held forever."""
         for name, change in CHANGES.items():
 
             async def body(cluster: PoolCluster, change: Change = change) -> None:
@@ -317,10 +320,10 @@
                 worker = await self.run_on(cluster, job(1, work_s=3 * HOLD_S, accelerators=8))
                 await asyncio.sleep(1.0)
                 change(self, cluster, worker)
-                await asyncio.sleep(HEARD_S)
+                await asyncio.sleep(RECORD_DELAY_S)
                 cluster.floor.crash(worker)
                 waited = await self.begun_again_after(cluster, 2)
-                self.assertGreater(waited, HOLD_S - HEARD_S - 2.0)
+                self.assertGreater(waited, HOLD_S - RECORD_DELAY_S - 2.0)
                 self.assertLess(waited, INHERITED_S)
 
             with self.subTest(name):
@@ -332,21 +335,21 @@
         wave = {"wave": 1, "machines": [machine], "deadline-s": 30, "max-tasks": 1}
         cluster.store.put("op/wave/1", msgspec.json.encode(wave))
 
-    async def assert_runs_out(self, cluster: PoolCluster, machine: str) -> None:
-        """A machine has its upkeep once what runs there is done."""
+    async def assert_upkeep_after_runs(self, cluster: PoolCluster, machine: str) -> None:
+        """Checks that a machine has its upkeep when its runs have ended."""
         self.order(cluster, machine)
         await cluster.until_state(A, JobState.COMPLETED)
         self.assertEqual(cluster.floor.starts_of(A), 1)
         await cluster.until(lambda: (machine, 1) in cluster.machines.done)
 
-    def test_upkeep_waits_for_what_runs_whatever_the_record_of_the_worker_is(self) -> None:
+    def test_upkeep_waits_for_runs_with_any_record(self) -> None:
         for name, change in CHANGES.items():
 
             async def body(cluster: PoolCluster, change: Change = change) -> None:
                 worker = await self.run_on(cluster, job(1, work_s=8.0))
                 change(self, cluster, worker)
-                await asyncio.sleep(HEARD_S)
-                await self.assert_runs_out(cluster, worker.machine)
+                await asyncio.sleep(RECORD_DELAY_S)
+                await self.assert_upkeep_after_runs(cluster, worker.machine)
 
             with self.subTest(name):
                 self.play(body)
@@ -355,8 +358,8 @@
         async def body(cluster: PoolCluster) -> None:
             worker = await self.run_on(cluster, job(1, work_s=8.0))
             cluster.store.put("servers/zz", encoded(machine=worker.machine))
-            await asyncio.sleep(HEARD_S)
-            await self.assert_runs_out(cluster, worker.machine)
+            await asyncio.sleep(RECORD_DELAY_S)
+            await self.assert_upkeep_after_runs(cluster, worker.machine)
 
         self.play(body)
 
@@ -369,7 +372,7 @@
             for number, worker in enumerate(cluster.floor.workers.values()):
                 worker.address = f"127.0.0.2:{9000 + number}"
                 cluster.floor.record(worker)
-            await asyncio.sleep(HEARD_S)
+            await asyncio.sleep(RECORD_DELAY_S)
             await cluster.submit(B, job(8))
             await cluster.until_state(B, JobState.COMPLETED, SOON_S)
             self.assertEqual(cluster.floor.starts_of(B), 8)
@@ -378,13 +381,13 @@
 
 
 class ClaimedClockTest(EntryCase):
-    """A sound record may still claim a time that its worker's clock does not tell."""
+    """A valid record may still contain a clock that differs from its worker's."""
 
-    def test_a_clock_far_ahead_has_nobody_looked_at_without_end(self) -> None:
+    def test_a_clock_far_ahead_causes_no_endless_polls(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             for worker in cluster.floor.workers.values():
                 self.rewrite(cluster, worker, clock_ms=10**12)
-            await asyncio.sleep(HEARD_S)
+            await asyncio.sleep(RECORD_DELAY_S)
             await cluster.submit(A, job(1, work_s=45.0))
             await asyncio.sleep(35.0)
             before = cluster.floor.looks
--- a/tests/test_entries_seeded.py
+++ b/tests/test_entries_seeded.py
@@ -1,4 +1,5 @@
-"""Records that other writers change at random, among losses of leaders and of ways to workers."""
+"""Records changed at random by other writers, combined with lost leaders and unreachable
+workers."""
 
 from __future__ import annotations
 
@@ -19,12 +20,12 @@
 SETTLED_S = 90.0
 JOBS = 24
 SHARES = {"change": 0.5, "mutate": 0.2, "sound": 0.5, "cut": 0.06, "leader": 0.03, "stray": 0.2}
-"""How often something happens in a round of 0.5 s."""
+"""Probability of each fault in a round of 0.5 s."""
 
 
 class SeededTest(EntryCase):
-    def strike(self, cluster: PoolCluster, worker: FloorWorker, rng: random.Random) -> None:
-        """Another writer, or the worker itself, writes its record."""
+    def write_record(self, cluster: PoolCluster, worker: FloorWorker, rng: random.Random) -> None:
+        """Writes a worker's record, as another writer or as the worker itself."""
         key = f"servers/{worker.worker_id}"
         if rng.random() < SHARES["sound"]:
             cluster.floor.record(worker)
@@ -46,15 +47,15 @@
         rng = random.Random(seed)
         strays = list(worker_records().values())
         cuts: list[asyncio.Task[None]] = []
-        handed_in: list[str] = []
+        submitted: list[str] = []
         for number in range(ROUNDS):
             if number % (ROUNDS // JOBS) == 0:
-                handed_in.append(f"{number:016x}")
+                submitted.append(f"{number:016x}")
                 gang = rng.random() < 0.4
                 request = job(rng.randint(1, 4), work_s=rng.uniform(0.5, 9.0), gang=gang)
-                await cluster.submit(handed_in[-1], request)
+                await cluster.submit(submitted[-1], request)
             workers = list(cluster.floor.workers.values())
-            self.strike(cluster, rng.choice(workers), rng)
+            self.write_record(cluster, rng.choice(workers), rng)
             if rng.random() < SHARES["stray"]:
                 cluster.store.put(f"servers/stray-{rng.randrange(9)}", rng.choice(strays))
             if rng.random() < SHARES["cut"]:
@@ -70,7 +71,7 @@
         await asyncio.gather(*cuts)
         for worker in cluster.floor.workers.values():
             cluster.floor.record(worker)
-        for job_id in handed_in:
+        for job_id in submitted:
             await cluster.until_state(job_id, JobState.COMPLETED, SETTLED_S)
 
     def test_nothing_runs_twice_and_all_is_done(self) -> None:
--- a/tests/test_false_clock.py
+++ b/tests/test_false_clock.py
@@ -1,8 +1,9 @@
-"""A worker's record tells a clock that is far ahead: another writer wrote it.
+"""A worker's record, written by somebody else, contains a clock that is far ahead.
 
-A worker cuts a lease that is longer than it grants, when it arrives. A start by that clock, carried
-out some seconds late on a worker that nobody hears of any more, lasted by as much longer than its
-leader counted: the task ran twice at once. The worker itself is asked for its clock.
+A worker limits a lease that is too long when it arrives. A start with such a lease that was carried
+out some seconds late, on a worker that then became unreachable, lasted longer by this delay than
+its leader assumed: the task ran twice at the same time. So the worker itself is polled for its
+clock.
 """
 
 from __future__ import annotations
@@ -17,12 +18,12 @@
 
 AHEAD_MS = 3_600_000
 LATE_S = 5.0
-HEARD_S = 1.0
-"""Within this a record is heard of."""
+RECORD_DELAY_S = 1.0
+"""Time within which the leader has received a changed record."""
 
 
 class FalseClockTest(EntryCase):
-    def test_a_lease_goes_by_the_workers_own_word(self) -> None:
+    def test_a_lease_is_based_on_the_clock_from_the_worker(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             await asyncio.sleep(INHERITED_S)
             floor = cluster.floor
@@ -31,7 +32,7 @@
                 self.rewrite(cluster, worker, clock_ms=floor.clock_ms(worker) + AHEAD_MS)
                 worker.late_orders = 1
                 worker.late_s = LATE_S
-            await asyncio.sleep(HEARD_S)
+            await asyncio.sleep(RECORD_DELAY_S)
             await cluster.submit(A, job(1, work_s=2 * HOLD_S))
             await cluster.until(lambda: any(not worker.late_orders for worker in workers))
             for worker in workers:
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -1,9 +1,10 @@
-"""How far a feed is behind the store where much changes.
+"""How far a feed falls behind the store under many changes.
 
-Seen on a day of 300 VMs and 3,000 workers: work was started on workers 5.1 s after they had said
-that they leave. Workers write their records some 2,000 times a second there, and the store answers
-a watch with some 500 changes at most; a leader that rests for 0.3 s after each answer hears of no
-more than 1,600 a second, and is further behind with every second.
+Guards against work that is started on workers that are leaving. On a day of 300 VMs and 3,000
+workers, this happened up to 5.1 s after the workers had announced it. The workers wrote their
+records some 2,000 times a second, and the store returns some 500 changes per watch at most. A
+leader that pauses for 0.3 s after each watch receives no more than 1,600 changes a second, so it
+falls further and further behind.
 """
 
 from __future__ import annotations
@@ -20,18 +21,22 @@
 from saddlestack.interfaces.store import Item, Listing
 from saddlestack.standins.loop import VirtualClock, run
 
-CHANGES_A_SECOND = 2_000
-"""3,000 workers write their records every 1.5 s."""
-MOST_AT_ONCE = 500
-TRIP_S = 0.004
-SOON_S = 0.8
-"""A worker that leaves gets no work from 2 s after its notice on; the rest is for other delays."""
+CHANGES_PER_S = 2_000
+"""3,000 workers each write their record every 1.5 s."""
+MAX_CHANGES = 500
+ROUND_TRIP_S = 0.004
+MAX_DELAY_S = 0.8
+"""Limit for the delay of a feed.
+
+A leaving worker gets no work later than 2 s after its notice; the rest of that time is for other
+delays.
+"""
 
 
 class BusyStore:
-    """A store in which some key changes at a steady rate.
+    """A store in which a key changes at a steady rate.
 
-    :param rate: changes a second.
+    :param rate: changes per second.
     """
 
     def __init__(self, rate: float) -> None:
@@ -43,31 +48,32 @@
         return int(asyncio.get_running_loop().time() * self.rate)
 
     async def list(self, prefix: str) -> Listing:
-        await asyncio.sleep(TRIP_S)
+        await asyncio.sleep(ROUND_TRIP_S)
         return Listing((), self.revision)
 
     async def watch(self, prefix: str, after: int, wait_s: float) -> Listing:
         self.calls += 1
-        await asyncio.sleep(TRIP_S)
+        await asyncio.sleep(ROUND_TRIP_S)
         until = asyncio.get_running_loop().time() + wait_s
         while self.revision <= after and asyncio.get_running_loop().time() < until:
-            await asyncio.sleep(TRIP_S)
-        last = min(self.revision, after + MOST_AT_ONCE)
+            await asyncio.sleep(ROUND_TRIP_S)
+        last = min(self.revision, after + MAX_CHANGES)
         items = tuple(Item("servers/i", b"", each) for each in range(after + 1, last + 1))
         return Listing(items, last)
 
 
 class FeedTest(unittest.TestCase):
-    def followed(self, rate: float, seconds: float) -> tuple[float, float]:
-        """How many seconds a feed of workers is behind in the end, and its calls a second."""
+    def follow(self, rate: float, seconds: float) -> tuple[float, float]:
+        """Returns how many seconds a workers' feed is behind at the end, and its calls per
+        second."""
         store = BusyStore(rate)
 
         async def main() -> float:
-            heard = 0
+            received = 0
 
             def changed(items: tuple[Item, ...]) -> None:
-                nonlocal heard
-                heard = items[-1].revision
+                nonlocal received
+                received = items[-1].revision
 
             context = SimpleNamespace(store=store, rng=random.Random(1), clock=VirtualClock())
             feed = Feed(
@@ -81,18 +87,18 @@
             task = asyncio.get_running_loop().create_task(feed.run())
             await asyncio.sleep(seconds)
             task.cancel()
-            return (store.revision - heard) / rate
+            return (store.revision - received) / rate
 
         return run(main()), store.calls / seconds
 
     def test_a_feed_keeps_up_with_the_records_of_3000_workers(self) -> None:
-        behind_s, calls = self.followed(CHANGES_A_SECOND, 30.0)
-        self.assertLess(behind_s, SOON_S)
+        behind_s, calls = self.follow(CHANGES_PER_S, 30.0)
+        self.assertLess(behind_s, MAX_DELAY_S)
         self.assertLess(calls, 10)
 
     def test_few_changes_cost_few_calls(self) -> None:
-        behind_s, calls = self.followed(16, 30.0)
-        self.assertLess(behind_s, SOON_S)
+        behind_s, calls = self.follow(16, 30.0)
+        self.assertLess(behind_s, MAX_DELAY_S)
         self.assertLess(calls, 1 / WORKERS_GAP_S)
 
 
--- a/tests/test_foreign_address.py
+++ b/tests/test_foreign_address.py
@@ -1,11 +1,12 @@
-"""A worker's entry that another writer has changed names the address of another life.
-
-Seen: several tasks of one worker ran a second time elsewhere at one moment, without a stop; their
-first runs ended as ever. How: an entry came with every field sound, and the address of another
-worker. The first session made after that, here of the next term, asked that address, and was told
-that another life answers there. Cause: that answer counts as proof that the worker is over, also
-where it has never been reached at that address. Proved by the log (``run_over`` with ``replaced``
-at that address) and by this test, which is clean where the entry keeps its address.
+"""A worker's record, changed by somebody else, contains the address of another incarnation.
+
+Guards against tasks of one worker that are started a second time elsewhere, without a stop, while
+their first runs go on and end normally. It happened when all fields of a record were valid, but the
+address was that of another worker. The first session that was opened after that, here by the next
+term, connected to that address, where another incarnation answered. This answer was taken as proof
+that the worker was over, although it had never been reached at that address. The log shows it
+(``run_over`` with ``replaced`` at that address), and the test passes if the record keeps its
+address.
 """
 
 from __future__ import annotations
@@ -27,7 +28,7 @@
 
 @dataclass(slots=True)
 class AddressedOrders(FloorOrders):
-    """The way to the address that an entry names, whichever life is there."""
+    """Orders to the address in a record, whichever incarnation is there."""
 
     address: str = ""
 
@@ -38,7 +39,7 @@
 
 
 class AddressedCluster(PoolCluster):
-    """A small deployment whose workers are reached where their entries say."""
+    """A small deployment whose workers are reached at the addresses in their records."""
 
     def _orders(self, name: str, record: WorkerRecord) -> WorkerOrders:
         worker = self.floor.workers[record.worker_id]
@@ -47,21 +48,22 @@
         )
 
     def rewrite(self, worker: FloorWorker, address: str) -> None:
-        """Another writer changes the address in a worker's entry."""
+        """Changes the address in a worker's record, as another writer would."""
         key = f"servers/{worker.worker_id}"
         record = msgspec.json.decode(self.store.item(key).value)
         self.store.put(key, msgspec.json.encode(record | {"address": address}))
 
 
 class ForeignAddressTest(unittest.TestCase):
-    def test_another_life_at_an_address_never_used_does_not_end_a_worker(self) -> None:
+    def test_another_incarnation_at_an_unused_address_does_not_end_a_worker(self) -> None:
         self.assertEqual(self.violations(foreign=True), [])
 
     def test_nothing_runs_twice_where_the_address_stays(self) -> None:
         self.assertEqual(self.violations(foreign=False), [])
 
     def violations(self, *, foreign: bool) -> list[str]:
-        """What is broken where a worker that runs a task is named at another life's address."""
+        """Returns violations when a running worker's record gets the address of another
+        incarnation."""
         cluster = AddressedCluster(entries=2, racks=1, workers=2)
 
         async def main() -> None:
--- a/tests/test_foreign_clock.py
+++ b/tests/test_foreign_clock.py
@@ -1,11 +1,11 @@
-"""A worker's entry that another writer has changed tells of a clock that is far ahead.
-
-Seen in the code, then here: a task runs twice at once; both runs are ordered by one leader, none of
-them stopped. How: an entry came with every field sound but the worker's clock, which was an hour
-ahead. A start was carried out some seconds late, and its answer lost. Its deadline was an hour
-ahead as well, so the worker cut its lease to the longest one from then on, while the leader counted
-the longest lease from when the order left. Cause: a deadline takes the clock that an entry tells
-for one that the worker has had. Proved by this test, clean where the entry tells the truth.
+"""A worker's record, changed by somebody else, contains a clock that is far ahead.
+
+Guards against two concurrent runs of a task, both ordered by one leader, none of them stopped. All
+fields of the record were valid, but the worker's clock was an hour ahead. A start was carried out
+some seconds late, and its answer was lost. Its deadline was an hour ahead as well, so the worker
+limited the lease to the longest one from then on, while the leader counted the longest lease from
+when the order was sent. The cause was a deadline computed from the clock in the record. The test
+passes if the record is correct.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 
 
 class ForeignClockTest(unittest.TestCase):
-    def test_a_clock_that_is_ahead_in_the_entry_lengthens_no_lease(self) -> None:
+    def test_a_clock_that_is_ahead_in_the_record_lengthens_no_lease(self) -> None:
         self.assertEqual(self.violations(ahead_ms=HOUR_MS), [])
 
-    def test_nothing_runs_twice_where_the_entry_tells_the_truth(self) -> None:
+    def test_nothing_runs_twice_where_the_record_is_correct(self) -> None:
         self.assertEqual(self.violations(ahead_ms=0), [])
 
     def violations(self, *, ahead_ms: int) -> list[str]:
-        """What is broken where a start is late on a worker whose entry was changed."""
+        """Returns violations when a start is late on a worker whose record was changed."""
         cluster = PoolCluster(entries=2, racks=1, workers=1)
 
         async def main() -> None:
--- a/tests/test_forgotten_listing.py
+++ b/tests/test_forgotten_listing.py
@@ -1,11 +1,10 @@
-"""A listing that was read before a job was forgotten, and is taken over after that.
-
-Seen in the code, then here: a job that had ended long ago runs again, whole. How: the store has
-forgotten its history, so the leader reads all requests again; while that answer is on its way the
-leader removes a job that nobody has to be told of any more, from the store and from its board. The
-answer still holds the job, which the board takes for a new one without progress. The removal is
-told by the watch that follows, where it is ignored. Proved by this test, which is clean where the
-answer is not late.
+"""A listing that is read before a job is removed, and applied after that.
+
+Guards against a job that ended long ago but runs again as a whole. The store no longer has its
+history, so the leader reads all requests again. While the answer is on its way, the leader removes
+an expired job from the store and from its cluster state. The answer still contains the job, which
+is then taken for a new one without progress. The watch that follows reports the removal, which is
+ignored. The test passes if the answer is not late.
 """
 
 from __future__ import annotations
@@ -26,12 +25,12 @@
 
 
 class LateView(StoreView):
-    """A way to the store on which listings of the requests may be long on their way."""
+    """A connection to the store on which listings of the requests may be delayed."""
 
     late_s = 0.0
 
     async def list(self, prefix: str) -> Listing:
-        """All keys under a prefix, as they were some time ago."""
+        """Returns all keys under a prefix, as they were some time ago."""
         listing = await StoreView.list(self, prefix)
         if prefix == REQUESTS:
             await asyncio.sleep(type(self).late_s)
@@ -39,14 +38,15 @@
 
 
 class ForgottenListingTest(unittest.TestCase):
-    def test_a_job_that_was_forgotten_while_all_were_listed_runs_once(self) -> None:
+    def test_a_job_removed_during_a_listing_runs_once(self) -> None:
         self.assertEqual(self.starts(late_s=2.0), 1)
 
-    def test_a_job_that_was_forgotten_runs_once_where_listings_are_fast(self) -> None:
+    def test_a_removed_job_runs_once_where_listings_are_fast(self) -> None:
         self.assertEqual(self.starts(late_s=0.0), 1)
 
     def starts(self, *, late_s: float) -> int:
-        """How often a job ran whose leader reads all requests anew as it forgets the job."""
+        """Returns how often a job runs whose leader reads all requests again while it removes the
+        job."""
 
         async def main() -> int:
             cluster = PoolCluster(entries=2, racks=1, workers=2)
--- a/tests/test_halls.py
+++ b/tests/test_halls.py
@@ -1,4 +1,5 @@
-"""Which data halls and VMs are reached: pings of the leader, and the way around a lost store."""
+"""Reachability of data halls and VMs: the leader's pings, and relays around a lost store
+connection."""
 
 from __future__ import annotations
 
@@ -26,7 +27,7 @@
 from tests.support import bare_context
 
 SILENCE_S = 5.0
-NOTICED_S = PING_INTERVAL_S + ANSWER_TIMEOUT_S + 0.05
+DETECTED_S = PING_INTERVAL_S + ANSWER_TIMEOUT_S + 0.05
 KEY = "saddlestack/requests/job/a"
 
 
@@ -36,9 +37,9 @@
 
 @dataclass
 class Network:
-    """Stands in for the streams to other VMs and the list of them.
+    """Fakes the streams to other VMs, and the list of them.
 
-    :param silent: VMs that answer nothing.
+    :param silent: VMs that don't answer.
     :param reaching: VMs that the store answers.
     """
 
@@ -52,11 +53,11 @@
     def local(self) -> Member:
         return self.members[0]
 
-    def sample_by_hall(self, most: int) -> dict[str, list[Member]]:
+    def sample_by_hall(self, per_hall: int) -> dict[str, list[Member]]:
         halls: dict[str, list[Member]] = {}
         for each in self.members[1:]:
             halls.setdefault(each.data_hall, []).append(each)
-        return {hall: members[:most] for hall, members in halls.items()}
+        return {hall: members[:per_hall] for hall, members in halls.items()}
 
     def serve(self, question: type[Any], answer: object) -> None:
         pass
@@ -89,31 +90,31 @@
     return Network([member(vm, hall) for hall, vms in halls.items() for vm in vms])
 
 
-class HallWatchTest(unittest.TestCase):
-    def test_a_hall_all_of_whose_vms_are_silent_is_told_of_once(self) -> None:
+class HallMonitorTest(unittest.TestCase):
+    def test_an_unreachable_hall_is_reported_once(self) -> None:
         async def main() -> None:
             net = network()
-            told: list[str] = []
+            reported: list[str] = []
             context = cast(EntryContext, None)
-            watch = HallMonitor(context, net.as_peers, net.as_membership, told.append)
-            running = asyncio.ensure_future(watch.run())
+            monitor = HallMonitor(context, net.as_peers, net.as_membership, reported.append)
+            running = asyncio.ensure_future(monitor.run())
             net.silent = {"b1", "c1", "c2"}
-            await asyncio.sleep(NOTICED_S)
+            await asyncio.sleep(DETECTED_S)
             net.members = [each for each in net.members if each.vm != "c3"]
             net.silent = {"b1", "c1"}
-            await asyncio.sleep(NOTICED_S)
-            self.assertNotIn("b", told)
-            told.clear()
+            await asyncio.sleep(DETECTED_S)
+            self.assertNotIn("b", reported)
+            reported.clear()
             net.silent = {"b1", "b2"}
-            await asyncio.sleep(NOTICED_S)
-            self.assertEqual(told, ["b"])
+            await asyncio.sleep(DETECTED_S)
+            self.assertEqual(reported, ["b"])
             await asyncio.sleep(2.0)
-            self.assertEqual(told, ["b"])
+            self.assertEqual(reported, ["b"])
             net.silent = set()
             await asyncio.sleep(1.0)
             net.silent = {"b1", "b2"}
-            await asyncio.sleep(NOTICED_S)
-            self.assertEqual(told, ["b", "b"])
+            await asyncio.sleep(DETECTED_S)
+            self.assertEqual(reported, ["b", "b"])
             running.cancel()
 
         run(main())
@@ -133,17 +134,17 @@
         net.reaching = {"c1"}
         self.assertEqual(self.find(net), RelayResult("c1", cut_off=False))
 
-    def test_a_store_that_answers_nobody_is_no_cut(self) -> None:
+    def test_if_the_store_answers_no_vm_the_vm_is_not_cut_off(self) -> None:
         net = network()
         net.silent = {"b1", "b2", "c1"}
         self.assertEqual(self.find(net), RelayResult(None, cut_off=False))
 
-    def test_silence_of_all_other_halls_is_a_cut(self) -> None:
+    def test_if_all_other_halls_are_unreachable_the_vm_is_cut_off(self) -> None:
         net = network()
         net.silent = {"b1", "b2", "c1", "c2", "c3"}
         self.assertEqual(self.find(net), RelayResult(None, cut_off=True))
 
-    def test_where_there_is_one_hall_there_is_no_cut(self) -> None:
+    def test_with_one_hall_the_vm_is_not_cut_off(self) -> None:
         net = Network([member("a1", "a"), member("a2", "a")], silent={"a2"})
         self.assertEqual(self.find(net), RelayResult(None, cut_off=False))
 
@@ -167,8 +168,9 @@
 
         run(main())
 
-    def test_a_vm_that_is_cut_off_refuses_at_once_and_truly(self) -> None:
-        """Found on the days of a cut hall: calls were held for 1.2 s before they were refused."""
+    def test_a_vm_that_is_cut_off_refuses_at_once_without_doubt(self) -> None:
+        """Guards against calls that are held for 1.2 s before they are refused, as seen when a hall
+        was cut off."""
 
         async def body(net: Network, access: StoreAccess, view: StoreView) -> None:
             net.silent = {"b1", "b2", "c1", "c2", "c3"}
@@ -178,15 +180,15 @@
             self.assertLess(asyncio.get_running_loop().time() - began, ANSWER_TIMEOUT_S + 0.05)
             self.assertFalse(caught.exception.doubt)
             self.assertFalse(caught.exception.elsewhere)
-            await asyncio.sleep(1.0)  # until the balancer sends no more to this VM
+            await asyncio.sleep(1.0)  # until the load balancer stops routing to this VM
             with self.assertRaises(StoreUnreachable) as caught:
                 await access.create(KEY, b"job", began + 9.9)
             self.assertTrue(caught.exception.elsewhere)
 
         self.play(body)
 
-    def test_a_cut_within_an_outage_of_all_sends_nobody_elsewhere(self) -> None:
-        """Found on an incident: callers used up their tries at VMs that were all cut off."""
+    def test_a_vm_cut_off_during_a_store_outage_sends_no_caller_elsewhere(self) -> None:
+        """Guards against callers that use up their retries at VMs that are all cut off."""
 
         async def body(net: Network, access: StoreAccess, view: StoreView) -> None:
             loop = asyncio.get_running_loop()
@@ -209,8 +211,8 @@
 
         self.play(body)
 
-    def test_a_call_whose_time_is_up_while_another_vm_has_it_is_in_doubt(self) -> None:
-        """Found on trouble-3: it was called not written, and was written."""
+    def test_a_call_that_times_out_at_a_relay_is_in_doubt(self) -> None:
+        """Guards against a write that is reported as not done, but is done (found on trouble-3)."""
 
         async def body(net: Network, access: StoreAccess, view: StoreView) -> None:
             net.reaching = {"b1", "b2", "c1", "c2", "c3"}
@@ -223,7 +225,7 @@
 
         self.play(body)
 
-    def test_a_store_that_answers_nobody_is_waited_for(self) -> None:
+    def test_a_store_outage_of_all_vms_is_waited_for(self) -> None:
         async def body(net: Network, access: StoreAccess, view: StoreView) -> None:
             began = asyncio.get_running_loop().time()
             creating = asyncio.ensure_future(access.create(KEY, b"job", began + 1.2))
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -1,4 +1,4 @@
-"""The judgement of the store's health, and what happens to calls that an outage has swallowed."""
+"""Detection of store outages, and what happens to calls that are lost in one."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from saddlestack.standins.pool.store import StoreState, StoreView
 
 KEY = "saddlestack/a"
-NOTICED_S = HEARTBEAT_S + MIN_OVERDUE_S + 0.01
-"""An outage is noticed by the first heartbeat after it began."""
-ANSWERED_S = HEARTBEAT_S + 0.02
-"""The end of an outage is noticed by the first heartbeat after it."""
+OUTAGE_DETECTED_S = HEARTBEAT_S + MIN_OVERDUE_S + 0.01
+"""An outage is detected by the first heartbeat that is sent after it began."""
+RECOVERY_DETECTED_S = HEARTBEAT_S + 0.02
+"""The end of an outage is detected by the first heartbeat that is sent after it."""
 
 
 class HealthTest(unittest.TestCase):
@@ -33,29 +33,29 @@
 
         run(main())
 
-    def test_a_silent_store_is_lost_and_back_within_a_heartbeat(self) -> None:
+    def test_an_outage_and_its_end_are_detected_within_a_heartbeat(self) -> None:
         async def body(view: StoreView, health: StoreHealth) -> None:
             for _ in range(3):
                 self.assertTrue(health.is_available)
                 view.faults.silent = True
-                await asyncio.sleep(NOTICED_S)
+                await asyncio.sleep(OUTAGE_DETECTED_S)
                 self.assertFalse(health.is_available)
                 await asyncio.sleep(2.0)
                 self.assertFalse(health.is_available)
                 view.faults.silent = False
-                await asyncio.sleep(ANSWERED_S)
+                await asyncio.sleep(RECOVERY_DETECTED_S)
 
         self.play(body)
 
-    def test_a_refusing_store_is_lost_at_the_next_heartbeat(self) -> None:
+    def test_a_refusing_store_is_unavailable_at_the_next_heartbeat(self) -> None:
         async def body(view: StoreView, health: StoreHealth) -> None:
             view.faults.refusing = True
-            await asyncio.sleep(ANSWERED_S)
+            await asyncio.sleep(RECOVERY_DETECTED_S)
             self.assertFalse(health.is_available)
 
         self.play(body)
 
-    def test_a_failed_call_brings_the_heartbeat_forward(self) -> None:
+    def test_a_failed_call_triggers_an_early_heartbeat(self) -> None:
         async def body(view: StoreView, health: StoreHealth) -> None:
             await asyncio.sleep(0.03)
             view.faults.refusing = True
@@ -65,7 +65,7 @@
 
         self.play(body)
 
-    def test_a_store_that_stays_slow_counts_as_answering(self) -> None:
+    def test_a_store_that_stays_slow_counts_as_available(self) -> None:
         async def body(view: StoreView, health: StoreHealth) -> None:
             view.faults.slow_s = 0.35
             await asyncio.sleep(1.0)
@@ -75,7 +75,7 @@
 
         self.play(body)
 
-    def test_many_vms_together_ask_no_more_often(self) -> None:
+    def test_many_vms_together_send_no_more_heartbeats(self) -> None:
         async def body(view: StoreView, health: StoreHealth) -> None:
             for vms, least, most in ((8, 45, 55), (400, 4, 6)):
                 health.set_vm_count(vms)
@@ -86,21 +86,21 @@
 
         self.play(body)
 
-    def test_a_pause_ends_when_the_store_is_back(self) -> None:
+    def test_a_wait_ends_when_the_store_is_available_again(self) -> None:
         async def body(view: StoreView, health: StoreHealth) -> None:
             loop = asyncio.get_running_loop()
             view.faults.silent = True
             await asyncio.sleep(1.0)
             waiting = loop.create_task(health.wait_for_recovery(9.0))
             view.faults.silent = False
-            await asyncio.sleep(ANSWERED_S)
+            await asyncio.sleep(RECOVERY_DETECTED_S)
             self.assertTrue(waiting.done())
 
         self.play(body)
 
 
 class GuardedTest(HealthTest):
-    def test_reads_that_were_swallowed_are_sent_anew(self) -> None:
+    def test_lost_reads_are_retried(self) -> None:
         async def body(view: StoreView, health: StoreHealth) -> None:
             store = GuardedStore(view, health)
             view.faults.silent = True
@@ -110,13 +110,13 @@
             await asyncio.sleep(0.3)
             view.state.put(KEY, b"new")
             view.faults.silent = False
-            await asyncio.sleep(ANSWERED_S + 0.02)
+            await asyncio.sleep(RECOVERY_DETECTED_S + 0.02)
             self.assertEqual([item.value for item in watching.result().items], [b"new"])
             self.assertEqual([item.value for item in listing.result().items], [b"new"])
 
         self.play(body)
 
-    def test_a_silence_shorter_than_a_heartbeats_patience_holds_no_call_up(self) -> None:
+    def test_an_outage_shorter_than_a_heartbeats_timeout_delays_no_call(self) -> None:
         async def body(view: StoreView, health: StoreHealth) -> None:
             store = GuardedStore(view, health)
             for silence_s in (0.22, 0.28, 0.35):
@@ -132,7 +132,7 @@
 
         self.play(body)
 
-    def test_a_write_that_was_swallowed_is_in_doubt_at_once(self) -> None:
+    def test_a_lost_write_is_in_doubt_at_once(self) -> None:
         async def body(view: StoreView, health: StoreHealth) -> None:
             store = GuardedStore(view, health)
             view.faults.silent = True
@@ -141,12 +141,12 @@
             writing = asyncio.ensure_future(store.transact(transaction))
             await asyncio.sleep(0.1)
             view.faults.silent = False
-            await asyncio.sleep(ANSWERED_S)
+            await asyncio.sleep(RECOVERY_DETECTED_S)
             self.assertIsInstance(writing.exception(), WriteInDoubt)
 
         self.play(body)
 
-    def test_calls_sent_after_the_answered_heartbeat_go_on(self) -> None:
+    def test_calls_sent_after_the_answered_heartbeat_continue(self) -> None:
         async def body(view: StoreView, health: StoreHealth) -> None:
             store = GuardedStore(view, health)
             view.faults.silent = True
@@ -157,7 +157,7 @@
                 await asyncio.sleep(0.001)
             began = asyncio.get_running_loop().time()
             await store.transact(Transaction(puts=(Put(KEY, b"x"),)))
-            took = asyncio.get_running_loop().time() - began
-            self.assertLess(took, 0.12)
+            elapsed_s = asyncio.get_running_loop().time() - began
+            self.assertLess(elapsed_s, 0.12)
 
         self.play(body)
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -1,4 +1,5 @@
-"""The leader key alone: who holds it after each trouble of the store, seen from all VMs."""
+"""Leader election: which VM holds the leader key after faults of the store, as seen from all
+VMs."""
 
 from __future__ import annotations
 
@@ -10,11 +11,11 @@
 from saddlestack.work import JobState
 from tests.test_pool import A, B, PoolTest
 
-LEASE_AND_MORE_S = 4.0
+TAKEOVER_S = 4.0
 
 
 def fences(cluster: PoolCluster) -> dict[str, int]:
-    """The fencing token of each VM that believes to lead."""
+    """Returns the fencing token of each VM that considers itself the leader."""
     return {
         name: member.vm.leadership.term.fence
         for name, member in cluster.members.items()
@@ -23,8 +24,9 @@
 
 
 class LeadershipTest(PoolTest):
-    def test_a_vm_that_can_hardly_lead_lets_others_go_first(self) -> None:
-        """Found on the grown deployment: a leader behind 10 Mbit/s read for 2.2 s."""
+    def test_a_slow_vm_lets_others_campaign_first(self) -> None:
+        """Guards against a leader behind a link of 10 Mbit/s, which needed 2.2 s to read the
+        state."""
         for seed in range(1, 6):
 
             async def body(cluster: PoolCluster) -> None:
@@ -38,7 +40,7 @@
                     await cluster.until(lambda: cluster.leader is not None)
                 self.assertEqual(cluster.leader_name, "entry-4")
                 await cluster.kill("entry-4")
-                await cluster.until(lambda: cluster.leader is not None, LEASE_AND_MORE_S)
+                await cluster.until(lambda: cluster.leader is not None, TAKEOVER_S)
 
             with self.subTest(seed=seed):
                 self.play(body, entries=4, seed=seed)
@@ -52,7 +54,7 @@
                 for member in cluster.members.values():
                     member.view.faults.lose_answers = 1
                     member.view.faults.late_s = late_s
-                await asyncio.sleep(2 * LEASE_AND_MORE_S)
+                await asyncio.sleep(2 * TAKEOVER_S)
                 self.assertEqual(len(fences(cluster)), 1)
                 await cluster.submit(B, job(2))
                 await cluster.until_state(A, JobState.COMPLETED)
@@ -61,29 +63,29 @@
             with self.subTest(late_s=late_s):
                 self.play(body, entries=4)
 
-    def test_a_short_silence_of_the_store_changes_no_leader(self) -> None:
+    def test_a_short_store_outage_changes_no_leader(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             before = fences(cluster)
             faults = cluster.member(cluster.leader_name).view.faults
             faults.silent = True
             await asyncio.sleep(0.3)
             faults.silent = False
-            await asyncio.sleep(LEASE_AND_MORE_S)
+            await asyncio.sleep(TAKEOVER_S)
             self.assertEqual(fences(cluster), before)
 
         self.play(body)
 
-    def test_a_leader_that_was_cut_off_steps_back_when_it_hears_of_the_next(self) -> None:
+    def test_a_leader_that_was_cut_off_steps_down_when_it_sees_its_successor(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             old = cluster.leader_name
             fence = fences(cluster)[old]
             faults = cluster.member(old).view.faults
             faults.silent = True
-            await asyncio.sleep(LEASE_AND_MORE_S)
+            await asyncio.sleep(TAKEOVER_S)
             successors = {name for name in fences(cluster) if name != old}
             self.assertEqual(len(successors), 1)
             faults.silent = False
-            await asyncio.sleep(LEASE_AND_MORE_S)
+            await asyncio.sleep(TAKEOVER_S)
             self.assertEqual(set(fences(cluster)), successors)
             self.assertGreater(fences(cluster)[successors.pop()], fence)
 
@@ -96,14 +98,14 @@
                 name = cluster.leader_name
                 seen.append(fences(cluster)[name])
                 await cluster.kill(name)
-                await cluster.until(lambda: cluster.leader is not None, LEASE_AND_MORE_S)
+                await cluster.until(lambda: cluster.leader is not None, TAKEOVER_S)
                 await cluster.add_entry(name)
             seen.append(fences(cluster)[cluster.leader_name])
             self.assertEqual(seen, sorted(set(seen)))
 
         self.play(body)
 
-    def test_after_a_store_that_refused_everybody_there_is_one_leader(self) -> None:
+    def test_after_a_store_that_refused_all_vms_there_is_one_leader(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             fence = max(fences(cluster).values())
             for member in cluster.members.values():
@@ -111,7 +113,7 @@
             await asyncio.sleep(6.0)
             for member in cluster.members.values():
                 member.view.faults.refusing = False
-            await asyncio.sleep(LEASE_AND_MORE_S)
+            await asyncio.sleep(TAKEOVER_S)
             self.assertEqual(len(fences(cluster)), 1)
             self.assertGreaterEqual(max(fences(cluster).values()), fence)
 
--- a/tests/test_lost_address.py
+++ b/tests/test_lost_address.py
@@ -1,19 +1,19 @@
-"""Workers whose records lose their address, in one long and steady term.
-
-What was seen: on real processes two runs of one task at once, both ordered by the VM that led all
-the time, several such pairs at the same moment, on workers of several data halls. The runs that
-are told whole ended `stopped` on a stop, `broken` without one of their own, and `done`, and their
-ends were noted: the leader was in contact with their workers.
-
-How it came about here: another writer put records without an address in the place of the workers'
-own. A life without an address counted as one that nobody can ask, whose runs are over once the
-leases that earlier leaders granted are. In a term older than that, it was at once, at each round
-of 0.5 s: the tasks began elsewhere, while the leader went on looking at these workers over its
-open connections, took their runs for unknown and stopped them, broke their gangs, or heard them
-end.
-
-What shows it: the same three ends, without a stop, a cut or another leader, as soon as the
-records change; with the addresses kept each task runs once.
+"""Records of workers lose their address during a long and stable term.
+
+Guards against two concurrent runs of one task, both ordered by the VM that led all the time. It was
+seen on real processes, for several tasks at the same moment, on workers of several data halls. The
+first runs ended with `stopped` after a stop, with `broken` without a stop of their own, and with
+`done`, and their ends were recorded: the leader was in contact with their workers.
+
+It happened because somebody else wrote records without an address in place of the workers' own. An
+incarnation without an address counted as one that can't be polled, whose runs are over once the
+leases that earlier leaders granted have expired. In an older term, this was so at once, in each
+round of 0.5 s: the tasks were started elsewhere, while the leader went on polling these workers
+over its open connections. It took their runs for unknown and stopped them, broke their gangs, or
+received their ends.
+
+The test reproduces the three ends without a stop, a network fault or another leader, as soon as the
+records change. If the addresses are kept, each task runs once.
 """
 
 from __future__ import annotations
@@ -34,8 +34,9 @@
 
 
 class LostAddressTest(EntryCase):
-    def test_of_whole_gangs_and_single_tasks_nothing_begins_twice(self) -> None:
-        """All workers of a gang, and one of a single task, are struck at the same moment."""
+    def test_gangs_and_single_tasks_start_once(self) -> None:
+        """The records of all workers of a gang, and of the worker of a single task, change at the
+        same moment."""
 
         async def body(cluster: PoolCluster) -> None:
             await asyncio.sleep(INHERITED_S)
--- a/tests/test_renewals.py
+++ b/tests/test_renewals.py
@@ -1,4 +1,4 @@
-"""How long a new leader counts with leases that earlier ones may still renew."""
+"""How long a new leader waits for leases that earlier leaders may still renew."""
 
 from __future__ import annotations
 
@@ -20,30 +20,30 @@
 A = "00000000000000aa"
 HOLD_S = 10.0
 LAPSED_S = HOLD_S * CLOCK_DRIFT + LAPSE_SLACK_S
-"""After this a lease that nobody renews is over for sure."""
+"""After this time a lease that nobody renews has certainly expired."""
 TAKEOVER_S = 3.0
-"""Within this a killed pool has a leader again that has asked all others."""
-RENEWS_S = LEASE_S + RENEWAL_GRACE_S + CALL_TIMEOUT_S
-"""For so long a leader may renew after it has lost the store."""
+"""Time within which a killed pool has a new leader that has queried all other VMs."""
+MAX_RENEWING_S = LEASE_S + RENEWAL_GRACE_S + CALL_TIMEOUT_S
+"""How long a leader may renew leases after it has lost the store."""
 
 
 class RenewalsTest(PoolTest):
-    async def lose_a_worker(self, cluster: PoolCluster) -> None:
-        """A task runs on a worker that dies without a word."""
+    async def crash_a_worker(self, cluster: PoolCluster) -> None:
+        """Runs a task on a worker that then crashes."""
         await cluster.submit(A, job(1, work_s=3.0))
         await cluster.until(lambda: cluster.floor.starts_of(A) == 1)
         cluster.floor.crash(cluster.floor.workers[cluster.floor.history[0].worker])
 
-    async def begun_again_after(self, cluster: PoolCluster, most_s: float) -> float:
-        """How long it takes until the lost task runs again."""
+    async def begun_again_after(self, cluster: PoolCluster, timeout_s: float) -> float:
+        """Returns how long it takes until the lost task runs again."""
         loop = asyncio.get_running_loop()
         began = loop.time()
-        await cluster.until(lambda: cluster.floor.starts_of(A) == 2, most_s)
+        await cluster.until(lambda: cluster.floor.starts_of(A) == 2, timeout_s)
         return loop.time() - began
 
     def test_after_all_were_killed_a_lost_task_waits_for_one_lease(self) -> None:
         async def body(cluster: PoolCluster) -> None:
-            await self.lose_a_worker(cluster)
+            await self.crash_a_worker(cluster)
             names = list(cluster.members)
             for name in names:
                 await cluster.kill(name)
@@ -56,7 +56,7 @@
 
     def test_while_a_vm_does_not_answer_it_may_renew(self) -> None:
         async def body(cluster: PoolCluster) -> None:
-            await self.lose_a_worker(cluster)
+            await self.crash_a_worker(cluster)
             await cluster.kill(cluster.leader_name)
             await cluster.until(lambda: cluster.leader is not None)
             waited = await self.begun_again_after(cluster, 60.0)
@@ -64,7 +64,7 @@
 
         self.play(body)
 
-    def test_nobody_is_asked_while_every_worker_answers(self) -> None:
+    def test_no_vm_is_queried_while_every_worker_answers(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(4, work_s=12.0))
             await cluster.until(lambda: cluster.floor.starts_of(A) == 4)
@@ -78,7 +78,7 @@
 
         self.play(body)
 
-    def test_few_are_asked_at_once_and_none_after_one_that_does_not_answer(self) -> None:
+    def test_few_vms_are_queried_at_once_and_none_after_one_without_an_answer(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             await asyncio.sleep(1.0)
             leader = cluster.leader
@@ -92,7 +92,7 @@
 
         self.play(body, entries=MAX_CONCURRENT_QUERIES + 6)
 
-    def test_a_vm_that_renews_says_so(self) -> None:
+    def test_a_vm_that_renews_answers_so(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             leader = cluster.leader
             assert leader is not None
@@ -103,16 +103,17 @@
 
         self.play(body)
 
-    def test_a_vm_that_renews_without_the_store_is_still_known_to_the_others(self) -> None:
-        """Its call for a renewal of its own lease takes a second to fail."""
+    def test_a_vm_that_renews_without_the_store_is_still_listed(self) -> None:
+        """A call to renew its own lease takes a second to fail."""
         self.assertLess(LEASE_S + RENEWAL_GRACE_S + 1.2, MEMBER_LEASE_S - RENEW_INTERVAL_S)
 
 
 class EarlierLeaderTest(PoolTest):
-    """A leader that has lost the store goes on renewing; the next one asks whether it does."""
+    """A leader that has lost the store goes on renewing leases; the next one checks whether it
+    does."""
 
-    async def deposed(self, cluster: PoolCluster) -> tuple[EntryVm, EntryVm]:
-        """A leader that renews without the store, and the one that has followed it."""
+    async def superseded_leader(self, cluster: PoolCluster) -> tuple[EntryVm, EntryVm]:
+        """Returns a leader that renews leases without the store, and its successor."""
         await asyncio.sleep(1.0)
         old = cluster.member(cluster.leader_name)
         others = [each.vm for each in cluster.members.values() if each is not old]
@@ -122,7 +123,7 @@
         return old.vm, next(vm for vm in others if vm.scheduler is not None)
 
     def freeze(self, vm: EntryVm) -> None:
-        """A VM takes connections, as its kernel does, and answers nothing on them."""
+        """Makes a VM accept connections, as its operating system does, but never answer on them."""
 
         async def never(question: RenewingQuestion) -> RenewingAnswer:
             await asyncio.Event().wait()
@@ -130,8 +131,9 @@
 
         vm.peers.serve(RenewingQuestion, never)
 
-    async def ever_over(self, vm: EntryVm, seconds: float) -> bool:
-        """Whether a VM finds at any moment of some seconds that nobody else renews."""
+    async def are_ever_over(self, vm: EntryVm, seconds: float) -> bool:
+        """Returns whether a VM finds at any time within some seconds that no other VM renews
+        leases."""
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
         while loop.time() < until:
@@ -142,7 +144,7 @@
 
     def test_one_that_answers_counts_until_it_renews_no_more(self) -> None:
         async def body(cluster: PoolCluster) -> None:
-            old, new = await self.deposed(cluster)
+            old, new = await self.superseded_leader(cluster)
             while old.scheduler is not None:
                 over = await new.renewals.are_over()
                 self.assertFalse(over and old.scheduler is not None)
@@ -151,19 +153,19 @@
 
         self.play(body)
 
-    def test_one_that_is_paused_or_out_of_reach_counts(self) -> None:
+    def test_one_that_is_paused_or_unreachable_counts(self) -> None:
         async def body(cluster: PoolCluster) -> None:
-            old, new = await self.deposed(cluster)
+            old, new = await self.superseded_leader(cluster)
             self.freeze(old)
-            self.assertFalse(await self.ever_over(new, RENEWS_S))
+            self.assertFalse(await self.are_ever_over(new, MAX_RENEWING_S))
 
         self.play(body)
 
-    def test_one_that_is_no_longer_listed_is_asked_as_well(self) -> None:
-        """The lease of its record ran out while the store was away, and it cannot write another."""
+    def test_one_that_is_no_longer_listed_is_queried_as_well(self) -> None:
+        """The lease of its record expired during the store outage, and it can't register again."""
 
         async def body(cluster: PoolCluster) -> None:
-            old, new = await self.deposed(cluster)
+            old, new = await self.superseded_leader(cluster)
             cluster.store.remove(member_key(old.settings.vm))
             await asyncio.sleep(0.1)
             while old.scheduler is not None:
@@ -176,32 +178,32 @@
 
     def test_one_that_is_neither_listed_nor_answers_counts(self) -> None:
         async def body(cluster: PoolCluster) -> None:
-            old, new = await self.deposed(cluster)
+            old, new = await self.superseded_leader(cluster)
             self.freeze(old)
             cluster.store.remove(member_key(old.settings.vm))
             await asyncio.sleep(0.1)
-            self.assertFalse(await self.ever_over(new, RENEWS_S))
+            self.assertFalse(await self.are_ever_over(new, MAX_RENEWING_S))
 
         self.play(body)
 
-    def test_where_every_record_has_lapsed_nobody_is_taken_for_one_that_renews_nothing(
+    def test_if_all_records_expired_every_vm_may_renew(
         self,
     ) -> None:
-        """The store was away, and every lease ran out in it."""
+        """All leases expired during a store outage."""
 
         async def body(cluster: PoolCluster) -> None:
-            old, new = await self.deposed(cluster)
+            old, new = await self.superseded_leader(cluster)
             self.freeze(old)
             for item in cluster.store.keys(MEMBERS):
                 cluster.store.remove(item.key)
             await asyncio.sleep(0.1)
-            self.assertFalse(await self.ever_over(new, RENEWS_S))
+            self.assertFalse(await self.are_ever_over(new, MAX_RENEWING_S))
 
         self.play(body)
 
-    def test_one_whose_record_went_long_ago_is_not_asked(self) -> None:
+    def test_one_whose_record_was_removed_long_ago_is_not_queried(self) -> None:
         async def body(cluster: PoolCluster) -> None:
-            old, new = await self.deposed(cluster)
+            old, new = await self.superseded_leader(cluster)
             self.freeze(old)
             cluster.store.remove(member_key(old.settings.vm))
             await asyncio.sleep(GONE_RETENTION_S + 0.5)
@@ -209,11 +211,11 @@
 
         self.play(body)
 
-    def test_records_that_are_written_again_leave_only_those_that_are_not(self) -> None:
-        """Every lease ran out in the store; all but the earlier leader reach it."""
+    def test_only_vms_that_do_not_register_again_count_as_gone(self) -> None:
+        """All leases in the store expired; all VMs but the earlier leader reach the store again."""
 
         async def body(cluster: PoolCluster) -> None:
-            old, new = await self.deposed(cluster)
+            old, new = await self.superseded_leader(cluster)
             for item in cluster.store.keys(MEMBERS):
                 cluster.store.remove(item.key)
             await cluster.until(lambda: old.scheduler is None)
@@ -221,13 +223,13 @@
 
         self.play(body)
 
-    def test_a_record_is_known_as_gone_for_as_long_as_its_vm_may_renew(self) -> None:
+    def test_a_removed_record_is_retained_while_its_vm_may_renew(self) -> None:
         """The last call of each kind takes a second to fail."""
         rewritten_s = RENEW_INTERVAL_S + CALL_TIMEOUT_S + RETRY_S
-        self.assertLess(rewritten_s + RENEWS_S, GONE_RETENTION_S)
+        self.assertLess(rewritten_s + MAX_RENEWING_S, GONE_RETENTION_S)
 
-    def test_the_record_of_a_vm_that_missed_a_renewal_outlives_its_renewing(self) -> None:
-        """One renewal of its record is refused; a second later it loses the store for good."""
+    def test_the_record_of_a_vm_that_missed_a_renewal_outlives_its_renewals(self) -> None:
+        """One renewal of its record fails; a second later it loses the store for good."""
 
         async def body(cluster: PoolCluster) -> None:
             name = next(name for name in cluster.members if name != cluster.leader_name)
@@ -241,7 +243,7 @@
             faults.refusing = False
             await asyncio.sleep(1.0)
             faults.silent = True
-            await asyncio.sleep(RENEWS_S)
+            await asyncio.sleep(MAX_RENEWING_S)
             self.assertTrue(cluster.store.item(member_key(name)).revision)
 
         self.play(body)
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -57,7 +57,7 @@
 
 
 class EntrySettingsTest(unittest.TestCase):
-    def test_what_a_vm_has_must_be_above_0(self) -> None:
+    def test_machine_sizes_must_be_above_0(self) -> None:
         timings = Timings(longest_hold_ms=6000, grace_s=6, status_s=120)
         settings = EntrySettings(
             vm="a",
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -1,11 +1,11 @@
-"""A new leader of many workers, with a backlog, comes to everything else in time as well.
-
-Seen in a soak on a starved processor, after a backlog of some 300 jobs: leaders that followed each
-other every 1.02 to 1.06 s, with almost nothing started. Each renewed its lease once, and was then
-silent for longer than the lease of 1 s, between reading the store and its first orders. What holds
-the process there, read off a profile at 3,000 workers: one round that decides 11,000 starts (0.6 s
-of a core beside other work), the orders that follow at once, and sessions with all workers opened
-in one step.
+"""A new leader of many workers with a backlog doesn't block its event loop.
+
+Guards against leaders that lose their lease while they take over. In a soak test on a slow
+processor, after a backlog of some 300 jobs, leaders followed each other every 1.02 to 1.06 s, and
+almost nothing was started. Each renewed its lease once, and was then blocked for longer than the
+lease of 1 s, between reading the store and its first orders. According to a profile with 3,000
+workers, this was due to one round that decided on 11,000 starts (0.6 s of a core, besides other
+work), the orders that followed at once, and sessions with all workers that were opened in one step.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 
 class RoundTest(ClusterCase):
     def rounds(self) -> list[list[Start]]:
-        """What each round starts, until nothing is left to decide."""
+        """Returns what each round starts, until nothing is left to decide."""
         found = []
         more = True
         while more:
