--- a/src/saddlestack/control/access.py
+++ b/src/saddlestack/control/access.py
@@ -112,7 +112,7 @@
         """Reads a key; the revision is 0 if it is absent.
 
         :param until: deadline, on this VM's clock.
-        :raises OutOfReach: the store could not be reached in time.
+        :raises StoreUnreachable: the store could not be reached in time.
         """
         answer = await self._call(
             lambda: self._read(key),
@@ -125,8 +125,8 @@
         """Creates a key, or returns the existing one.
 
         :param until: deadline, on this VM's clock.
-        :raises OutOfReach: the store could not be reached in time; ``doubt`` tells whether the key
-            may still be created.
+        :raises StoreUnreachable: the store could not be reached in time; ``doubt`` tells whether
+            the key may still be created.
         """
         return await self._call(
             lambda: self._create(key, value),
@@ -152,7 +152,7 @@
     ) -> KeyAnswer | None:
         """Makes one attempt, directly and through a relay; ``None`` if neither was answered.
 
-        :raises OutOfReach: this VM is cut off, and the caller should go to another one.
+        :raises StoreUnreachable: this VM is cut off, and the caller should go to another one.
         """
         direct_call = asyncio.ensure_future(direct()) if self._health.is_available else None
         try:
--- a/src/saddlestack/control/contact.py
+++ b/src/saddlestack/control/contact.py
@@ -34,7 +34,7 @@
 class WorkerClock:
     """A worker's clock, as reported by the worker itself. It runs true, or up to 2 % slow.
 
-    What the worker's record says of its clock is ignored, since somebody else may have written it.
+    The clock in the worker's record is ignored, since another writer may have changed it.
 
     :param clock_ms: latest reading.
     :param updated_s: when it was received, on this VM's clock.
--- a/src/saddlestack/control/entry.py
+++ b/src/saddlestack/control/entry.py
@@ -47,7 +47,7 @@
 
 MAX_CONNECTIONS = 3000
 DRAIN_DELAY_S = 2.2
-"""Time for which the platform still routes new connections to a VM that was asked to stop."""
+"""How long the platform still routes new connections to a VM after a stop was requested."""
 CLOSE_RESERVE_S = 0.5
 METRICS_PATH = "/metrics"
 
--- a/src/saddlestack/control/guarded.py
+++ b/src/saddlestack/control/guarded.py
@@ -86,7 +86,7 @@
     async def _guarded(self, call: Awaitable[T]) -> T:
         """Waits for the answer to a call.
 
-        :raises _GivenUp: the store has answered a heartbeat that was sent later.
+        :raises _CallAbandoned: the store has answered a heartbeat that was sent later.
         """
         sent = self._health.clock.now()
         task = asyncio.ensure_future(call)
--- a/src/saddlestack/control/leadership.py
+++ b/src/saddlestack/control/leadership.py
@@ -44,7 +44,7 @@
 """Extra delay, at most, before a VM with a slow processor or link takes a free leader key."""
 RETRY_S = 0.4
 RENEWAL_GRACE_S = 4.5
-"""How long a leader that has lost the store goes on renewing workers' leases after its own expired.
+"""How long a leader without the store renews workers' leases after its own lease has expired.
 
 With worker leases of 10 s, running work survives a store outage of 15 s. A successor adds this time
 for workers that it doesn't reach.
--- a/src/saddlestack/control/listing.py
+++ b/src/saddlestack/control/listing.py
@@ -1,9 +1,9 @@
 """The list of workers, according to their records in the platform's store.
 
-A record may have been written by somebody else. One that is invalid, or names an unknown service,
+A record may have been written by another writer. One that is invalid, or names an unknown service,
 adds no worker; nor does one that names another address while work runs at the previous one. Runs on
-an incarnation that was already known continue, and are managed at the address known before, until
-its worker reports their end or its lease has expired.
+a known incarnation continue, and are managed at its known address, until its worker reports their
+end or its lease has expired.
 
 A worker may restart under the same id: its record then names another incarnation. That one may be
 used at once, since orders reach no incarnation but their own. Only the worker itself can confirm
--- a/src/saddlestack/interfaces/incarnations.py
+++ b/src/saddlestack/interfaces/incarnations.py
@@ -18,12 +18,12 @@
     return f"{worker_id}{_SEPARATOR}{started_ms}" if started_ms else worker_id
 
 
-def worker_id_of(life: str) -> str:
+def worker_id_of(incarnation: str) -> str:
     """Returns the id of the worker that an incarnation belongs to."""
-    return life.partition(_SEPARATOR)[0]
+    return incarnation.partition(_SEPARATOR)[0]
 
 
-def started_ms_of(life: str) -> int:
+def started_ms_of(incarnation: str) -> int:
     """Returns when an incarnation started, in milliseconds since 1970; 0 if unknown."""
-    started_ms = life.partition(_SEPARATOR)[2]
+    started_ms = incarnation.partition(_SEPARATOR)[2]
     return int(started_ms) if started_ms.isdecimal() else 0
--- a/src/saddlestack/interfaces/machines.py
+++ b/src/saddlestack/interfaces/machines.py
@@ -1,4 +1,4 @@
-"""Interfaces to the platform's whole machines, and to its adviser."""
+"""Interfaces to the platform's machines, and to its adviser."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class Machines(Protocol):
-    """Orders to the platform about whole machines."""
+    """Orders to the platform about machines as a whole."""
 
     async def upkeep(self, machine: str, wave: int, holder: str, fence: int) -> UpkeepOutcome:
         """Takes a machine down for its upkeep, which kills everything that runs there at once.
--- a/src/saddlestack/kernel/clock.py
+++ b/src/saddlestack/kernel/clock.py
@@ -33,7 +33,8 @@
     """The clock of a daemon on a machine that may be suspended.
 
     The event loop's clock and all its timers stop during a suspension, but leases, terms and
-    deadlines don't: this clock goes on, so what was granted before the suspension expires by it.
+    deadlines don't. This clock includes the suspension, so it shows when what was granted before
+    has expired.
     """
 
     def now(self) -> float:
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -33,8 +33,7 @@
         cluster.store.put(f"servers/{worker.worker_id}", value)
 
     def rewrite(self, cluster: PoolCluster, worker: FloorWorker, **fields: object) -> None:
-        """Changes fields of a worker's record, as another writer would; ``None`` removes a
-        field."""
+        """Changes fields of a worker's record, as another writer would; ``None`` removes one."""
         record = msgspec.json.decode(cluster.store.item(f"servers/{worker.worker_id}").value)
         for name, value in fields.items():
             record[name.replace("_", "-")] = value
@@ -189,8 +188,9 @@
         accelerators: int = 8,
         after: Callable[[PoolCluster, FloorWorker], None] | None = None,
     ) -> None:
-        """Checks that a run ends on its worker, once, after three leases, though the record was
-        changed.
+        """Checks that a run ends once, where it was started, after its worker's record was changed.
+
+        It lasts for three leases.
 
         :param terms: number of leaders during the test.
         :param after: called a second after the change.
@@ -256,8 +256,7 @@
                 self.assert_run_continues(change, after=remove)
 
     def test_an_announced_end_is_not_proved_by_another_writer(self) -> None:
-        """A worker announces its end, is cut off, and goes on; another writer changes its
-        record."""
+        """A worker announces its end, is cut off and goes on; another writer changes its record."""
         for name, change in CHANGES.items():
 
             async def body(cluster: PoolCluster, change: Change = change) -> None:
--- a/tests/test_entries_seeded.py
+++ b/tests/test_entries_seeded.py
@@ -1,5 +1,4 @@
-"""Records changed at random by other writers, combined with lost leaders and unreachable
-workers."""
+"""Records changed at random by other writers, with lost leaders and unreachable workers."""
 
 from __future__ import annotations
 
--- a/tests/test_false_clock.py
+++ b/tests/test_false_clock.py
@@ -1,4 +1,4 @@
-"""A worker's record, written by somebody else, contains a clock that is far ahead.
+"""A worker's record, put by another writer, contains a clock that is far ahead.
 
 A worker limits a lease that is too long when it arrives. A start with such a lease that was carried
 out some seconds late, on a worker that then became unreachable, lasted longer by this delay than
--- a/tests/test_feed.py
+++ b/tests/test_feed.py
@@ -64,8 +64,7 @@
 
 class FeedTest(unittest.TestCase):
     def follow(self, rate: float, seconds: float) -> tuple[float, float]:
-        """Returns how many seconds a workers' feed is behind at the end, and its calls per
-        second."""
+        """Returns the final delay of a workers' feed in seconds, and its calls per second."""
         store = BusyStore(rate)
 
         async def main() -> float:
--- a/tests/test_foreign_address.py
+++ b/tests/test_foreign_address.py
@@ -1,4 +1,4 @@
-"""A worker's record, changed by somebody else, contains the address of another incarnation.
+"""A worker's record, changed by another writer, contains the address of another incarnation.
 
 Guards against tasks of one worker that are started a second time elsewhere, without a stop, while
 their first runs go on and end normally. It happened when all fields of a record were valid, but the
@@ -62,8 +62,7 @@
         self.assertEqual(self.violations(foreign=False), [])
 
     def violations(self, *, foreign: bool) -> list[str]:
-        """Returns violations when a running worker's record gets the address of another
-        incarnation."""
+        """Returns violations when a running worker's record gets another incarnation's address."""
         cluster = AddressedCluster(entries=2, racks=1, workers=2)
 
         async def main() -> None:
--- a/tests/test_foreign_clock.py
+++ b/tests/test_foreign_clock.py
@@ -1,4 +1,4 @@
-"""A worker's record, changed by somebody else, contains a clock that is far ahead.
+"""A worker's record, changed by another writer, contains a clock that is far ahead.
 
 Guards against two concurrent runs of a task, both ordered by one leader, none of them stopped. All
 fields of the record were valid, but the worker's clock was an hour ahead. A start was carried out
--- a/tests/test_forgotten_listing.py
+++ b/tests/test_forgotten_listing.py
@@ -45,8 +45,8 @@
         self.assertEqual(self.starts(late_s=0.0), 1)
 
     def starts(self, *, late_s: float) -> int:
-        """Returns how often a job runs whose leader reads all requests again while it removes the
-        job."""
+        """Returns how often a job runs that the leader removes while it reads all requests
+        again."""
 
         async def main() -> int:
             cluster = PoolCluster(entries=2, racks=1, workers=2)
--- a/tests/test_halls.py
+++ b/tests/test_halls.py
@@ -1,5 +1,4 @@
-"""Reachability of data halls and VMs: the leader's pings, and relays around a lost store
-connection."""
+"""Reachability of data halls and VMs: pings of the leader, and relays to the store."""
 
 from __future__ import annotations
 
@@ -169,8 +168,10 @@
         run(main())
 
     def test_a_vm_that_is_cut_off_refuses_at_once_without_doubt(self) -> None:
-        """Guards against calls that are held for 1.2 s before they are refused, as seen when a hall
-        was cut off."""
+        """Guards against calls that are held for 1.2 s before they are refused.
+
+        This was seen when a data hall was cut off.
+        """
 
         async def body(net: Network, access: StoreAccess, view: StoreView) -> None:
             net.silent = {"b1", "b2", "c1", "c2", "c3"}
--- a/tests/test_leadership.py
+++ b/tests/test_leadership.py
@@ -1,5 +1,4 @@
-"""Leader election: which VM holds the leader key after faults of the store, as seen from all
-VMs."""
+"""Leader election: which VM holds the leader key after faults of the store."""
 
 from __future__ import annotations
 
@@ -25,8 +24,7 @@
 
 class LeadershipTest(PoolTest):
     def test_a_slow_vm_lets_others_campaign_first(self) -> None:
-        """Guards against a leader behind a link of 10 Mbit/s, which needed 2.2 s to read the
-        state."""
+        """Guards against a leader behind a link of 10 Mbit/s, which read the state for 2.2 s."""
         for seed in range(1, 6):
 
             async def body(cluster: PoolCluster) -> None:
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -49,7 +49,7 @@
 
 class ReopenedSessionTest(SessionCase):
     def test_a_reopened_session_counts_the_leases_of_the_previous_one(self) -> None:
-        """Its worker becomes unreachable: the run ends with its lease, not with the first
+        """The worker becomes unreachable: its run ends with its lease, not with the first
         session."""
 
         async def body(scene: Scene) -> None:
--- a/tests/test_lost_address.py
+++ b/tests/test_lost_address.py
@@ -2,10 +2,10 @@
 
 Guards against two concurrent runs of one task, both ordered by the VM that led all the time. It was
 seen on real processes, for several tasks at the same moment, on workers of several data halls. The
-first runs ended with `stopped` after a stop, with `broken` without a stop of their own, and with
+runs that were fully logged ended with `stopped` after a stop, with `broken` without a stop of their own, and with
 `done`, and their ends were recorded: the leader was in contact with their workers.
 
-It happened because somebody else wrote records without an address in place of the workers' own. An
+It happened because another writer put records without an address in place of the workers' own. An
 incarnation without an address counted as one that can't be polled, whose runs are over once the
 leases that earlier leaders granted have expired. In an older term, this was so at once, in each
 round of 0.5 s: the tasks were started elsewhere, while the leader went on polling these workers
@@ -35,8 +35,7 @@
 
 class LostAddressTest(EntryCase):
     def test_gangs_and_single_tasks_start_once(self) -> None:
-        """The records of all workers of a gang, and of the worker of a single task, change at the
-        same moment."""
+        """The records of all workers of a gang, and of a single task's worker, change at once."""
 
         async def body(cluster: PoolCluster) -> None:
             await asyncio.sleep(INHERITED_S)
--- a/tests/test_renewals.py
+++ b/tests/test_renewals.py
@@ -109,7 +109,7 @@
 
 
 class EarlierLeaderTest(PoolTest):
-    """A leader that has lost the store goes on renewing leases; the next one checks whether it
+    """A leader that has lost the store may renew leases, and its successor checks whether it
     does."""
 
     async def superseded_leader(self, cluster: PoolCluster) -> tuple[EntryVm, EntryVm]:
@@ -132,8 +132,7 @@
         vm.peers.serve(RenewingQuestion, never)
 
     async def are_ever_over(self, vm: EntryVm, seconds: float) -> bool:
-        """Returns whether a VM finds at any time within some seconds that no other VM renews
-        leases."""
+        """Returns whether a VM finds, at any time within some seconds, that no other VM renews."""
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
         while loop.time() < until:
