--- a/tests/test_lost_address.py
+++ b/tests/test_lost_address.py
@@ -2,8 +2,8 @@
 
 Guards against two concurrent runs of one task, both ordered by the VM that led all the time. It was
 seen on real processes, for several tasks at the same moment, on workers of several data halls. The
-runs that were fully logged ended with `stopped` after a stop, with `broken` without a stop of their own, and with
-`done`, and their ends were recorded: the leader was in contact with their workers.
+runs that were fully logged ended with `stopped` after a stop, with `broken` without a stop of their
+own, and with `done`, and their ends were recorded: the leader was in contact with their workers.
 
 It happened because another writer put records without an address in place of the workers' own. An
 incarnation without an address counted as one that can't be polled, whose runs are over once the
