--- a/benchmarks/faulty.py
+++ b/benchmarks/faulty.py
@@ -21,8 +21,8 @@
 from tests.simulation.workers import Plan, SimRun, SimWorker, Workers
 
 from saddlestack.interfaces.workers import EndKind
-from saddlestack.policy.cluster import blame
-from saddlestack.policy.standstill import StillWatch
+from saddlestack.policy.cluster import fault_attribution
+from saddlestack.policy.stall import StallDetector
 from saddlestack.work import JobRequest, JobState
 
 LOOK_S = 0.5
@@ -42,18 +42,21 @@
     """A job that failed on more other workers than this tells nothing of one of them."""
     JOBS = 2
 
-    def is_at_fault(self, evidence: Sequence[blame.JobEvidence]) -> bool:
-        """See :meth:`saddlestack.policy.cluster.blame.FaultRule.is_at_fault`."""
+    def is_at_fault(self, evidence: Sequence[fault_attribution.JobEvidence]) -> bool:
+        """See :meth:`saddlestack.policy.cluster.fault_attribution.FaultRule.is_at_fault`."""
         credible = [each for each in evidence if each.failed_elsewhere <= self.MOST_ELSEWHERE]
         return len(credible) >= self.JOBS or any(self._is_enough(each) for each in credible)
 
-    def _is_enough(self, evidence: blame.JobEvidence) -> bool:
-        return evidence.kind is not blame.FailureKind.LATE or evidence.failed_elsewhere == 0
+    def _is_enough(self, evidence: fault_attribution.JobEvidence) -> bool:
+        return (
+            evidence.kind is not fault_attribution.FailureKind.LATE
+            or evidence.failed_elsewhere == 0
+        )
 
 
-RULES: dict[str, blame.FaultRule] = {
+RULES: dict[str, fault_attribution.FaultRule] = {
     "jobs": DistinctJobs(),
-    "ratio": blame.LikelihoodRatio(),
+    "ratio": fault_attribution.LikelihoodRatio(),
 }
 
 
@@ -121,7 +124,7 @@
     def __init__(self, day: days.Day, figures: Figures) -> None:
         self._day = day
         self._figures = figures
-        self._still = StillWatch()
+        self._still = StallDetector()
         self._accepted_s: dict[str, float] = {}
         self._over: set[str] = set()
         self._found = 0
@@ -142,7 +145,7 @@
                 self._note_over(job_id, state, now - began_s)
             elif self._stands(job_id):
                 standing.append(job_id)
-        self._found += len(self._still.look(standing, now))
+        self._found += len(self._still.update(standing, now))
         for job_id in standing:
             since_s = self._still.since(job_id)
             lasted_s = 0.0 if since_s is None else now - since_s
@@ -256,7 +259,7 @@
     parser.add_argument("--rule", choices=RULES, default="", help="instead of the one in use")
     options = parser.parse_args()
     if options.rule:
-        blame.FAULT_RULE = RULES[options.rule]
+        fault_attribution.FAULT_RULE = RULES[options.rule]
     figures = Figures()
     for seed in range(options.first, options.first + options.count):
         with (
--- a/src/saddlestack/control/leadership.py
+++ b/src/saddlestack/control/leadership.py
@@ -11,8 +11,8 @@
 
 from saddlestack.codec import from_json, to_json
 from saddlestack.control.context import EntryContext
+from saddlestack.control.invalidrecords import InvalidRecords
 from saddlestack.control.keys import LEADER
-from saddlestack.control.refusals import Refusals
 from saddlestack.errors import SaddlestackError
 from saddlestack.interfaces.store import (
     Committed,
@@ -111,7 +111,7 @@
         self._revision = 0
         self._invalid_revision: int | None = None
         self._invalid_since_s = 0.0
-        self._refusals = Refusals(context.metrics, "leader")
+        self._invalid_records = InvalidRecords(context.metrics, "leader")
         self.leader: LeaderRecord | None = None
         self.term: Term | None = None
         self._lease_s = LEASE_S
@@ -249,7 +249,7 @@
 
         A leader whose key was replaced learns so from its next write.
         """
-        self._refusals.refuse(item.key, str(error))
+        self._invalid_records.report(item.key, str(error))
         if item.revision not in {self._revision, self._invalid_revision}:
             self._invalid_revision = item.revision
             self._invalid_since_s = self.clock.now()
--- a/src/saddlestack/control/listing.py
+++ b/src/saddlestack/control/listing.py
@@ -15,7 +15,7 @@
 from collections.abc import Iterable
 
 from saddlestack.control.context import EntryContext
-from saddlestack.control.refusals import Refusals
+from saddlestack.control.invalidrecords import InvalidRecords
 from saddlestack.control.sessions import Sessions
 from saddlestack.errors import SaddlestackError
 from saddlestack.interfaces.incarnations import started_ms_of, worker_id_of
@@ -34,7 +34,7 @@
         self._documents = context.documents
         self._cluster_state = cluster_state
         self._sessions = sessions
-        self._refusals = Refusals(context.metrics, "worker")
+        self._invalid_records = InvalidRecords(context.metrics, "worker")
         self._services: set[str] = set()
         self._unknown_service: dict[str, Item] = {}
         self._incarnations: dict[str, str] = {}
@@ -103,7 +103,7 @@
         self._incarnations[worker_id] = record.worker_id
         self._cluster_state.set_worker(record, self._clock.now())
         if is_restarted:
-            self._sessions.recall(record.worker_id)
+            self._sessions.revoke_starts(record.worker_id)
 
     def _supersede(self, incarnation: str) -> None:
         """Polls an incarnation to find out whether it is over, since a record names another one."""
@@ -119,7 +119,7 @@
 
     def _reject(self, item: Item, reason: str) -> None:
         worker_id = self._worker_id(item)
-        self._refusals.refuse(item.key, reason)
+        self._invalid_records.report(item.key, reason)
         self._unknown_service.pop(worker_id, None)
         self._unlist(self._incarnations.get(worker_id, worker_id))
 
--- a/src/saddlestack/control/membership.py
+++ b/src/saddlestack/control/membership.py
@@ -11,8 +11,8 @@
 from saddlestack.codec import from_json, to_json
 from saddlestack.control.context import EntryContext
 from saddlestack.control.feed import Feed
+from saddlestack.control.invalidrecords import InvalidRecords
 from saddlestack.control.keys import MEMBERS, member_key
-from saddlestack.control.refusals import Refusals
 from saddlestack.control.settings import MAX_PORT
 from saddlestack.errors import SaddlestackError, invalid
 from saddlestack.interfaces.store import (
@@ -94,7 +94,7 @@
         self._gone: dict[str, tuple[Member, float]] = {}
         self._invalid: set[str] = set()
         self._invalid_removed_s = -math.inf
-        self._refusals = Refusals(context.metrics, "member")
+        self._invalid_records = InvalidRecords(context.metrics, "member")
         self._must_register = False
         self._feed = Feed(context, MEMBERS, self._replace, self._change)
 
@@ -230,7 +230,7 @@
 
     def _reject(self, vm: str, item: Item, error: SaddlestackError) -> None:
         """Keeps the previous valid record of a VM, if there is one."""
-        self._refusals.refuse(item.key, str(error))
+        self._invalid_records.report(item.key, str(error))
         if vm == self.local.vm:
             self._must_register = True
         elif vm not in self._members:
--- a/src/saddlestack/policy/cluster/placement.py
+++ b/src/saddlestack/policy/cluster/placement.py
@@ -87,7 +87,7 @@
 
 def _releasable(step: StepState, workers: Iterable[Worker]) -> Iterator[ReleasableWorker]:
     for worker in workers:
-        lower = worker.lower_work(step.occurrence.job.priority)
+        lower = worker.lower_priority_room(step.occurrence.job.priority)
         copies = worker.copies(step, worker.free + lower)
         if copies > 0:
             yield ReleasableWorker.of(worker, lower, copies)
@@ -101,7 +101,7 @@
     for worker in workers:
         if copies(worker) < 1:
             continue
-        left = worker.free - step.step.room
+        left = worker.free - step.step.allocation
         key = (bool(near) and worker.record.rack != near, left.accelerators, left.cpu)
         if best_key is None or key < best_key:
             best, best_key = worker, key
--- a/src/saddlestack/policy/cluster/places.py
+++ b/src/saddlestack/policy/cluster/places.py
@@ -223,19 +223,21 @@
 
     def _tightest(self) -> Iterator[Worker]:
         """Workers that hold one task or more, the fullest first."""
-        room = self._step.step.room
+        room = self._step.step.allocation
         for worker in self._service_capacity.tightest_first(room.accelerators, room.cpu):
             if self._kept is not None and self._kept(worker):
                 continue
-            if self._fits.allows(worker) and worker.fitting(room, worker.free) > 0:
+            if self._fits.allows(worker) and worker.count_fitting(room, worker.free) > 0:
                 yield worker
 
     def _spread(self) -> list[Worker] | None:
         wanted = self._step.step.count
         if self._fits.total < wanted:
             return None
-        room = self._step.step.room
-        eligible = ((worker, worker.fitting(room, worker.free)) for worker in self._tightest())
+        room = self._step.step.allocation
+        eligible = (
+            (worker, worker.count_fitting(room, worker.free)) for worker in self._tightest()
+        )
         return fill_one_hall(eligible, wanted)
 
     def _has_other(self, avoid: set[str]) -> bool:
--- a/tests/test_board.py
+++ b/tests/test_board.py
@@ -13,13 +13,13 @@
 from saddlestack.interfaces.workers import EndedTask, EndKind, RunningTask, WorkerRecord
 from saddlestack.policy.cluster.advice import StepAdvice
 from saddlestack.policy.cluster.changes import Changes, StopReason
-from saddlestack.policy.cluster.departure import SAVE_MARGIN_S
-from saddlestack.policy.cluster.pacing import paces
+from saddlestack.policy.cluster.draining import SAVE_MARGIN_S
+from saddlestack.policy.cluster.pacing import adjust_pace
 from saddlestack.policy.cluster.records import OccurrenceRecord, TaskStatus
 from saddlestack.policy.cluster.shapes import FailedShapes
 from saddlestack.policy.cluster.state import ClusterState
 from saddlestack.policy.cluster.workers import PROBATION_S
-from saddlestack.policy.retry import pause
+from saddlestack.policy.retry import backoff_delay
 from saddlestack.policy.upkeep import MachineStatus, WaveState
 from saddlestack.work import AcceptedJob, JobRequest, JobState, Resources, Step, TaskName
 
@@ -686,7 +686,9 @@
         self.add(step(1, long_running=True, fills=True))
         run = self.plan().starts[0].run
         run.pace = 0
-        self.assertEqual([p.percent for p in paces(self.cluster_state.workers["w11"], 1.0)], [100])
+        self.assertEqual(
+            [p.percent for p in adjust_pace(self.cluster_state.workers["w11"], 1.0)], [100]
+        )
 
 
 class AdviceTest(ClusterCase):
@@ -696,12 +698,12 @@
         advice = StepAdvice()
         asked = advice.unknown(workers, 0.0)
         self.assertEqual(set(asked), {"w11", "w12", "w13"})
-        advice.told(asked, [Leave("w12", "t", 3.0)], 0.0)
+        advice.record_answer(asked, [Leave("w12", "t", 3.0)], 0.0)
         self.assertEqual(advice.ticket("w12", 1.0), "t")
         self.assertIsNone(advice.ticket("w12", 2.6))
         self.assertEqual(advice.unknown(workers, 2.6), ("w12",))
-        advice.told(("w12",), [Leave("w12", "u", 3.0)], 2.6)
-        advice.refused("w12")
+        advice.record_answer(("w12",), [Leave("w12", "u", 3.0)], 2.6)
+        advice.discard_ticket("w12")
         self.assertIsNone(advice.ticket("w12", 2.7))
 
 
@@ -720,7 +722,7 @@
         self.assertEqual(len(due), 2)
         self.assertEqual(state.prepare(workers, 1.0), [])
         self.assertEqual(state.due(workers, 1.0), due, "an order without answer is repeated")
-        state.went_down(due[0])
+        state.mark_down(due[0])
         self.assertEqual(state.prepare(workers, 1.5), [])
         lives = dict(workers)
         self.cluster_state.set_worker(record("new"), 2.0)
@@ -728,7 +730,7 @@
         self.assertEqual(len(state.prepare(lives, 2.0)), 1)
         self.assertFalse(state.finished)
         for name in state.machines:
-            state.went_down(name)
+            state.mark_down(name)
         self.assertTrue(state.finished)
 
     def test_a_busy_machine_goes_down_when_its_time_has_come(self) -> None:
@@ -758,7 +760,7 @@
         self.assertEqual(state.due({machine: again}, 1.1), [machine])
         once_more = self.cluster_state.set_worker(record("once more"), 1.2)
         self.assertEqual(state.due({machine: once_more}, 1.2), [machine])
-        state.went_down(machine)
+        state.mark_down(machine)
         state.prepare({machine: once_more}, 1.3)
         self.assertIs(state.machines[machine].status, MachineStatus.DOWN)
         returned = self.cluster_state.set_worker(record("returned"), 4.0)
@@ -772,7 +774,7 @@
         for failures in range(1, 40):
             most = min(1.0, 0.1 * 2**failures)
             for _ in range(20):
-                self.assertTrue(most / 2 <= pause(failures, 0.1, 1.0, rng) <= most)
+                self.assertTrue(most / 2 <= backoff_delay(failures, 0.1, 1.0, rng) <= most)
 
 
 if __name__ == "__main__":
--- a/tests/test_index.py
+++ b/tests/test_index.py
@@ -95,11 +95,11 @@
         elif event == 1:
             worker.reachable = not worker.reachable
         elif event == 2:
-            worker.failed(now, early=rng.random() < 0.5)
+            worker.record_failure(now, early=rng.random() < 0.5)
         elif event == 3:
-            worker.succeeded(now)
+            worker.record_success(now)
         elif event == 4:
-            worker.refused(now)
+            worker.record_refusal(now)
         elif event == 5:
             worker.closing = not worker.closing
         elif event == 6:
@@ -135,7 +135,7 @@
         )
         empty: dict[str, int] = {}
         for worker in pool:
-            if not worker.runs and worker.takes_work(now):
+            if not worker.runs and worker.accepts_work(now):
                 rack = worker.record.rack
                 empty[rack] = empty.get(rack, 0) + worker.record.capacity.accelerators
         self.assertEqual(service_capacity.empty, sum(empty.values()))
@@ -156,12 +156,12 @@
         rng: random.Random,
         now: float,
     ) -> None:
-        fit = FitKey(SERVICE, step.step.room, step.step.label, proven=rng.random() < 0.5)
+        fit = FitKey(SERVICE, step.step.allocation, step.step.label, proven=rng.random() < 0.5)
         eligible = [
             worker
             for worker in cluster_state.workers.values()
             if worker.record.service == SERVICE
-            and worker.takes_work(now)
+            and worker.accepts_work(now)
             and not worker.suspected
             and fit.allows(worker, now)
         ]
@@ -233,7 +233,9 @@
         self, step: StepState, found: Sequence[Worker], plain: Sequence[Worker]
     ) -> None:
         priority = step.occurrence.job.priority
-        held = [sum(weight(w.lower_work(priority)) for w in each) for each in (found, plain)]
+        held = [
+            sum(weight(w.lower_priority_room(priority)) for w in each) for each in (found, plain)
+        ]
         self.assertEqual(len(found) > 0, len(plain) > 0)
         if not step.step.data_rack:
             self.assertAlmostEqual(*held)
@@ -247,7 +249,7 @@
         step = job.occurrences[0].steps[0]
         self.cluster_state._index.begin_round(0.0)
         fits = FitCache(self.cluster_state._index).of(
-            FitKey(SERVICE, step.step.room, "", proven=True)
+            FitKey(SERVICE, step.step.allocation, "", proven=True)
         )
         return IndexedPlaces(step, fits, None)
 
