--- a/benchmarks/variants.py
+++ b/benchmarks/variants.py
@@ -169,7 +169,7 @@
         (
             Edit(
                 "control/health.py",
-                "            recovery.set_result(self._latest_s)",
+                "            recovery.set_result(self._latest_answered_s)",
                 "            recovery.set_result(-math.inf)",
             ),
         ),
@@ -202,7 +202,7 @@
         (
             Edit(
                 "control/access.py",
-                "            if found.cut_off and only:",
+                "            if relay.cut_off and only:",
                 "            if False:",
             ),
         ),
