--- a/src/saddlestack/client.py
+++ b/src/saddlestack/client.py
@@ -207,11 +207,11 @@
                 self._next += 1
             else:
                 if response.status != 503 or attempt + 1 == allowed or path == "/v1/ready":
-                    return _in_the_light_of(response, lost, method)
+                    return _check_for_lost_answer(response, lost, method)
                 self._next += 1
             if attempt + 1 < allowed:
                 await asyncio.sleep(retry_delay(attempt + 1, self._rng))
-        raise _lost(method, path, lost)
+        raise _lost_error(method, path, lost)
 
 
 class Client:
@@ -302,7 +302,7 @@
     return "" if account is None else f"{mark}account={quote(account)}"
 
 
-def _in_the_light_of(response: Response, lost: Exception | None, method: str) -> Response:
+def _check_for_lost_answer(response: Response, lost: Exception | None, method: str) -> Response:
     """A refusal after a try whose answer was lost does not say that nothing ran.
 
     :raises SaddlestackError: the outcome is not known.
@@ -322,7 +322,7 @@
     )
 
 
-def _lost(method: str, path: str, error: Exception | None) -> SaddlestackError:
+def _lost_error(method: str, path: str, error: Exception | None) -> SaddlestackError:
     if isinstance(error, AnswerLost) and method == "POST":
         return SaddlestackError(
             ErrorKind.OUTCOME_UNKNOWN, f"{method} {path} was sent and not answered: {error}"
--- a/src/saddlestack/codec.py
+++ b/src/saddlestack/codec.py
@@ -46,7 +46,7 @@
             _check_utf8(data)
         return msgspec.json.decode(data, type=kind)
     except msgspec.ValidationError as error:
-        raise invalid(_reason(error), _place(error, where)) from None
+        raise invalid(_reason(error), _locate(error, where)) from None
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise SaddlestackError(ErrorKind.MALFORMED, str(error), where=where) from None
 
@@ -67,12 +67,12 @@
     """
     repeated = False
 
-    def note(pairs: list[tuple[str, object]]) -> None:
+    def check_pairs(pairs: list[tuple[str, object]]) -> None:
         nonlocal repeated
         repeated = repeated or len({key for key, _ in pairs}) < len(pairs)
 
     try:
-        json.loads(data, object_pairs_hook=note)
+        json.loads(data, object_pairs_hook=check_pairs)
     except (ValueError, RecursionError) as error:
         raise SaddlestackError(ErrorKind.MALFORMED, str(error), where=where) from None
     return repeated
@@ -97,7 +97,7 @@
     try:
         return msgspec.convert(value, type=kind)
     except msgspec.ValidationError as error:
-        raise invalid(_reason(error), _place(error, where)) from None
+        raise invalid(_reason(error), _locate(error, where)) from None
 
 
 def read_json_with_comments(path: Path, kind: type[T]) -> T:
@@ -134,6 +134,6 @@
     return str(error).partition(" - at `")[0]
 
 
-def _place(error: msgspec.ValidationError, where: str) -> str:
+def _locate(error: msgspec.ValidationError, where: str) -> str:
     path = str(error).partition(" - at `")[2].rstrip("`").removeprefix("$")
     return f"{where}: {path.lstrip('.')}" if path else where
--- a/src/saddlestack/daemon.py
+++ b/src/saddlestack/daemon.py
@@ -32,7 +32,7 @@
 
 log = logging.getLogger("saddlestack.daemon")
 
-SHARE_S = 1.0
+STORE_SHARE_INTERVAL_S = 1.0
 
 S = TypeVar("S", bound=Service)
 
@@ -87,19 +87,19 @@
         self.ownership = self._add(Ownership(context))
         self.router = self._add(Router(context))
         self.intake = self._add(Intake(context))
-        self.configuration.listen(self._configured)
-        self._show_metrics()
-
-    def _show_metrics(self) -> None:
-        show = self.metrics.gauge
-        show("bytes_peers", lambda: self.membership.bytes)
-        show("bytes_store", lambda: self.store.bytes)
-        show("bytes_vm_list", lambda: self.inventory.bytes)
-        show("bytes_endpoints", lambda: sum(s.bytes for s in self.ownership.schedulers))
-        show("store_calls", lambda: self.store.calls)
-        show("store_writes", lambda: self.store.writes)
-
-    def _configured(self, document: Document) -> None:
+        self.configuration.listen(self._on_configuration)
+        self._register_gauges()
+
+    def _register_gauges(self) -> None:
+        register = self.metrics.gauge
+        register("bytes_peers", lambda: self.membership.bytes)
+        register("bytes_store", lambda: self.store.bytes)
+        register("bytes_vm_list", lambda: self.inventory.bytes)
+        register("bytes_endpoints", lambda: sum(s.bytes for s in self.ownership.schedulers))
+        register("store_calls", lambda: self.store.calls)
+        register("store_writes", lambda: self.store.writes)
+
+    def _on_configuration(self, document: Document) -> None:
         """An operator's `vm drain` of this VM is a planned stop."""
         if self.settings.vm in document.leaving:
             self.stop_requested.set()
@@ -113,7 +113,7 @@
         """Start every service; the intake last."""
         for service in self._services:
             await service.start()
-        self._tasks.spawn(self._share_store())
+        self._tasks.spawn(self._share_store_limits())
         log.info(
             "daemon started",
             extra={
@@ -158,11 +158,11 @@
         self.intake.server.abort()
         self.membership.abort()
 
-    async def _share_store(self) -> None:
+    async def _share_store_limits(self) -> None:
         """Keep this VM's share of the store's rates in step with the live VMs."""
         while True:
             self.store.share_among(len(self.membership.alive()))
-            await asyncio.sleep(SHARE_S)
+            await asyncio.sleep(STORE_SHARE_INTERVAL_S)
 
 
 async def serve(settings: Settings) -> None:
--- a/src/saddlestack/logs.py
+++ b/src/saddlestack/logs.py
@@ -73,11 +73,11 @@
         return True
 
     def _dropped_line(self, record: logging.LogRecord) -> str:
-        told = logging.LogRecord(
+        notice = logging.LogRecord(
             record.name, logging.WARNING, "", 0, "lines were left out", None, None
         )
-        told.__dict__.update(event="log_left_out", lines=self.dropped)
-        return self.format(told)
+        notice.__dict__.update(event="log_left_out", lines=self.dropped)
+        return self.format(notice)
 
     def _write(self) -> None:
         while True:
--- a/src/saddlestack/policy/__init__.py
+++ b/src/saddlestack/policy/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions: pure, without I/O, the same in the daemon, under replay and in tests."""
+"""Scheduling policies: pure code without I/O, shared by the daemon, the replay and the tests."""
--- a/src/saddlestack/policy/assigning.py
+++ b/src/saddlestack/policy/assigning.py
@@ -1,4 +1,4 @@
-"""Which cell takes which shape: a search that is exact where the case is small."""
+"""Searches for an assignment of shapes to cells; exact within a bounded number of steps."""
 
 from __future__ import annotations
 
@@ -7,18 +7,18 @@
 
 from saddlestack.models import ADJACENCY_ORDER, Shape
 
-SEARCH_STEPS = 3_000
-"""Checks of one cell that a search may make; a larger case may be refused though it would fit."""
+MAX_SEARCH_STEPS = 3_000
+"""The maximum number of cell checks. A larger case may be refused although it would fit."""
 
 Packs = Callable[[int, Sequence[Shape]], bool]
-"""Whether some shapes all pack into a cell, by its number."""
+"""Whether all shapes pack into the cell with the given index."""
 
 
 @dataclass(frozen=True, slots=True)
 class CellKind:
-    """Cells of one kind hold the same shapes.
+    """The layout of a cell. Cells of the same kind can hold the same shapes.
 
-    :param accelerators: how many it has.
+    :param accelerators: the number of accelerators of the cell.
     :param layout: accelerators and slots of its workers, by rack.
     """
 
@@ -27,14 +27,15 @@
 
 
 class CellSearch:
-    """Depth-first search for a cell of each shape, the largest shapes first.
+    """A depth-first search for a cell for each shape, largest shapes first.
 
     :param kinds: the kind of each cell.
-    :param packs: checks one cell with the shapes that it would get.
+    :param packs: checks whether a cell can hold the shapes assigned to it.
+    :param steps: the maximum number of calls of ``packs``.
     """
 
     def __init__(
-        self, kinds: Sequence[CellKind], packs: Packs, *, steps: int = SEARCH_STEPS
+        self, kinds: Sequence[CellKind], packs: Packs, *, steps: int = MAX_SEARCH_STEPS
     ) -> None:
         self._kinds = kinds
         self._packs = packs
@@ -42,7 +43,7 @@
         self._held: list[list[Shape]] = [[] for _ in kinds]
 
     def cells(self, shapes: Sequence[Shape]) -> list[int] | None:
-        """The cell of each shape, or ``None`` where none was found within the steps."""
+        """The cell index of each shape, or ``None`` if none was found within the step limit."""
         order = sorted(range(len(shapes)), key=lambda i: _largest_first(shapes[i]))
         chosen = [0] * len(shapes)
         return chosen if self._place(shapes, order, 0, chosen) else None
@@ -52,10 +53,10 @@
     ) -> bool:
         if depth == len(order):
             return True
-        if not self._room_left([shapes[i] for i in order[depth:]]):
+        if not self._has_capacity_for([shapes[i] for i in order[depth:]]):
             return False
         shape = shapes[order[depth]]
-        for cell in self._distinct():
+        for cell in self._distinct_cells():
             if self._steps <= 0:
                 return False
             self._steps -= 1
@@ -67,14 +68,14 @@
             self._held[cell].pop()
         return False
 
-    def _room_left(self, shapes: Sequence[Shape]) -> bool:
-        """Whether the accelerators suffice, wherever they lie."""
+    def _has_capacity_for(self, shapes: Sequence[Shape]) -> bool:
+        """Whether there are enough accelerators in total, ignoring their placement."""
         held = sum(shape.accelerators for cell in self._held for shape in cell)
         total = sum(kind.accelerators for kind in self._kinds)
         return held + sum(shape.accelerators for shape in shapes) <= total
 
-    def _distinct(self) -> list[int]:
-        """Cells that differ in kind or in what they hold, the fullest first."""
+    def _distinct_cells(self) -> list[int]:
+        """One cell of each kind and set of assigned shapes, fullest first."""
         seen: dict[tuple[CellKind, tuple[Shape, ...]], int] = {}
         for cell, kind in enumerate(self._kinds):
             held = tuple(sorted(self._held[cell], key=_largest_first))
--- a/src/saddlestack/policy/cell.py
+++ b/src/saddlestack/policy/cell.py
@@ -1,8 +1,8 @@
-"""The scheduler of one cell: events in, decisions out.
+"""The scheduling policy of one cell.
 
-A :class:`Cell` is told what happened (submissions, ends, VMs that come and go) and asked to
-decide. It reads no clock and does no I/O; the daemon, the replay and the tests drive the
-same object.
+A :class:`Cell` takes events (submissions, completions, VMs lost and restored) and returns
+decisions. It reads no clock and does no I/O, so the daemon, the replay and the tests all run
+the same code.
 """
 
 from __future__ import annotations
@@ -39,21 +39,21 @@
 from saddlestack.policy.round import Round
 from saddlestack.policy.router import CellSummary
 
-MOVE_EVERY_S = 10.0
-MOVES_AT_ONCE = 4
-WHOLE_QUEUE_S = 10.0
-QUEUE_RETRY_S = 5.0
-DEFAULT_QUEUE = 1000
+CONSOLIDATION_INTERVAL_S = 10.0
+MAX_MOVES_PER_ROUND = 4
+FULL_ROUND_INTERVAL_S = 10.0
+QUEUE_FULL_RETRY_S = 5.0
+DEFAULT_QUEUE_LIMIT = 1000
 
 
 class Cell:
-    """Decides for one cell of workers.
+    """Schedules the gangs of one cell of workers.
 
     :param name: the cell's name.
     :param workers: its workers, rack by rack.
     :param assignments: the guaranteed shapes assigned to the cell.
-    :param weights: completion time against fragmentation.
-    :param queue_limits: waiting jobs allowed, by account.
+    :param weights: how completion time is weighed against fragmentation.
+    :param queue_limits: the maximum number of waiting jobs of each account.
     """
 
     def __init__(
@@ -75,23 +75,21 @@
         self._gangs_on: list[dict[str, Gang]] = [{} for _ in workers]
         self._borrowed: dict[str, int] = {}
         self.lent = [[0] * len(workers) for _ in CLASS_RANK]
-        self._orders = 0
-        self._next_move = 0.0
+        self._last_order = 0
+        self._next_consolidation = 0.0
         self._changed = True
-        self._considered = float("-inf")
-        self._fresh: list[str] = []
-        self._held: list[tuple[Reservation, int]] = []
-        self._pinnable = largest_beside_guarantees(self.resources, self.guarantees)
-
-    # Events
+        self._last_full_round = float("-inf")
+        self._new_jobs: list[str] = []
+        self._reservations: list[tuple[Reservation, int]] = []
+        self._largest_pinnable = largest_beside_guarantees(self.resources, self.guarantees)
 
     def submit(
         self, spec: JobSpec, now: float, *, progress: float = 0.0, deadline: float | None = None
     ) -> Refusal | None:
-        """Take a job into the queue.
+        """Queue a new job.
 
-        :param deadline: time on the clock of ``now`` after which it is not to start.
-        :return: ``None``, or why the job was not taken in; then nothing has changed.
+        :param deadline: time on the clock of ``now`` after which the job must not start.
+        :return: ``None``, or why the job was refused; the cell is then unchanged.
         """
         refusal = self._refusal(spec)
         if refusal is None:
@@ -108,14 +106,14 @@
         resumed: bool = False,
         deadline: float | None = None,
     ) -> None:
-        """Queue a job that was accepted before, as after a take-over."""
+        """Queue a job that was accepted earlier, for example before a failover."""
         gang = Gang(spec, submitted, self._next_order())
         gang.attempt = attempt
         gang.progress = progress
         gang.resumed = resumed or progress > 0
         gang.deadline = deadline
         self.waiting[gang.job_id] = gang
-        self._fresh.append(gang.job_id)
+        self._new_jobs.append(gang.job_id)
 
     def restore_running(
         self,
@@ -127,7 +125,7 @@
         attempt: int,
         progress: float = 0.0,
     ) -> None:
-        """Note a gang that was running before a take-over."""
+        """Record a gang that was already running, for example before a failover."""
         gang = Gang(spec, submitted, self._next_order())
         gang.attempt = attempt
         gang.started = started
@@ -136,52 +134,52 @@
         charge = self.guarantees.charge_for(spec)
         if charge is not None and not self.guarantees.admit(charge, shares):
             charge = None
-        self._occupy(gang, shares, charge)
+        self._allocate(gang, shares, charge)
 
     def finished(self, job_id: str, now: float) -> None:
-        """A running gang ended by itself."""
+        """Record that a running gang ended by itself."""
         gang = self.running[job_id]
         self.estimator.record(gang.spec, now - gang.started + gang.progress)
-        self._vacate(gang)
+        self._release(gang)
 
     def cancel(self, job_id: str) -> bool:
-        """Drop a job, waiting or running.
+        """Remove a job, whether it waits or runs.
 
         :return: whether it was running.
         """
         if self.waiting.pop(job_id, None) is not None:
             return False
-        self._vacate(self.running[job_id])
+        self._release(self.running[job_id])
         return True
 
     def abort_start(self, job_id: str) -> None:
-        """A start that was decided did not happen: the gang waits again."""
+        """Undo a start that was decided but did not happen: the gang is queued again."""
         gang = self.running[job_id]
-        self._vacate(gang)
+        self._release(gang)
         self._requeue(gang)
 
     def vm_lost(self, name: str, now: float) -> list[Loss]:
-        """A worker is gone, and with it every gang that had a part there.
+        """Record the loss of a worker and of every gang that had a part on it.
 
         :rtype: list[Loss]
         """
         worker = self.resources.index[name]
         self._changed = True
-        hurt = list(self._gangs_on[worker].values())
+        affected = list(self._gangs_on[worker].values())
         self.resources.set_state(worker, up=False, leaving=False)
-        losses = [self._lose(gang, now) for gang in hurt]
+        losses = [self._lose_gang(gang, now) for gang in affected]
         self.guarantees.repack()
         return losses
 
     def vm_leaving(self, name: str) -> None:
-        """A worker is to receive no new work; what runs there goes on."""
+        """Close a worker to new work; gangs that run on it continue."""
         worker = self.resources.index[name]
         self._changed = True
         self.resources.set_state(worker, up=self.resources.up[worker], leaving=True)
         self.guarantees.repack()
 
     def vm_back(self, name: str) -> None:
-        """A worker serves again."""
+        """Open a worker to new work again."""
         self._changed = True
         self.resources.set_state(self.resources.index[name], up=True, leaving=False)
         self.guarantees.repack()
@@ -189,7 +187,7 @@
     def configure(
         self, assignments: Iterable[Assignment], weights: Weights, queue_limits: dict[str, int]
     ) -> None:
-        """Put a new configuration in force; running gangs are charged anew."""
+        """Apply a new configuration and charge all running gangs to its guarantees."""
         self._changed = True
         self._weights = weights
         self._queue_limits = queue_limits
@@ -198,47 +196,43 @@
             gang.charge = None
         self._unpin_all(gangs)
         self.guarantees = Guarantees(self.resources, assignments)
-        self._pinnable = largest_beside_guarantees(self.resources, self.guarantees)
+        self._largest_pinnable = largest_beside_guarantees(self.resources, self.guarantees)
         for gang in gangs:
             self._charge_in_place(gang)
 
-    # Decisions
-
     def decide(self, now: float) -> list[Decision]:
-        """Start, reclaim and expire what the state calls for.
+        """Decide which gangs to start, reclaim and expire.
 
-        A reclaim always stands before the start it makes room for.
+        A reclaim always comes before the start that needs its accelerators.
 
         :rtype: list[Decision]
         """
-        decisions = self._pass(now) if self.waiting else []
+        decisions = self._run_round(now) if self.waiting else []
         if self.scatter and self.running:
             decisions += self._consolidate(now)
         return decisions
 
-    # Questions
-
     def formable(self, account: str) -> bool:
-        """Whether all unused guaranteed shapes of an account can be formed now."""
+        """Whether all unused guaranteed shapes of an account could be formed now."""
         return all(unit.witness is not None for unit in self.guarantees.of(account) if unit.left)
 
-    def possible(self, shape: Shape) -> bool:
-        """Whether the empty cell could hold the shape."""
+    def can_hold(self, shape: Shape) -> bool:
+        """Whether the shape would fit if the cell were empty."""
         return shape.accelerators <= self.resources.largest_possible(
             ADJACENCY_ORDER[shape.adjacent]
         )
 
     def queued(self, job_class: JobClass | None = None) -> int:
-        """How many jobs wait, of a class or in all."""
+        """The number of waiting jobs, of one class or in total."""
         if job_class is None:
             return len(self.waiting)
         return sum(1 for gang in self.waiting.values() if gang.spec.job_class is job_class)
 
     def movable(self) -> list[Gang]:
-        """Waiting gangs that may be handed to another cell, in order.
+        """Waiting gangs that may move to another cell, in order.
 
-        Run-once work that has started stays, and so do gangs whose account has an unused
-        guarantee here: they wait only for room that is theirs.
+        Run-once jobs that have started stay. Gangs whose account has an unused guarantee in
+        this cell stay too, because they wait only for capacity that is already theirs.
         """
         found = [
             gang
@@ -249,7 +243,7 @@
         return sorted(found, key=lambda gang: (gang.rank, gang.order))
 
     def summary(self, data_hall: str) -> CellSummary:
-        """What the cell's scheduler announces."""
+        """The summary that the cell's scheduler publishes for routing."""
         resources = self.resources
         queued = [0, 0, 0]
         lent = [sum(counts) for counts in self.lent]
@@ -263,7 +257,7 @@
                 resources.largest_possible(1),
                 resources.largest_possible(2),
             ),
-            self._pinnable,
+            self._largest_pinnable,
             (
                 max(resources.free, default=0),
                 max(resources.rack_free, default=0),
@@ -275,44 +269,44 @@
         )
 
     def place_free(self, shape: Shape) -> Shares | None:
-        """Where the shape would fit in free room, or ``None``."""
+        """The placement of a shape in free capacity, or ``None`` if it does not fit."""
         return find_placement(
             shape, self.resources.free, self.resources.racks, scatter=self.scatter
         )
 
     @property
     def scatter(self) -> bool:
-        """Whether hall-wide gangs go to broken workers first."""
+        """Whether hall-wide gangs use partly used workers first."""
         return self._weights.fragmentation >= self._weights.completion
 
     @property
     def borrowed(self) -> dict[str, int]:
-        """Accelerators each account runs beyond its guarantees."""
+        """Accelerators that each account uses beyond its guarantees."""
         return self._borrowed
 
     def gangs_on(self) -> Sequence[dict[str, Gang]]:
-        """The gangs running on each worker, by job id."""
+        """The gangs that run on each worker, by job id."""
         return self._gangs_on
 
     def start(self, gang: Gang, shares: Shares, charge: Charge | None, now: float) -> Start:
-        """Move a waiting gang to its place."""
+        """Start a waiting gang on the given shares."""
         del self.waiting[gang.job_id]
         gang.attempt += 1
         gang.started = now
-        self._occupy(gang, shares, charge)
+        self._allocate(gang, shares, charge)
         parts = tuple(Part(self.resources.workers[w].name, count) for w, count in shares)
         return Start(
             gang.job_id, gang.attempt, parts, gang.progress, charge is not None, gang.resumed
         )
 
     def evict(self, gang: Gang, now: float, *, moved: bool = False) -> Reclaim:
-        """Take a running gang's room back and queue it again."""
+        """Stop a running gang, free its accelerators and queue it again."""
         lost = gang.loss(now)
         method = ReclaimMethod.CHECKPOINT if gang.spec.checkpoint else ReclaimMethod.STOP
         if gang.spec.checkpoint:
             gang.progress += now - gang.started
             gang.resumed = True
-        self._vacate(gang)
+        self._release(gang)
         self._requeue(gang)
         if moved:
             gang.moved = now
@@ -321,34 +315,33 @@
     def undo_evict(
         self, gang: Gang, shares: Shares, charge: Charge | None, progress: float
     ) -> None:
-        """Put an evicted gang back where it was, as if nothing had been decided."""
+        """Restore an evicted gang to its shares, as if it had never been evicted."""
         del self.waiting[gang.job_id]
         gang.progress = progress
-        self._occupy(gang, shares, charge)
-
-    # The rest
+        self._allocate(gang, shares, charge)
 
-    def _pass(self, now: float) -> list[Decision]:
-        """Consider the whole queue where room came free, else only gangs that are new.
+    def _run_round(self, now: float) -> list[Decision]:
+        """Schedule the whole queue if capacity was freed, otherwise only new gangs.
 
-        What was blocked stays blocked until something ends, a VM changes, or time passes.
+        A blocked gang stays blocked until a gang ends, a VM changes, or
+        ``FULL_ROUND_INTERVAL_S`` has passed since the last full round.
         """
-        whole = self._changed or now - self._considered >= WHOLE_QUEUE_S
+        whole = self._changed or now - self._last_full_round >= FULL_ROUND_INTERVAL_S
         if whole:
-            self._considered = now
-            self._held = []
+            self._last_full_round = now
+            self._reservations = []
             gangs = list(self.waiting.values())
         else:
-            gangs = [self.waiting[j] for j in self._fresh if j in self.waiting]
+            gangs = [self.waiting[j] for j in self._new_jobs if j in self.waiting]
         self._changed = False
-        self._fresh.clear()
-        decisions = Round(self, now, self._held).run(gangs)
+        self._new_jobs.clear()
+        decisions = Round(self, now, self._reservations).run(gangs)
         self._changed = any(isinstance(decision, Reclaim) for decision in decisions)
         return decisions
 
     def _consolidate(self, now: float) -> list[Decision]:
-        """Where fragmentation weighs most, bring free room together, a move at a time."""
-        if now < self._next_move:
+        """Move gangs one at a time to reduce fragmentation of the free capacity."""
+        if now < self._next_consolidation:
             return []
         expected = self.estimator.expected
         ends = [
@@ -359,78 +352,78 @@
         if move is None:
             return []
         decisions: list[Decision] = []
-        while move is not None and len(decisions) < 2 * MOVES_AT_ONCE:
+        while move is not None and len(decisions) < 2 * MAX_MOVES_PER_ROUND:
             decisions.append(self.evict(move.gang, now, moved=True))
             decisions.append(self.start(move.gang, move.shares, None, now))
             move = Consolidation(self.resources, now).best(ends)
-        self._next_move = now + MOVE_EVERY_S
+        self._next_consolidation = now + CONSOLIDATION_INTERVAL_S
         return decisions
 
     def _refusal(self, spec: JobSpec) -> Refusal | None:
         if spec.job_id in self.waiting or spec.job_id in self.running:
             return Refusal(ErrorKind.CONFLICT, f"job {spec.job_id} is already known")
-        if not self.possible(spec.shape):
+        if not self.can_hold(spec.shape):
             return Refusal(
                 ErrorKind.SHAPE_IMPOSSIBLE, f"no cell {self.name} worker can hold {spec.shape}"
             )
-        if not self._can_pin(spec):
+        if not self._can_ever_pin(spec):
             return Refusal(
                 ErrorKind.SHAPE_IMPOSSIBLE,
-                f"{spec.shape} can't be taken back and leaves no room for the guarantees of "
+                f"{spec.shape} is not reclaimable and leaves too little for the guarantees of "
                 f"cell {self.name}",
             )
-        limit = self._queue_limits.get(spec.account, DEFAULT_QUEUE)
+        limit = self._queue_limits.get(spec.account, DEFAULT_QUEUE_LIMIT)
         waiting = sum(1 for gang in self.waiting.values() if gang.spec.account == spec.account)
         if waiting >= limit:
             message = f"account {spec.account} already has {waiting} jobs waiting"
-            return Refusal(ErrorKind.QUEUE_FULL, message, QUEUE_RETRY_S)
+            return Refusal(ErrorKind.QUEUE_FULL, message, QUEUE_FULL_RETRY_S)
         return None
 
-    def _can_pin(self, spec: JobSpec) -> bool:
-        """Whether a job that can't be taken back could ever run here."""
+    def _can_ever_pin(self, spec: JobSpec) -> bool:
+        """Whether a job could ever run here, given that it may not be reclaimable."""
         if spec.reclaimable or self.guarantees.could_cover(spec):
             return True
         index = ADJACENCY_ORDER[spec.adjacent]
-        return spec.accelerators <= self._pinnable[index]
+        return spec.accelerators <= self._largest_pinnable[index]
 
     def _next_order(self) -> int:
-        self._orders += 1
-        return self._orders
+        self._last_order += 1
+        return self._last_order
 
-    def _occupy(self, gang: Gang, shares: Shares, charge: Charge | None) -> None:
+    def _allocate(self, gang: Gang, shares: Shares, charge: Charge | None) -> None:
         gang.shares = shares
         gang.charge = charge
         gang.pinned = charge is not None or not gang.spec.reclaimable
         gang.state = JobState.RUNNING
         self.resources.take(shares, pinned=gang.pinned)
-        self._lend(gang, 1)
+        self._count_lent(gang, 1)
         for worker, _ in shares:
             self._gangs_on[worker][gang.job_id] = gang
         self.running[gang.job_id] = gang
         if charge is None:
-            self._borrow(gang, 1)
+            self._count_borrowed(gang, 1)
         else:
             self.guarantees.occupy(charge, gang.job_id)
 
-    def _vacate(self, gang: Gang) -> None:
+    def _release(self, gang: Gang) -> None:
         del self.running[gang.job_id]
         self._changed = True
         for worker, _ in gang.shares:
             del self._gangs_on[worker][gang.job_id]
         self.resources.give_back(gang.shares, pinned=gang.pinned)
-        self._lend(gang, -1)
+        self._count_lent(gang, -1)
         charge, shares = gang.charge, gang.shares
         gang.shares = ()
         gang.charge = None
         if charge is None:
-            self._borrow(gang, -1)
+            self._count_borrowed(gang, -1)
         else:
             self.guarantees.release(charge, gang.job_id, shares)
-            self._promote(gang.spec.account)
+            self._promote_borrowers(gang.spec.account)
         if gang.pinned and charge is None:
             self.guarantees.restore_witnesses()
 
-    def _promote(self, account: str) -> None:
+    def _promote_borrowers(self, account: str) -> None:
         for gang in list(self.running.values()):
             if gang.spec.account == account and gang.charge is None:
                 self._charge_in_place(gang)
@@ -439,33 +432,33 @@
         charge = self.guarantees.charge_for(gang.spec)
         was_pinned = gang.pinned
         self.resources.give_back(gang.shares, pinned=was_pinned)
-        self._lend(gang, -1)
+        self._count_lent(gang, -1)
         if charge is not None and not self.guarantees.admit(charge, gang.shares):
             charge = None
         gang.pinned = charge is not None or not gang.spec.reclaimable
         self.resources.take(gang.shares, pinned=gang.pinned)
-        self._lend(gang, 1)
+        self._count_lent(gang, 1)
         if charge is not None:
             gang.charge = charge
             self.guarantees.occupy(charge, gang.job_id)
-            self._borrow(gang, -1)
+            self._count_borrowed(gang, -1)
 
     def _unpin_all(self, gangs: Iterable[Gang]) -> None:
         self._borrowed = {}
         for gang in gangs:
             self.resources.give_back(gang.shares, pinned=gang.pinned)
-            self._lend(gang, -1)
+            self._count_lent(gang, -1)
             gang.pinned = not gang.spec.reclaimable
             self.resources.take(gang.shares, pinned=gang.pinned)
-            self._lend(gang, 1)
-            self._borrow(gang, 1)
+            self._count_lent(gang, 1)
+            self._count_borrowed(gang, 1)
 
-    def _borrow(self, gang: Gang, sign: int) -> None:
+    def _count_borrowed(self, gang: Gang, sign: int) -> None:
         account = gang.spec.account
         self._borrowed[account] = self._borrowed.get(account, 0) + sign * gang.spec.accelerators
 
-    def _lend(self, gang: Gang, sign: int) -> None:
-        """Keep count of accelerators held by gangs that can be taken back, by class rank."""
+    def _count_lent(self, gang: Gang, sign: int) -> None:
+        """Count the accelerators held by reclaimable gangs, by class rank and worker."""
         if gang.pinned:
             return
         lent = self.lent[gang.rank]
@@ -476,9 +469,9 @@
         gang.state = JobState.QUEUED
         self.waiting[gang.job_id] = gang
 
-    def _lose(self, gang: Gang, now: float) -> Loss:
+    def _lose_gang(self, gang: Gang, now: float) -> Loss:
         lost = gang.work(now)
-        self._vacate(gang)
+        self._release(gang)
         if gang.spec.run_once:
             gang.state = JobState.UNKNOWN
         else:
--- a/src/saddlestack/policy/cellview.py
+++ b/src/saddlestack/policy/cellview.py
@@ -1,4 +1,4 @@
-"""What a round of decisions needs of its cell: its standing, and ways to decide."""
+"""The interface of a cell that a scheduling round uses."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 class CellView(Protocol):
-    """A cell as its round sees it.
+    """The state of a cell and the actions of a scheduling round on it.
 
-    :ivar waiting: gangs in the queue, by job id.
-    :ivar running: gangs in their places, by job id.
-    :ivar lent: accelerators on each worker that gangs of each class use beyond guarantees.
+    :ivar waiting: waiting gangs, by job id.
+    :ivar running: running gangs, by job id.
+    :ivar lent: accelerators that reclaimable gangs hold, by class rank and worker.
     """
 
     resources: CellResources
@@ -30,32 +30,32 @@
 
     @property
     def borrowed(self) -> Mapping[str, int]:
-        """Accelerators that each account uses beyond its guarantees."""
+        """Accelerators that each account uses beyond its guarantees, by account."""
         ...
 
     @property
     def scatter(self) -> bool:
-        """Whether hall-wide gangs go to broken workers first."""
+        """Whether hall-wide gangs use partly used workers first."""
         ...
 
     def place_free(self, shape: Shape) -> Shares | None:
-        """Where the shape would fit in free room, or ``None``."""
+        """The placement of a shape in free capacity, or ``None`` if it does not fit."""
         ...
 
     def gangs_on(self) -> Sequence[dict[str, Gang]]:
-        """The gangs running on each worker, by job id."""
+        """The gangs that run on each worker, by job id."""
         ...
 
     def start(self, gang: Gang, shares: Shares, charge: Charge | None, now: float) -> Start:
-        """Move a waiting gang to its place."""
+        """Start a waiting gang on the given shares."""
         ...
 
     def evict(self, gang: Gang, now: float, *, moved: bool = False) -> Reclaim:
-        """Take a running gang's room back and queue it again."""
+        """Stop a running gang, free its accelerators and queue it again."""
         ...
 
     def undo_evict(
         self, gang: Gang, shares: Shares, charge: Charge | None, progress: float
     ) -> None:
-        """Put an evicted gang back where it was, as if nothing had been decided."""
+        """Restore an evicted gang to its shares, as if it had never been evicted."""
         ...
--- a/src/saddlestack/policy/defrag.py
+++ b/src/saddlestack/policy/defrag.py
@@ -1,9 +1,10 @@
-"""Consolidation: moving checkpointable borrowers so that free room lies together.
+"""Defragmentation: moves checkpointing borrowers so that free capacity is contiguous.
 
-A move takes one gang from one worker to a tighter hole on another. It pays when afterwards
-one of the two workers is wholly free or wholly taken and the free room is less scattered,
-measured by the sum of squares of the free accelerators of workers. Gangs rest between
-moves and are not moved near their end, so that no work is moved back and forth.
+A move takes one gang from one worker to another that has less free capacity. It is worth
+making if one of the two workers is then wholly free or wholly used and the free capacity is
+less scattered, measured by the sum of squares of the free accelerators of the workers. A
+minimum interval between moves of a gang, and no moves near its end, prevent gangs from being
+moved back and forth.
 """
 
 from __future__ import annotations
@@ -16,13 +17,13 @@
 from saddlestack.policy.packing import Shares
 from saddlestack.policy.resources import CellResources
 
-MOVE_REST_S = 180.0
-MIN_LEFT_S = 120.0
+MIN_MOVE_INTERVAL_S = 180.0
+MIN_REMAINING_S = 120.0
 
 
 @dataclass(frozen=True, slots=True)
 class Move:
-    """A gang and the worker it goes to."""
+    """A gang to move and its new shares."""
 
     gang: Gang
     shares: Shares
@@ -30,7 +31,7 @@
 
 
 def usable(resources: CellResources, shape: Shape) -> int:
-    """Free accelerators that gangs of one shape alone could take."""
+    """Free accelerators that could be used if only gangs of one shape were started."""
     size = shape.accelerators
     if shape.adjacent is Adjacency.WORKER:
         return sum([free // size for free in resources.free]) * size
@@ -40,16 +41,16 @@
 
 
 class Consolidation:
-    """Searches for the move that pays most."""
+    """Searches for the move that reduces fragmentation most."""
 
     def __init__(self, resources: CellResources, now: float) -> None:
         self._resources = resources
         self._now = now
 
     def best(self, gangs: Iterable[tuple[Gang, float]]) -> Move | None:
-        """The move that pays most, or ``None``.
+        """The move that reduces fragmentation most, or ``None`` if no move does.
 
-        :param gangs: running gangs with their expected ends.
+        :param gangs: running gangs with their expected end times.
         """
         best: Move | None = None
         if sum(1 for free in self._resources.free if free) < 2:
@@ -57,7 +58,7 @@
         for gang, end in gangs:
             if not self._may_move(gang, end):
                 continue
-            move = self._best_of(gang)
+            move = self._find_best_move(gang)
             if move is not None and (best is None or move.gain > best.gain):
                 best = move
         return best
@@ -65,11 +66,11 @@
     def _may_move(self, gang: Gang, end: float) -> bool:
         if gang.pinned or not gang.spec.checkpoint or len(gang.shares) != 1:
             return False
-        rested = self._now - max(gang.moved, gang.started) >= MOVE_REST_S
-        return rested and end - self._now >= MIN_LEFT_S
+        is_rested = self._now - max(gang.moved, gang.started) >= MIN_MOVE_INTERVAL_S
+        return is_rested and end - self._now >= MIN_REMAINING_S
 
-    def _best_of(self, gang: Gang) -> Move | None:
-        """Where one gang would do most good: a hole it fills, on a fuller worker."""
+    def _find_best_move(self, gang: Gang) -> Move | None:
+        """The best move of one gang: to a fuller worker, filling it or emptying its own."""
         resources = self._resources
         source, count = gang.shares[0]
         left = resources.free[source]
--- a/src/saddlestack/policy/fleet.py
+++ b/src/saddlestack/policy/fleet.py
@@ -1,4 +1,4 @@
-"""All cells together: routes jobs to them and moves waiting ones where room is."""
+"""All cells of a deployment: routes jobs to cells and rebalances waiting jobs."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class Fleet:
-    """The cells of a deployment under one roof, for replay.
+    """The cells of a deployment in one process, for replay.
 
-    The daemon has one :class:`Cell` a scheduler and the same routing functions on what the
-    cells announce.
+    A daemon instead has one :class:`Cell` per scheduler and applies the same routing functions
+    to the summaries that the cells publish.
     """
 
     def __init__(
@@ -33,17 +33,19 @@
         self._cell_of_vm: dict[str, str] = {}
         for site in sites:
             name = site.plan.name
-            mine = [a for a in self._assignments if a.cell == name]
-            self.cells[name] = Cell(name, site.workers, mine, weights, dict(queue_limits))
+            cell_assignments = [a for a in self._assignments if a.cell == name]
+            self.cells[name] = Cell(
+                name, site.workers, cell_assignments, weights, dict(queue_limits)
+            )
             self._halls[name] = site.plan.data_hall
             self._cell_of_vm.update({worker.name: name for worker in site.workers})
 
     def submit(self, spec: JobSpec, now: float) -> Refusal | None:
-        """Route a job to a cell and take it in.
+        """Route a job to a cell and queue it there.
 
-        :return: ``None``, or why it was not taken in.
+        :return: ``None``, or why the job was refused.
         """
-        name = choose_cell(spec, self.summaries(), self._guaranteed(spec))
+        name = choose_cell(spec, self.summaries(), self._guaranteed_cells(spec))
         if name is None:
             return Refusal(ErrorKind.SHAPE_IMPOSSIBLE, f"no cell can ever hold {spec.shape}")
         refusal = self.cells[name].submit(spec, now)
@@ -52,7 +54,7 @@
         return refusal
 
     def decide(self, now: float) -> list[Decision]:
-        """Decide in every cell, then move waiting jobs to cells that have room for them."""
+        """Decide in every cell, then move waiting jobs to cells where they can start at once."""
         decisions = [d for cell in self.cells.values() for d in cell.decide(now)]
         if len(self.cells) > 1:
             decisions += self._rebalance(now)
@@ -65,11 +67,11 @@
             if not cell.waiting:
                 continue
             for gang in cell.movable():
-                there = find_better_cell(gang.spec, name, summaries)
-                if there is None:
+                target = find_better_cell(gang.spec, name, summaries)
+                if target is None:
                     continue
                 cell.cancel(gang.job_id)
-                self.cells[there].restore_waiting(
+                self.cells[target].restore_waiting(
                     gang.spec,
                     gang.submitted,
                     attempt=gang.attempt,
@@ -77,17 +79,17 @@
                     resumed=gang.resumed,
                     deadline=gang.deadline,
                 )
-                self._cell_of[gang.job_id] = there
-                decisions += self.cells[there].decide(now)
+                self._cell_of[gang.job_id] = target
+                decisions += self.cells[target].decide(now)
                 summaries = self.summaries()
         return decisions
 
     def summaries(self) -> list[CellSummary]:
-        """What every cell would announce now."""
+        """The current summaries of all cells."""
         return [cell.summary(self._halls[name]) for name, cell in self.cells.items()]
 
     def cell_of(self, job_id: str) -> Cell | None:
-        """The cell that has a job."""
+        """The cell that a job was routed to, or ``None`` for an unknown job."""
         name = self._cell_of.get(job_id)
         return None if name is None else self.cells[name]
 
@@ -96,10 +98,10 @@
         return self.cells[self._cell_of_vm[vm]]
 
     def vm_lost(self, vm: str, now: float) -> list[Loss]:
-        """A worker is gone."""
+        """Record the loss of a worker."""
         return self.cell_of_vm(vm).vm_lost(vm, now)
 
-    def _guaranteed(self, spec: JobSpec) -> list[str]:
+    def _guaranteed_cells(self, spec: JobSpec) -> list[str]:
         found = []
         for name, cell in self.cells.items():
             for unit in cell.guarantees.of(spec.account):
--- a/src/saddlestack/policy/gang.py
+++ b/src/saddlestack/policy/gang.py
@@ -1,4 +1,4 @@
-"""A gang as the decisions see it, and the decisions taken about gangs."""
+"""Gangs and the scheduling decisions about them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,15 @@
 
 
 class Gang:
-    """A job in a cell, waiting or running."""
+    """A waiting or running job of a cell.
+
+    :ivar rank: class rank, 0 (urgent) to 2 (bulk).
+    :ivar order: position in the order of submission, used to break ties.
+    :ivar progress: seconds of work saved by a checkpoint.
+    :ivar moved: when it was last moved.
+    :ivar next_move: the earliest time for the next attempt to move others for it.
+    :ivar pinned: whether the gang can't be reclaimed where it runs.
+    """
 
     __slots__ = (
         "attempt",
@@ -57,16 +65,16 @@
         return self.spec.job_id
 
     def work(self, now: float) -> float:
-        """Accelerator-seconds done since the last start."""
+        """Accelerator-seconds of work done since the last start."""
         return (now - self.started) * self.spec.accelerators
 
     def loss(self, now: float) -> float:
-        """Accelerator-seconds thrown away by stopping the gang now."""
+        """Accelerator-seconds of work lost if the gang is stopped now."""
         return 0.0 if self.spec.checkpoint else self.work(now) + self.progress
 
 
 class ReclaimMethod(enum.StrEnum):
-    """How room is taken back."""
+    """How a gang is stopped when it is reclaimed."""
 
     CHECKPOINT = "checkpoint"
     STOP = "stop"
@@ -76,8 +84,8 @@
 class Start:
     """Start every part of a gang.
 
-    :param progress: seconds of work done before, from a checkpoint.
-    :param resumed: whether it goes on from a checkpoint rather than begins.
+    :param progress: seconds of work saved by a checkpoint.
+    :param resumed: whether the gang resumes from a checkpoint.
     :param guaranteed: whether the gang runs within its account's guarantee.
     """
 
@@ -91,10 +99,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Reclaim:
-    """Take a whole running gang's room back; the job returns to the queue.
+    """Stop a whole running gang; the job returns to the queue.
 
-    :param lost: accelerator-seconds thrown away.
-    :param moved: whether it is only moved to make contiguous room.
+    :param lost: accelerator-seconds of work lost.
+    :param moved: whether the gang is only moved, to free contiguous capacity.
     """
 
     job_id: str
@@ -106,7 +114,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Expire:
-    """Give up a waiting job: its deadline passed before it started."""
+    """Drop a waiting job whose deadline passed before it started."""
 
     job_id: str
 
@@ -116,7 +124,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refusal:
-    """A job that was not taken in, and so truly did not run."""
+    """Why a job was not accepted. A refused job did not run."""
 
     kind: ErrorKind
     message: str
@@ -125,10 +133,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Loss:
-    """What became of a gang that lost a worker.
+    """The outcome for a gang that lost a worker.
 
-    :param state: queued again, or unknown for run-once work.
-    :param lost: accelerator-seconds thrown away.
+    :param state: queued again, or unknown for run-once jobs.
+    :param lost: accelerator-seconds of work lost.
     """
 
     job_id: str
--- a/src/saddlestack/policy/guarantees.py
+++ b/src/saddlestack/policy/guarantees.py
@@ -1,14 +1,15 @@
 """The guaranteed shapes of a cell and the invariant that they can always be formed.
 
 Each guaranteed shape is a :class:`Unit`. The part of a unit that its account does not use
-has a *witness*: workers whose unpinned room (free, or held by gangs that can be taken back)
-is set aside for it. Witnesses never overlap, so as long as each unit has one, all unused
-guaranteed shapes can be formed at the same time. Gangs that can be taken back never touch
-the invariant; a pinned gang is admitted only with witnesses for every unit left over.
-
-Gangs that use the same unit lie in one *domain* (a worker for a unit adjacent on a worker, a
-rack for one on a rack), and so does the rest of the unit. Whatever ends, the unit's room is
-back where the rest of it is, and the shape can be formed again without moving anything.
+has a *witness*: unpinned accelerators (free, or used by reclaimable gangs) that are reserved
+for it. Witnesses never overlap, so as long as each unit has one, all unused guaranteed shapes
+can be formed at the same time. Reclaimable gangs never affect the invariant. A pinned gang is
+admitted only if every unit still has a witness for its unused part.
+
+All gangs that use a unit are placed in one *domain* (a single worker for a worker-adjacent
+unit, a single rack for a rack-adjacent one), and so is the unused part of the unit. Whichever
+gang ends, its accelerators are therefore next to the rest of the unit, and the shape can be
+formed again without moving any gang.
 """
 
 from __future__ import annotations
@@ -21,7 +22,14 @@
 
 
 class Unit:
-    """One guaranteed shape of an account and what the account uses of it."""
+    """One guaranteed shape of an account and how much of it is in use.
+
+    :ivar used: accelerators of the unit that gangs are charged for.
+    :ivar users: the gangs that are charged to the unit, by job id.
+    :ivar domain: the workers that all users must share, or ``None`` if any will do.
+    :ivar witness: the shares reserved for the unused part, or ``None`` if there are none.
+    :ivar lent: the witness as it was before a gang took the whole unit.
+    """
 
     __slots__ = ("account", "domain", "lent", "shape", "used", "users", "witness")
 
@@ -36,23 +44,27 @@
 
     @property
     def left(self) -> int:
-        """Accelerators of the unit that are not in use."""
+        """The number of unused accelerators of the unit."""
         return self.shape.accelerators - self.used
 
     @property
     def request(self) -> ShapeRequest:
-        """The part of the shape that is not in use, and where it has to lie."""
+        """A packing request for the unused part of the shape."""
         return ShapeRequest(Shape(self.left, self.shape.adjacent), self.domain)
 
 
 Charge = tuple[tuple[Unit, int], ...]
-"""Which units a gang is charged to, and with how many accelerators."""
+"""The units a gang is charged to, with the number of accelerators of each."""
 
-_Before = list[tuple[Unit, Shares | None, tuple[int, ...] | None]]
+_Snapshot = list[tuple[Unit, Shares | None, tuple[int, ...] | None]]
 
 
 class Guarantees:
-    """All units of a cell and their witnesses."""
+    """All units of a cell and their witnesses.
+
+    :ivar reserved: accelerators reserved by witnesses, by worker.
+    :ivar reserved_slots: slots reserved by witnesses, by worker.
+    """
 
     def __init__(self, resources: CellResources, assignments: Iterable[Assignment] = ()) -> None:
         self._resources = resources
@@ -67,7 +79,7 @@
 
     @property
     def units(self) -> list[Unit]:
-        """Every unit of the cell."""
+        """All units of the cell."""
         return [unit for units in self._units.values() for unit in units]
 
     def of(self, account: str) -> list[Unit]:
@@ -75,11 +87,11 @@
         return self._units.get(account, [])
 
     def unformable(self) -> list[Unit]:
-        """Units whose unused part has no witness: VMs are missing."""
+        """Units whose unused part has no witness, because VMs are missing."""
         return [unit for unit in self.units if unit.left and unit.witness is None]
 
     def could_cover(self, spec: JobSpec) -> bool:
-        """Whether the account's units, all unused, would cover a gang."""
+        """Whether a gang would fit the account's units if all were unused."""
         units = self.of(spec.account)
         if any(
             ADJACENCY_ORDER[unit.shape.adjacent] <= ADJACENCY_ORDER[spec.adjacent]
@@ -91,26 +103,26 @@
         return spec.adjacent is Adjacency.HALL and whole >= spec.accelerators
 
     def charge_for(self, spec: JobSpec) -> Charge | None:
-        """The account's units a gang would be charged to, or ``None`` for borrowed room."""
+        """The units a gang would be charged to, or ``None`` if it has to borrow capacity."""
         units = [unit for unit in self.of(spec.account) if unit.left]
         if not units:
             return None
-        single = [unit for unit in units if self._covers(unit, spec)]
+        single = [unit for unit in units if self._can_charge(unit, spec)]
         if single:
             best = min(single, key=lambda unit: (unit.witness is None, unit.left))
             return ((best, spec.accelerators),)
         if spec.adjacent is not Adjacency.HALL:
             return None
-        return self._spread(units, spec.accelerators)
+        return self._charge_several(units, spec.accelerators)
 
     def shape_for(self, charge: Charge, spec: JobSpec) -> Shape:
-        """The shape in which a charged gang is placed: as narrow as its unit."""
+        """The shape to place a charged gang in, with the adjacency of its unit."""
         return Shape(spec.accelerators, charge[0][0].shape.adjacent)
 
     def at_witnesses(self, charge: Charge, *, whole: bool = False) -> Shares | None:
-        """The place of a gang charged to several units: on the witnesses of each.
+        """The placement of a charged gang on the witnesses of its units.
 
-        :param whole: all room of the witnesses, also beyond what is charged.
+        :param whole: return the whole witnesses, including what exceeds the charge.
         """
         merged: dict[int, int] = {}
         for unit, charged in charge:
@@ -125,11 +137,11 @@
         return tuple(merged.items())
 
     def limits(self, charge: Charge) -> list[int]:
-        """Accelerators a pinned gang may take on each worker with no other witness moved.
+        """Accelerators that a pinned gang may use on each worker without moving other witnesses.
 
-        :param charge: the units it is charged to; none for pinned work in borrowed room.
+        :param charge: the units it is charged to; empty for a pinned gang on borrowed capacity.
         """
-        limit = self._spare()
+        limit = self._count_unreserved()
         for unit, _ in charge:
             for worker, count in unit.witness or ():
                 if self._resources.open(worker):
@@ -137,12 +149,14 @@
         return self._whole_domains(charge[0][0], limit) if len(charge) == 1 else limit
 
     def admit(self, charge: Charge | None, shares: Shares) -> bool:
-        """Whether a pinned gang may stand there; moves witnesses so that it can.
+        """Try to admit a pinned gang at the given shares, moving witnesses if necessary.
+
+        If it is admitted, the caller must take the shares before any other call.
 
-        The caller takes the room at once when the answer is true.
+        :return: whether the gang is admitted.
         """
         if charge is None:
-            return not self.unformable() and self._try(None, shares)
+            return not self.unformable() and self._try_to_admit(None, shares)
         if len(charge) > 1:
             there = dict(self.at_witnesses(charge) or ())
             return there == dict(shares) and self._take_witnesses(charge)
@@ -150,40 +164,44 @@
         domain = self._domain(unit.shape.adjacent, shares)
         if domain is None or unit.domain not in {None, domain}:
             return False
-        return self._try(charge, shares)
+        return self._try_to_admit(charge, shares)
 
     def occupy(self, charge: Charge, job_id: str) -> None:
-        """Note which gang uses the units of an admitted charge."""
+        """Record the gang that uses the units of an admitted charge."""
         for unit, _ in charge:
             unit.users.add(job_id)
 
     def release(self, charge: Charge, job_id: str, shares: Shares) -> None:
-        """Return a charge; call it after the gang's room was given back."""
+        """Return a charge to its units, after the gang's shares were released."""
         for unit, count in charge:
             unit.used -= count
             unit.users.discard(job_id)
             if not unit.users:
                 unit.domain = None
         if len(charge) == 1:
-            self._extend(charge[0][0], shares)
+            self._extend_witness(charge[0][0], shares)
         else:
             for unit, _ in charge:
-                self._take_lent_back(unit)
+                self._restore_saved_witness(unit)
         self.restore_witnesses()
 
     def restore_witnesses(self) -> None:
-        """Find witnesses for the units that have none."""
+        """Find witnesses for units that have none.
+
+        If they do not fit beside the others, all witnesses are recomputed, unless that leaves
+        more units without one.
+        """
         missing = self.unformable()
         if not missing or self._place_each_in(self._space(), missing):
             return
-        still = len(self.unformable())
-        before: _Before = [(unit, unit.witness, unit.domain) for unit in self.units]
+        missing_before = len(self.unformable())
+        snapshot: _Snapshot = [(unit, unit.witness, unit.domain) for unit in self.units]
         self.repack()
-        if len(self.unformable()) > still:
-            self._restore(before)
+        if len(self.unformable()) > missing_before:
+            self._restore(snapshot)
 
     def repack(self) -> None:
-        """Find all witnesses anew, as after a VM was lost or came back."""
+        """Recompute all witnesses, for example after a VM was lost or restored."""
         units = [unit for unit in self.units if unit.left]
         for unit in self.units:
             self._set_witness(unit, None)
@@ -194,10 +212,8 @@
         for unit, place in zip(units, places, strict=True):
             self._set_witness(unit, place)
 
-    # Charges
-
     def _whole_domains(self, unit: Unit, limit: list[int]) -> list[int]:
-        """The limits where all that is left of a unit would fit into one domain."""
+        """The limits, restricted to domains that can hold the whole unused part of a unit."""
         if unit.domain is not None:
             domains: Iterable[Sequence[int]] = (unit.domain,)
         elif unit.shape.adjacent is Adjacency.WORKER:
@@ -213,12 +229,12 @@
                     allowed[worker] = limit[worker]
         return allowed
 
-    def _covers(self, unit: Unit, spec: JobSpec) -> bool:
+    def _can_charge(self, unit: Unit, spec: JobSpec) -> bool:
         near_enough = ADJACENCY_ORDER[unit.shape.adjacent] <= ADJACENCY_ORDER[spec.adjacent]
         return near_enough and unit.left >= spec.accelerators
 
-    def _spread(self, units: Sequence[Unit], wanted: int) -> Charge | None:
-        """Whole unused units for a hall-wide gang larger than any of them."""
+    def _charge_several(self, units: Sequence[Unit], wanted: int) -> Charge | None:
+        """Charge a hall-wide gang that is larger than any unit to several unused units."""
         unused = [unit for unit in units if not unit.users and unit.witness is not None]
         if sum(unit.left for unit in unused) < wanted:
             return None
@@ -231,7 +247,7 @@
         return tuple(charge) if wanted == 0 else None
 
     def _domain(self, adjacent: Adjacency, shares: Shares) -> tuple[int, ...] | None:
-        """The workers that gangs of one unit have to share, or ``None`` where too wide."""
+        """The domain that holds all shares, or ``None`` if they span more than one."""
         workers = tuple(worker for worker, _ in shares)
         if adjacent is Adjacency.WORKER:
             return workers if len(workers) == 1 else None
@@ -247,46 +263,44 @@
             self._set_witness(unit, None)
         return True
 
-    def _take_lent_back(self, unit: Unit) -> None:
-        """A unit that a spread gang used whole has its old witness again."""
+    def _restore_saved_witness(self, unit: Unit) -> None:
+        """Restore the witness that a unit had before a gang took the whole of it."""
         lent, unit.lent = unit.lent, None
         self._set_witness(unit, None)
         if lent and all(self._resources.open(w) for w, _ in lent) and self._space().fits(lent):
             self._set_witness(unit, lent)
 
-    # Witnesses
-
-    def _try(self, charge: Charge | None, shares: Shares) -> bool:
-        before: _Before = [(unit, unit.witness, unit.domain) for unit in self.units]
+    def _try_to_admit(self, charge: Charge | None, shares: Shares) -> bool:
+        snapshot: _Snapshot = [(unit, unit.witness, unit.domain) for unit in self.units]
         for unit, count in charge or ():
             unit.used += count
             unit.domain = self._domain(unit.shape.adjacent, shares)
-        if self._fits_beside(charge, shares) or self._make_way(charge, shares):
+        if self._fits_beside_witnesses(charge, shares) or self._move_witnesses_for(charge, shares):
             return True
         for unit, count in charge or ():
             unit.used -= count
-        self._restore(before)
+        self._restore(snapshot)
         return False
 
-    def _restore(self, before: _Before) -> None:
-        for unit, _, _ in before:
+    def _restore(self, snapshot: _Snapshot) -> None:
+        for unit, _, _ in snapshot:
             self._set_witness(unit, None)
-        for unit, witness, domain in before:
+        for unit, witness, domain in snapshot:
             self._set_witness(unit, witness)
             unit.domain = domain
 
-    def _fits_beside(self, charge: Charge | None, shares: Shares) -> bool:
-        """Whether the gang stands beside every other unit's witness as it is."""
+    def _fits_beside_witnesses(self, charge: Charge | None, shares: Shares) -> bool:
+        """Whether the gang fits without moving the witness of any other unit."""
         for unit, _ in charge or ():
             self._set_witness(unit, None)
         space = self._space()
         if not space.fits(shares):
             return False
         space.take(shares)
-        own = [unit for unit, _ in charge or () if unit.left]
-        return self._place_each_in(space, own)
+        charged_units = [unit for unit, _ in charge or () if unit.left]
+        return self._place_each_in(space, charged_units)
 
-    def _make_way(self, charge: Charge | None, shares: Shares) -> bool:
+    def _move_witnesses_for(self, charge: Charge | None, shares: Shares) -> bool:
         charged = {id(unit) for unit, _ in charge or ()}
         failing = {id(unit) for unit in self.unformable()} - charged
         wanted = dict(shares)
@@ -327,8 +341,8 @@
             self._set_witness(unit, place)
         return all_placed
 
-    def _extend(self, unit: Unit, shares: Shares) -> None:
-        """Add room that came back to a unit's witness; it lies in the same domain."""
+    def _extend_witness(self, unit: Unit, shares: Shares) -> None:
+        """Add released shares to the witness of a unit; they are in the same domain."""
         if unit.witness is None and unit.left != sum(count for _, count in shares):
             return
         merged = dict(unit.witness or ())
@@ -348,7 +362,7 @@
             self.reserved_slots[worker] += 1
         unit.witness = witness
 
-    def _spare(self) -> list[int]:
+    def _count_unreserved(self) -> list[int]:
         resources = self._resources
         return [
             resources.unpinned(w) - self.reserved[w]
@@ -379,7 +393,7 @@
 ) -> tuple[int, int, int]:
     """The largest gang that fits the empty cell beside every guarantee, by adjacency.
 
-    :return: adjacent on a worker, on a rack, in the hall.
+    :return: the sizes for one worker, one rack and one hall.
     """
     requests = [ShapeRequest(unit.shape) for unit in guarantees.units]
     found = [
@@ -392,7 +406,7 @@
 def _largest(
     resources: CellResources, requests: list[ShapeRequest], adjacent: Adjacency, most: int
 ) -> int:
-    """The largest size that packs, by halving."""
+    """The largest size that packs, found by bisection."""
     if not requests:
         return most
     low = 0
--- a/src/saddlestack/policy/intent.py
+++ b/src/saddlestack/policy/intent.py
@@ -1,4 +1,4 @@
-"""What an operator's intent makes of the configuration: pure, checked whole, or refused."""
+"""Validates an operator's intent and applies it to the configuration as a whole."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 def apply_intent(document: Document, intent: Intent) -> Document:
-    """The document as it would be, at the next revision.
+    """Return the document with the intent applied, at the next revision.
 
-    :raises SaddlestackError: the intent is wrong or its guarantees do not fit.
+    :raises SaddlestackError: the intent is invalid or its guarantees do not fit.
     """
     check_intent(intent)
     halls = intent.data_halls if intent.data_halls is not None else document.data_halls
@@ -35,7 +35,7 @@
 
 
 def describe(before: Document, after: Document) -> tuple[str, ...]:
-    """What differs between two documents, a sentence each.
+    """Describe each difference between two documents in a sentence.
 
     :rtype: tuple[str, ...]
     """
@@ -58,9 +58,9 @@
 
 
 def check_intent(intent: Intent) -> None:
-    """Check everything that can be checked without the document.
+    """Check everything about an intent that does not depend on the document.
 
-    :raises SaddlestackError: with the key path.
+    :raises SaddlestackError: the intent is invalid; names the key path.
     """
     _check_halls(intent.data_halls or ())
     _check_unique([account.name for account in intent.accounts], "accounts")
@@ -174,6 +174,6 @@
 
 
 def shapes_of(document: Document) -> tuple[Shape, ...]:
-    """The distinct guaranteed shapes, the reference shapes of the fragmentation measure."""
+    """The distinct guaranteed shapes, used as reference shapes when measuring fragmentation."""
     shapes = {assignment.shape for assignment in document.assignments}
     return tuple(sorted(shapes, key=lambda shape: (shape.accelerators, shape.adjacent.value)))
--- a/src/saddlestack/policy/limits.py
+++ b/src/saddlestack/policy/limits.py
@@ -1,13 +1,13 @@
-"""Token buckets: the budget of accounts, retries and store calls."""
+"""Token buckets that limit accounts, retries, store calls and log lines."""
 
 from __future__ import annotations
 
 
 class TokenBucket:
-    """A rate with a burst, on the caller's clock.
+    """A token bucket on the caller's clock.
 
-    :param rate: tokens a second.
-    :param burst: tokens held at most.
+    :param rate: tokens added per second.
+    :param burst: the maximum number of tokens.
     """
 
     def __init__(self, rate: float, burst: float) -> None:
@@ -17,13 +17,13 @@
         self._at: float | None = None
 
     def configure(self, rate: float, burst: float) -> None:
-        """Change the rate and burst; held tokens above the burst are dropped."""
+        """Change the rate and burst; tokens above the new burst are dropped."""
         self.rate = rate
         self.burst = burst
         self._tokens = min(self._tokens, burst)
 
     def take(self, now: float, count: float = 1.0) -> bool:
-        """Take tokens if there are enough.
+        """Take tokens if enough are available.
 
         :return: whether they were taken.
         """
@@ -34,7 +34,7 @@
         return True
 
     def wait(self, now: float, count: float = 1.0) -> float:
-        """Seconds until that many tokens will be there."""
+        """Seconds until that many tokens are available."""
         self._fill(now)
         missing = count - self._tokens
         if missing <= 0:
--- a/src/saddlestack/policy/packing.py
+++ b/src/saddlestack/policy/packing.py
@@ -1,9 +1,8 @@
-"""Whether shapes can all be formed at the same time, and where.
+"""Packs shapes into the workers of a cell so that all can be formed at the same time.
 
-:func:`pack` answers with one place for each shape. A greedy try comes first; where it fails
-and the case is small enough for the step budget, an exact search follows. It errs only to
-the safe side: every packing it returns is valid, and a ``None`` from a spent budget means
-"not shown to fit".
+:func:`pack` returns one placement for each shape. It tries a greedy placement first and then
+an exact search within a step budget. Every packing it returns is valid. ``None`` does not prove
+that the shapes don't fit: the step budget may have run out.
 """
 
 from __future__ import annotations
@@ -15,17 +14,17 @@
 from saddlestack.policy.resources import Share
 
 Shares = tuple[Share, ...]
-ONLINE_STEPS = 8_000
+ONLINE_SEARCH_STEPS = 8_000
 PLANNER_BUDGET = 60_000
 
-_HARDNESS = {Adjacency.WORKER: 0, Adjacency.RACK: 1, Adjacency.HALL: 2}
+_PLACING_ORDER = {Adjacency.WORKER: 0, Adjacency.RACK: 1, Adjacency.HALL: 2}
 
 
 @dataclass(frozen=True, slots=True)
 class ShapeRequest:
     """A shape to be placed.
 
-    :param within: the workers it has to lie on, where that is already settled.
+    :param within: the workers that it must use, or ``None`` if any will do.
     """
 
     shape: Shape
@@ -33,15 +32,15 @@
 
 
 def online_budget(workers: int) -> int:
-    """Steps of exact search that a decision may take: fewer in larger cells, where each costs more.
+    """Steps of exact search allowed for a decision: fewer in larger cells, as each costs more.
 
     :rtype: int
     """
-    return ONLINE_STEPS // max(workers, 1)
+    return ONLINE_SEARCH_STEPS // max(workers, 1)
 
 
 class Space:
-    """Accelerators and slots that shapes are packed into."""
+    """The accelerators and slots that shapes are packed into."""
 
     def __init__(
         self, accelerators: Sequence[int], slots: Sequence[int], racks: Sequence[Sequence[int]]
@@ -71,11 +70,11 @@
         return all(self.usable(worker) >= count for worker, count in shares)
 
     def fill(self, workers: Sequence[int], wanted: int) -> Shares | None:
-        """Take ``wanted`` accelerators from some workers, whole workers first."""
+        """Choose ``wanted`` accelerators from the given workers, whole workers first."""
         return fill(workers, [self.usable(w) for w in workers], wanted)
 
     def options(self, request: ShapeRequest) -> list[Shares]:
-        """Places for a shape, tightest first, one for each that differs in kind."""
+        """Placements for a shape, tightest first, without equivalent ones."""
         shape = request.shape
         if request.within is not None:
             shares = self.fill(request.within, shape.accelerators)
@@ -89,7 +88,7 @@
         return [] if shares is None else [shares]
 
     def best(self, request: ShapeRequest) -> Shares | None:
-        """The tightest place for a shape, the first of its options."""
+        """The tightest placement for a shape, the first of its options."""
         wanted = request.shape.accelerators
         if request.within is not None or request.shape.adjacent is Adjacency.HALL:
             options = self.options(request)
@@ -98,7 +97,7 @@
             count if slots > 0 else 0 for count, slots in zip(self.left, self.slots, strict=True)
         ]
         if request.shape.adjacent is Adjacency.WORKER:
-            return self._best_worker(usable, wanted)
+            return self._find_best_worker(usable, wanted)
         totals = [sum([usable[w] for w in rack]) for rack in self.racks]
         fitting = [i for i, total in enumerate(totals) if total >= wanted]
         if not fitting:
@@ -106,7 +105,7 @@
         rack = self.racks[min(fitting, key=totals.__getitem__)]
         return fill(rack, [usable[w] for w in rack], wanted)
 
-    def _best_worker(self, usable: Sequence[int], wanted: int) -> Shares | None:
+    def _find_best_worker(self, usable: Sequence[int], wanted: int) -> Shares | None:
         least = min([count for count in usable if count >= wanted], default=0)
         if not least:
             return None
@@ -145,12 +144,12 @@
 
 
 def fill(workers: Sequence[int], usable: Sequence[int], wanted: int) -> Shares | None:
-    """Choose accelerators from workers so that few workers are left broken.
+    """Choose accelerators from workers so that few workers are left partly used.
 
-    Workers that fit whole into what is wanted come first, largest first; the rest comes
-    from the tightest worker that can give it.
+    Workers that can be used whole come first, largest first. The remainder comes from the
+    smallest worker that has enough.
 
-    :return: the shares, or ``None`` where the workers hold too little.
+    :return: the shares, or ``None`` if the workers have too few accelerators.
     """
     order = sorted(
         ((count, worker) for count, worker in zip(usable, workers, strict=True) if count),
@@ -173,11 +172,11 @@
 
 
 def pack(space: Space, requests: Sequence[ShapeRequest], budget: int) -> list[Shares] | None:
-    """One place for each shape, all at the same time.
+    """Find placements for all requests at the same time.
 
-    :param space: what may be used; left as it was.
-    :param budget: steps the exact search may take.
-    :return: places in the order of ``requests``, or ``None`` where none was found.
+    :param space: the capacity to use; unchanged on return.
+    :param budget: the maximum number of steps of the exact search.
+    :return: placements in the order of ``requests``, or ``None`` if none were found.
     """
     order = sorted(range(len(requests)), key=lambda i: _hardest_first(requests[i]))
     places: list[Shares | None] = [None] * len(requests)
@@ -190,7 +189,11 @@
 
 
 def _hardest_first(request: ShapeRequest) -> tuple[bool, int, int]:
-    return request.within is None, _HARDNESS[request.shape.adjacent], -request.shape.accelerators
+    return (
+        request.within is None,
+        _PLACING_ORDER[request.shape.adjacent],
+        -request.shape.accelerators,
+    )
 
 
 def _greedy(
@@ -210,7 +213,7 @@
 
 
 class _Search:
-    """Depth-first search over the distinct places of each shape."""
+    """A depth-first search over the distinct placements of each shape."""
 
     def __init__(
         self, space: Space, requests: Sequence[ShapeRequest], order: list[int], budget: int
--- a/src/saddlestack/policy/placement.py
+++ b/src/saddlestack/policy/placement.py
@@ -1,7 +1,8 @@
-"""Where a gang goes: the place that leaves the largest gangs formable afterwards.
+"""Places gangs so that the largest possible gangs can still be formed afterwards.
 
-Places are searched in *domains*: one worker, one rack, or a run of neighbouring racks. The
-same search serves free room and, in :mod:`saddlestack.policy.reclaim`, room to take back.
+Placements are searched for in *domains*: one worker, one rack, or a range of neighboring racks.
+The same domains are used for free capacity and, in :mod:`saddlestack.policy.reclaim`, for
+capacity to reclaim.
 """
 
 from __future__ import annotations
@@ -15,12 +16,12 @@
 def find_placement(
     shape: Shape, usable: Sequence[int], racks: Sequence[Sequence[int]], *, scatter: bool
 ) -> Shares | None:
-    """The best place for a shape in usable accelerators.
+    """Find the best placement for a shape in the usable accelerators.
 
-    :param usable: accelerators that may be taken, by worker.
-    :param scatter: whether a hall-wide gang fills broken workers first, which keeps whole
-        workers for others, rather than standing in neighbouring racks.
-    :return: the shares, or ``None`` where the shape does not fit.
+    :param usable: accelerators that may be used, by worker.
+    :param scatter: whether a hall-wide gang uses partly used workers first, which keeps whole
+        workers free for others, rather than neighboring racks.
+    :return: the shares, or ``None`` if the shape does not fit.
     """
     if shape.adjacent is Adjacency.WORKER:
         return _in_worker(shape.accelerators, usable, racks)
@@ -28,11 +29,11 @@
         return _in_rack(shape.accelerators, usable, racks)
     if scatter:
         return _scattered(shape.accelerators, usable, racks)
-    return _in_neighbours(shape.accelerators, usable, racks)
+    return _in_neighboring_racks(shape.accelerators, usable, racks)
 
 
 def domains(shape: Shape, racks: Sequence[Sequence[int]]) -> Iterator[Sequence[int]]:
-    """The groups of workers that a gang of the shape may lie in."""
+    """The groups of workers that a gang of the shape may be placed in."""
     if shape.adjacent is Adjacency.WORKER:
         for rack in racks:
             for worker in rack:
@@ -72,7 +73,7 @@
     return fill(best, [usable[w] for w in best], wanted)
 
 
-def _in_neighbours(
+def _in_neighboring_racks(
     wanted: int, usable: Sequence[int], racks: Sequence[Sequence[int]]
 ) -> Shares | None:
     one_rack = _in_rack(wanted, usable, racks)
--- a/src/saddlestack/policy/planner.py
+++ b/src/saddlestack/policy/planner.py
@@ -1,4 +1,4 @@
-"""Cells from racks, and guaranteed shapes to cells with a proof that they all pack."""
+"""Groups racks into cells and assigns guaranteed shapes to cells in which they all pack."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def cells_of(halls: Iterable[DataHall]) -> list[CellSite]:
-    """Group each hall's racks, in order, into cells of at most 256 workers.
+    """Group the racks of each hall, in order, into cells of at most 256 workers.
 
     :rtype: list[CellSite]
     """
@@ -58,9 +58,9 @@
 
 
 def narrowest(accelerators: int, sites: Iterable[CellSite]) -> Adjacency:
-    """The narrowest adjacency that can hold a gang of that size anywhere.
+    """The narrowest adjacency in which some cell can hold a gang of that size.
 
-    :raises SaddlestackError: larger than any cell.
+    :raises SaddlestackError: the gang is larger than any cell.
     """
     largest = [_largest(site.workers) for site in sites]
     for adjacency, rank in ADJACENCY_ORDER.items():
@@ -73,7 +73,7 @@
 
 @functools.lru_cache(maxsize=256)
 def _largest(workers: tuple[WorkerInfo, ...]) -> tuple[int, ...]:
-    """The largest gangs that some workers could hold empty, by adjacency rank."""
+    """The largest gang that the workers could hold if empty, by adjacency rank."""
     resources = CellResources(workers)
     return tuple(resources.largest_possible(rank) for rank in ADJACENCY_ORDER.values())
 
@@ -82,7 +82,7 @@
     """Assigns guaranteed shapes to cells.
 
     :param sites: the cells.
-    :param spare: workers each cell must be able to lose with its guarantees still packing.
+    :param spare: workers that each cell must be able to lose with its guarantees still packing.
     """
 
     def __init__(self, sites: Sequence[CellSite], spare: int = 0) -> None:
@@ -92,11 +92,11 @@
     def assign(
         self, accounts: Iterable[Account], current: Iterable[Assignment] = ()
     ) -> tuple[Assignment, ...]:
-        """Assign every guaranteed shape of the accounts, keeping current ones in place.
+        """Assign every guaranteed shape of the accounts, keeping current assignments.
 
-        :raises SaddlestackError: a shape that does not fit, with the nearest that would.
+        :raises SaddlestackError: a shape does not fit; names the nearest shape that would.
         """
-        wanted = self._wanted(accounts)
+        wanted = self._expand_guarantees(accounts)
         kept: dict[str, list[Assignment]] = {site.plan.name: [] for site in self._sites}
         pool = list(current)
         missing: list[tuple[str, Shape]] = []
@@ -107,20 +107,20 @@
                 kept[held.cell].append(held)
             else:
                 missing.append((account, shape))
-        if self._extend(kept, missing) is None and self._packs(kept):
-            return self._flat(kept)
-        return self._afresh(wanted)
+        if self._place_each(kept, missing) is None and self._all_pack(kept):
+            return self._flatten(kept)
+        return self._assign_from_scratch(wanted)
 
-    def _afresh(self, wanted: Sequence[tuple[str, Shape]]) -> tuple[Assignment, ...]:
+    def _assign_from_scratch(self, wanted: Sequence[tuple[str, Shape]]) -> tuple[Assignment, ...]:
         cells: dict[str, list[Assignment]] = {site.plan.name: [] for site in self._sites}
-        refused = self._extend(cells, wanted)
+        refused = self._place_each(cells, wanted)
         if refused is None:
-            return self._flat(cells)
+            return self._flatten(cells)
         found = self._search(wanted)
         if found is not None:
             return found
         account, shape = refused
-        nearest = self._nearest(cells, account, shape)
+        nearest = self._find_nearest(cells, account, shape)
         hint = f"; the nearest that would fit is {nearest}" if nearest else ""
         spare = f" with {self._spare} spare workers a cell" if self._spare else ""
         raise SaddlestackError(
@@ -130,9 +130,11 @@
         )
 
     def _search(self, wanted: Sequence[tuple[str, Shape]]) -> tuple[Assignment, ...] | None:
-        """Assign the shapes where going through them once has not succeeded."""
-        kinds = [_kind_of(site) for site in self._sites]
-        search = CellSearch(kinds, lambda cell, shapes: self._holds(self._sites[cell], shapes))
+        """Assign the shapes by search, after a single greedy pass has failed."""
+        kinds = [_cell_kind(site) for site in self._sites]
+        search = CellSearch(
+            kinds, lambda cell, shapes: self._fits_with_spare(self._sites[cell], shapes)
+        )
         chosen = search.cells([shape for _, shape in wanted])
         if chosen is None:
             return None
@@ -140,9 +142,9 @@
         for (account, shape), cell in zip(wanted, chosen, strict=True):
             name = self._sites[cell].plan.name
             cells[name].append(_assignment(account, name, shape))
-        return self._flat(cells)
+        return self._flatten(cells)
 
-    def _wanted(self, accounts: Iterable[Account]) -> list[tuple[str, Shape]]:
+    def _expand_guarantees(self, accounts: Iterable[Account]) -> list[tuple[str, Shape]]:
         wanted = [
             (account.name, self.shape_of(guarantee))
             for account in accounts
@@ -152,11 +154,11 @@
         return sorted(wanted, key=lambda pair: _hardest_first(pair[1]))
 
     def shape_of(self, guarantee: Guarantee) -> Shape:
-        """The shape of a guarantee, with the narrowest adjacency where none is stated."""
+        """The shape of a guarantee; the adjacency defaults to the narrowest that fits."""
         adjacent = guarantee.adjacent or narrowest(guarantee.accelerators, self._sites)
         return Shape(guarantee.accelerators, adjacent)
 
-    def _extend(
+    def _place_each(
         self, cells: dict[str, list[Assignment]], wanted: Iterable[tuple[str, Shape]]
     ) -> tuple[str, Shape] | None:
         for account, shape in wanted:
@@ -168,7 +170,7 @@
         for site in sorted(self._sites, key=lambda site: self._fullness(site, cells)):
             assignments = cells[site.plan.name]
             assignments.append(_assignment(account, site.plan.name, shape))
-            if self._site_packs(site, assignments):
+            if self._packs(site, assignments):
                 return True
             assignments.pop()
         return False
@@ -177,14 +179,14 @@
         total = sum(worker.accelerators for worker in site.workers)
         return sum(a.accelerators for a in cells[site.plan.name]) / max(total, 1)
 
-    def _packs(self, cells: Mapping[str, list[Assignment]]) -> bool:
-        return all(self._site_packs(site, cells[site.plan.name]) for site in self._sites)
+    def _all_pack(self, cells: Mapping[str, list[Assignment]]) -> bool:
+        return all(self._packs(site, cells[site.plan.name]) for site in self._sites)
 
-    def _site_packs(self, site: CellSite, assignments: Sequence[Assignment]) -> bool:
-        return self._holds(site, [assignment.shape for assignment in assignments])
+    def _packs(self, site: CellSite, assignments: Sequence[Assignment]) -> bool:
+        return self._fits_with_spare(site, [assignment.shape for assignment in assignments])
 
-    def _holds(self, site: CellSite, shapes: Sequence[Shape]) -> bool:
-        """Whether a cell can form all shapes at once, also after the loss of its spare workers."""
+    def _fits_with_spare(self, site: CellSite, shapes: Sequence[Shape]) -> bool:
+        """Whether a cell can form all shapes at once, even after losing its spare workers."""
         resources = CellResources(site.workers)
         requests = [ShapeRequest(shape) for shape in shapes]
         if (
@@ -193,10 +195,11 @@
         ):
             return False
         return all(
-            self._packs_without(resources, requests, lost) for lost in self._worst_losses(resources)
+            self._packs_after_losing(resources, requests, lost)
+            for lost in self._worst_losses(resources)
         )
 
-    def _packs_without(
+    def _packs_after_losing(
         self, resources: CellResources, requests: Sequence[ShapeRequest], lost: Sequence[int]
     ) -> bool:
         left = [0 if w in lost else total for w, total in enumerate(resources.total)]
@@ -206,12 +209,12 @@
         )
 
     def _worst_losses(self, resources: CellResources) -> list[list[int]]:
-        """The spare workers lost from one rack, for each rack."""
+        """For each rack, the loss of all spare workers from that rack."""
         if not self._spare:
             return []
         return [list(rack[: self._spare]) for rack in resources.racks]
 
-    def _nearest(
+    def _find_nearest(
         self, cells: dict[str, list[Assignment]], account: str, shape: Shape
     ) -> Shape | None:
         for accelerators in range(shape.accelerators, 0, -1):
@@ -223,7 +226,7 @@
                     return candidate
         return None
 
-    def _flat(self, cells: Mapping[str, list[Assignment]]) -> tuple[Assignment, ...]:
+    def _flatten(self, cells: Mapping[str, list[Assignment]]) -> tuple[Assignment, ...]:
         return tuple(a for site in self._sites for a in cells[site.plan.name])
 
 
@@ -233,7 +236,7 @@
     )
 
 
-def _kind_of(site: CellSite) -> CellKind:
+def _cell_kind(site: CellSite) -> CellKind:
     resources = CellResources(site.workers)
     layout = tuple(
         tuple((resources.total[worker], resources.slots[worker]) for worker in rack)
--- a/src/saddlestack/policy/queue.py
+++ b/src/saddlestack/policy/queue.py
@@ -1,4 +1,4 @@
-"""The order of waiting gangs, corrected estimates, and the reservation of a blocked gang."""
+"""Queue order, corrected running time estimates, and reservations for blocked gangs."""
 
 from __future__ import annotations
 
@@ -11,52 +11,53 @@
 from saddlestack.policy.resources import CellResources
 
 AGING_S = {0: 0.0, 1: 0.0, 2: 4 * 3600.0}
-"""How long a gang of each class rank waits until it counts as one class higher; 0 never."""
+"""Seconds after which a waiting gang counts as one class higher, by class rank; 0 means never."""
 
 MIN_ESTIMATE_S = 0.1
 MAX_CORRECTION = 8.0
 LEARNING_RATE = 0.2
-SHORT_FIRST = 6.0
-"""How many times its expected running time a long gang is put behind short ones."""
+SHORT_JOB_FACTOR = 6.0
+"""The queue key adds this many times the expected running time, which favors short gangs."""
 FAIRNESS_STEP = 0.25
-"""Accounts whose borrowed shares of the cell differ by less are equal."""
+"""Share of the cell's capacity; accounts in the same step of borrowing are ordered as equal."""
 
 
 class Estimator:
-    """Corrects callers' estimates by how far earlier ones of the same kind were off."""
+    """Corrects callers' estimates by the error of earlier ones of the same account and class."""
 
     def __init__(self) -> None:
         self._ratio: dict[tuple[str, JobClass], float] = {}
 
     def expected(self, spec: JobSpec) -> float:
-        """The running time to expect, seconds."""
+        """The expected running time in seconds."""
         ratio = self._ratio.get((spec.account, spec.job_class), 1.0)
         return max(spec.estimate, MIN_ESTIMATE_S) * ratio
 
     def record(self, spec: JobSpec, actual_s: float) -> None:
-        """Note how long a gang really ran, seconds."""
+        """Record the actual running time of a gang, in seconds."""
         key = (spec.account, spec.job_class)
-        seen = max(actual_s, MIN_ESTIMATE_S) / max(spec.estimate, MIN_ESTIMATE_S)
-        seen = min(max(seen, 1 / MAX_CORRECTION), MAX_CORRECTION)
+        observed = max(actual_s, MIN_ESTIMATE_S) / max(spec.estimate, MIN_ESTIMATE_S)
+        observed = min(max(observed, 1 / MAX_CORRECTION), MAX_CORRECTION)
         before = self._ratio.get(key, 1.0)
-        self._ratio[key] = before + LEARNING_RATE * (seen - before)
+        self._ratio[key] = before + LEARNING_RATE * (observed - before)
 
 
 def effective_rank(gang: Gang, now: float) -> int:
     """The class rank of a gang after aging: 0 urgent, 1 normal, 2 bulk."""
-    patience = AGING_S[gang.rank]
-    if patience and now - gang.submitted >= patience:
+    aging_s = AGING_S[gang.rank]
+    if aging_s and now - gang.submitted >= aging_s:
         return gang.rank - 1
     return gang.rank
 
 
 class QueueOrder:
-    """The order in which waiting gangs are considered.
+    """The order in which waiting gangs are scheduled.
 
-    Class first, then the account that borrows least, then age, where a short gang counts as
-    older by a multiple of the running time it is expected to save the others.
+    Gangs are ordered by class, then by how much their account borrows (least first), then by
+    age. A gang counts as younger by a multiple of its expected running time, so that short
+    gangs go first.
 
-    :param borrowed: accelerators each account runs beyond its guarantees.
+    :param borrowed: accelerators that each account uses beyond its guarantees.
     :param capacity: accelerators of the cell.
     """
 
@@ -69,7 +70,7 @@
         self._now = now
 
     def sort(self, gangs: Iterable[Gang]) -> list[Gang]:
-        """The gangs in order."""
+        """Sort gangs into scheduling order."""
         return sorted(gangs, key=self._key)
 
     def _key(self, gang: Gang) -> tuple[int, int, float, int]:
@@ -77,16 +78,17 @@
         return (
             effective_rank(gang, self._now),
             self._borrowed.get(gang.spec.account, 0) // self._step,
-            gang.submitted + SHORT_FIRST * left,
+            gang.submitted + SHORT_JOB_FACTOR * left,
             gang.order,
         )
 
 
 @dataclass(frozen=True, slots=True)
 class Reservation:
-    """Workers kept for a blocked gang, and when it is expected to start there.
+    """Workers reserved for a blocked gang.
 
     :param rank: class rank of the gang.
+    :param start: when the gang is expected to start.
     """
 
     job_id: str
@@ -98,9 +100,10 @@
 def reserve(
     gang: Gang, resources: CellResources, running: Sequence[tuple[float, Gang]], now: float
 ) -> Reservation | None:
-    """Find where a blocked gang could start first, as running gangs end.
+    """Reserve the workers on which a blocked gang can start earliest, as running gangs end.
 
-    :param running: running gangs with their expected ends, by end.
+    :param running: running gangs with their expected end times, in order of these.
+    :return: the reservation, or ``None`` if the ends of all running gangs are not enough.
     """
     shape = gang.spec.shape
     best: tuple[float, Sequence[int]] | None = None
--- a/src/saddlestack/policy/reclaim.py
+++ b/src/saddlestack/policy/reclaim.py
@@ -1,4 +1,4 @@
-"""Which gangs to take back for a gang that may: fewest hurt, least work lost, whole gangs."""
+"""Chooses the gangs to reclaim for another one, at the least cost."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ReclaimPlan:
-    """A place for a gang and the gangs that have to leave it.
+    """A placement for a gang and the gangs to reclaim for it.
 
-    :param lost: accelerator-seconds thrown away.
+    :param lost: accelerator-seconds of work lost.
     """
 
     shares: Shares
@@ -25,12 +25,12 @@
 
 
 class Reclaimer:
-    """Searches for the cheapest takeover of a shape.
+    """Searches for the cheapest reclaim plan for a shape. Gangs are always reclaimed whole.
 
-    :param gangs_on: the gangs running on each worker.
-    :param takeable: whether a gang may be taken back for this request.
-    :param limit: accelerators the request may take on each worker, free or not.
-    :param reachable: at most this much of each worker can come free for the request.
+    :param gangs_on: the gangs that run on each worker.
+    :param takeable: whether a gang may be reclaimed for this request.
+    :param limit: accelerators that the request may use on each worker, free or not.
+    :param reachable: an upper bound on what can be free on each worker after reclaiming.
     """
 
     def __init__(
@@ -50,9 +50,9 @@
         self._now = now
 
     def cheapest(self, shape: Shape) -> ReclaimPlan | None:
-        """The takeover that spares urgent gangs, loses least work, hurts the fewest gangs.
+        """The plan with the fewest urgent victims, then least work lost, then fewest victims.
 
-        :rtype: Takeover | None
+        :rtype: ReclaimPlan | None
         """
         reachable = self._reachable
         best: ReclaimPlan | None = None
@@ -73,10 +73,10 @@
 
     def _within(self, workers: Sequence[int], wanted: int) -> ReclaimPlan | None:
         candidates = self._candidates(workers)
-        victims = self._choose(workers, candidates, wanted)
+        victims = self._choose_victims(workers, candidates, wanted)
         if victims is None:
             return None
-        victims = self._prune(workers, victims, wanted)
+        victims = self._drop_unneeded(workers, victims, wanted)
         usable = self._usable(workers, victims)
         shares = fill(workers, usable, wanted)
         if shares is None:
@@ -90,14 +90,14 @@
             for job_id, gang in self._gangs_on[worker].items():
                 if job_id not in found and self._takeable(gang):
                     found[job_id] = gang
-        inside = set(workers)
-        return sorted(found.values(), key=lambda gang: self._price(gang, inside))
+        domain = set(workers)
+        return sorted(found.values(), key=lambda gang: self._reclaim_cost(gang, domain))
 
-    def _price(self, gang: Gang, inside: set[int]) -> tuple[bool, float, int, int]:
-        gained = sum(count for worker, count in gang.shares if worker in inside)
+    def _reclaim_cost(self, gang: Gang, domain: set[int]) -> tuple[bool, float, int, int]:
+        gained = sum(count for worker, count in gang.shares if worker in domain)
         return gang.rank == 0, gang.loss(self._now) / gained, -gang.rank, -gained
 
-    def _choose(
+    def _choose_victims(
         self, workers: Sequence[int], candidates: Iterable[Gang], wanted: int
     ) -> list[Gang] | None:
         victims: list[Gang] = []
@@ -109,7 +109,9 @@
                 return victims
         return None
 
-    def _prune(self, workers: Sequence[int], victims: list[Gang], wanted: int) -> list[Gang]:
+    def _drop_unneeded(
+        self, workers: Sequence[int], victims: list[Gang], wanted: int
+    ) -> list[Gang]:
         kept = list(victims)
         for gang in sorted(victims, key=lambda gang: -gang.loss(self._now)):
             fewer = [other for other in kept if other is not gang]
@@ -129,6 +131,6 @@
         for worker in workers:
             free = resources.total[worker] - resources.held[worker] + freed.get(worker, 0)
             has_slot = resources.held_slots[worker] - slots.get(worker, 0) < resources.slots[worker]
-            may = free if resources.open(worker) and has_slot else 0
-            usable.append(min(may, self._limit[worker]))
+            available = free if resources.open(worker) and has_slot else 0
+            usable.append(min(available, self._limit[worker]))
         return usable
--- a/src/saddlestack/policy/resources.py
+++ b/src/saddlestack/policy/resources.py
@@ -1,8 +1,8 @@
-"""The workers of one cell: accelerators and slots, free, held and pinned.
+"""The accelerators and slots of a cell's workers: free, held and pinned.
 
-A gang's share on one worker takes its accelerators and one slot. *Pinned* room is held by
-gangs that cannot be taken back. Workers are named by index for speed; racks are lists of
-worker indexes in the order of the hall, so neighbouring racks have neighbouring indexes.
+A gang's share on one worker takes some of its accelerators and one slot. *Pinned* accelerators
+are held by gangs that cannot be reclaimed. Workers are identified by index for speed. Racks are
+lists of worker indexes in the order of the hall, so neighboring racks have neighboring indexes.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerInfo:
-    """What is fixed about a worker."""
+    """The configured properties of a worker."""
 
     name: str
     rack: str
@@ -27,7 +27,7 @@
 
 
 def workers_of(racks: Iterable[Rack]) -> list[WorkerInfo]:
-    """The workers of some racks, named RACK-01 and so on.
+    """The workers of the given racks, named RACK-01 and so on.
 
     :rtype: list[WorkerInfo]
     """
@@ -39,7 +39,14 @@
 
 
 class CellResources:
-    """Accelerators and slots of a cell's workers, and how much of each is taken."""
+    """The accelerators and slots of a cell's workers and how many of each are in use.
+
+    :ivar opened: whether new work may be placed, by worker.
+    :ivar held: accelerators in use, by worker.
+    :ivar pinned: accelerators in use by gangs that cannot be reclaimed, by worker.
+    :ivar free: accelerators that new work can use, by worker.
+    :ivar rack_free: the sum of ``free``, by rack.
+    """
 
     def __init__(self, workers: Sequence[WorkerInfo]) -> None:
         self.workers = list(workers)
@@ -66,11 +73,11 @@
         self.rack_free = [sum(self.free[w] for w in rack) for rack in self.racks]
 
     def open(self, worker: int) -> bool:
-        """Whether new work may go to the worker."""
+        """Whether new work may be placed on the worker."""
         return self.opened[worker]
 
     def take(self, shares: Iterable[Share], *, pinned: bool) -> None:
-        """Hold the shares of a gang."""
+        """Allocate the shares of a gang."""
         self._change(shares, 1, pinned)
 
     def give_back(self, shares: Iterable[Share], *, pinned: bool) -> None:
@@ -78,24 +85,27 @@
         self._change(shares, -1, pinned)
 
     def set_state(self, worker: int, *, up: bool, leaving: bool) -> None:
-        """Note that a worker came, went or is leaving."""
+        """Set whether a worker is up and whether it is leaving."""
         self.up[worker] = up
         self.leaving[worker] = leaving
         self.opened[worker] = up and not leaving
         self._refresh(worker)
 
     def unpinned(self, worker: int) -> int:
-        """Accelerators on an open worker that are free or can be taken back."""
+        """Accelerators of a worker that are free or reclaimable; none if it is closed."""
         if not self.open(worker) or self.pinned_slots[worker] >= self.slots[worker]:
             return 0
         return self.total[worker] - self.pinned[worker]
 
     def unpinned_slots(self, worker: int) -> int:
-        """Slots on a worker that are free or can be taken back."""
+        """Slots of a worker that are free or reclaimable."""
         return self.slots[worker] - self.pinned_slots[worker]
 
     def largest_possible(self, adjacent_rank: int) -> int:
-        """The largest gang the cell could hold empty, by adjacency rank (0 worker, 1 rack)."""
+        """The largest gang that fits the empty cell, by adjacency rank.
+
+        The ranks are 0 (worker), 1 (rack) and 2 (hall).
+        """
         return self._largest[adjacent_rank]
 
     def _sizes(self) -> Iterable[tuple[int, int]]:
--- a/src/saddlestack/policy/retry.py
+++ b/src/saddlestack/policy/retry.py
@@ -1,4 +1,4 @@
-"""When to try again: exponential delays with full jitter, a budget, and breakers."""
+"""Retry delays with exponential backoff and jitter, retry budgets, and circuit breakers."""
 
 from __future__ import annotations
 
@@ -23,18 +23,19 @@
 
 
 def backoff_delay(failures: int, first_s: float, longest_s: float, rng: random.Random) -> float:
-    """Seconds to wait after ``failures`` in a row where a caller has to go on for ever.
+    """Seconds to wait after ``failures`` in a row, for callers that retry without limit.
 
-    Doubles up to the longest, with half of it left to chance, so that it is never near none.
+    The delay doubles up to ``longest_s``. Only half of it is random, so that it is never close
+    to zero.
     """
     most = min(longest_s, first_s * float(2 ** min(failures, LARGEST_EXPONENT)))
     return rng.uniform(most / 2, most)
 
 
 class RetryBudget:
-    """Allows retries as a share of first tries, so that retries never multiply a load.
+    """Limits retries to a share of first tries, so that retries never multiply the load.
 
-    A small steady rate is allowed beside the share, so that a quiet VM can retry at all.
+    A small steady rate is allowed in addition, so that a VM with few requests can retry at all.
     """
 
     def __init__(
@@ -49,11 +50,14 @@
         self._steady = TokenBucket(per_second, per_second)
 
     def record_first_try(self) -> None:
-        """Note a first try."""
+        """Record a first try."""
         self._tokens = min(self._burst, self._tokens + self._share)
 
     def retry(self, now: float) -> bool:
-        """Whether one more retry is within the budget; takes it if so."""
+        """Take one retry from the budget.
+
+        :return: whether the budget allowed it.
+        """
         if self._tokens >= 1.0:
             self._tokens -= 1.0
             return True
@@ -61,7 +65,7 @@
 
 
 class BreakerState(enum.StrEnum):
-    """Whether calls pass a breaker."""
+    """The state of a circuit breaker."""
 
     CLOSED = "closed"
     OPEN = "open"
@@ -71,8 +75,8 @@
 class Breaker:
     """A circuit breaker for one endpoint.
 
-    Opens after failures in a row, lets one call through after a while, and closes when
-    that call succeeds.
+    It opens after a number of consecutive failures, lets one call through after ``open_s``
+    seconds, and closes when that call succeeds.
     """
 
     def __init__(self, failures: int = BREAKER_FAILURES, open_s: float = BREAKER_OPEN_S) -> None:
@@ -90,12 +94,12 @@
         return self.state is BreakerState.CLOSED
 
     def succeeded(self) -> None:
-        """Note a call that was answered."""
+        """Record a call that was answered."""
         self._failures = 0
         self.state = BreakerState.CLOSED
 
     def failed(self, now: float) -> None:
-        """Note a call that was not answered."""
+        """Record a call that was not answered."""
         self._failures += 1
         if self.state is BreakerState.HALF_OPEN or self._failures >= self._limit:
             self.state = BreakerState.OPEN
--- a/src/saddlestack/policy/round.py
+++ b/src/saddlestack/policy/round.py
@@ -1,4 +1,4 @@
-"""One round of decisions over the queue of a cell."""
+"""A scheduling round over the waiting gangs of a cell."""
 
 from __future__ import annotations
 
@@ -20,40 +20,47 @@
 from saddlestack.policy.queue import QueueOrder, Reservation, reserve
 from saddlestack.policy.reclaim import Reclaimer, ReclaimPlan
 
-RESERVATIONS = 2
-MOVE_INTERVAL_S = 120.0
-TRY_MOVING_S = 10.0
-PATIENCE = 0.5
-"""How long work beyond its guarantee waits, in running times, before it reclaims."""
+MAX_RESERVATIONS = 2
+MIN_MOVE_INTERVAL_S = 120.0
+MOVE_ATTEMPT_INTERVAL_S = 10.0
+RECLAIM_WAIT_FACTOR = 0.5
+"""A gang beyond its guarantee waits this share of its expected running time before it reclaims."""
 
 
 class Round:
-    """One round of decisions over the queue of a cell."""
+    """Places the waiting gangs of a cell, in order, by start, reclaim, move or reservation.
 
-    def __init__(self, cell: CellView, now: float, held: list[tuple[Reservation, int]]) -> None:
+    :param cell: the cell to schedule.
+    :param carried_over: reservations of earlier rounds with the spare accelerators of each;
+        replaced by those of this round when it ends.
+    """
+
+    def __init__(
+        self, cell: CellView, now: float, carried_over: list[tuple[Reservation, int]]
+    ) -> None:
         self._cell = cell
-        self._held = held
+        self._carried_over = carried_over
         self._resources = cell.resources
         self._now = now
         self._decisions: list[Decision] = []
-        self._too_large: dict[tuple[str, bool], int] = {}
-        self._reservations = [reservation for reservation, _ in held]
-        self._spare = {reservation.job_id: spare for reservation, spare in held}
+        self._failed_sizes: dict[tuple[str, bool], int] = {}
+        self._reservations = [reservation for reservation, _ in carried_over]
+        self._spare = {reservation.job_id: spare for reservation, spare in carried_over}
         self._ends: list[tuple[float, Gang]] | None = None
 
     def run(self, gangs: list[Gang]) -> list[Decision]:
-        """Consider the gangs, then those that they took room from."""
+        """Schedule the gangs, then the gangs that were reclaimed for them."""
         self._expire()
-        self._consider([gang for gang in gangs if gang.job_id in self._cell.waiting])
-        taken_back = [d.job_id for d in self._decisions if isinstance(d, Reclaim)]
-        again = [self._cell.waiting[j] for j in taken_back if j in self._cell.waiting]
-        if again:
-            self._consider(again)
-        self._held[:] = [(held, self._spare[held.job_id]) for held in self._reservations]
+        self._schedule([gang for gang in gangs if gang.job_id in self._cell.waiting])
+        reclaimed = [d.job_id for d in self._decisions if isinstance(d, Reclaim)]
+        requeued = [self._cell.waiting[j] for j in reclaimed if j in self._cell.waiting]
+        if requeued:
+            self._schedule(requeued)
+        self._carried_over[:] = [(each, self._spare[each.job_id]) for each in self._reservations]
         return self._decisions
 
-    def _consider(self, gangs: list[Gang]) -> None:
-        """Try gangs in order; those that stay blocked may get a reservation."""
+    def _schedule(self, gangs: list[Gang]) -> None:
+        """Try to start gangs in queue order; blocked ones may get a reservation."""
         order = QueueOrder(
             self._cell.estimator,
             dict(self._cell.borrowed),
@@ -62,16 +69,16 @@
         )
         for gang in order.sort(gangs):
             if gang.job_id in self._cell.waiting and not self._try(gang):
-                self._block(gang)
+                self._reserve_or_move(gang)
 
     def _expire(self) -> None:
         now = self._now
-        late = [
+        expired = [
             gang
             for gang in self._cell.waiting.values()
             if gang.deadline is not None and gang.deadline <= now
         ]
-        for gang in late:
+        for gang in expired:
             del self._cell.waiting[gang.job_id]
             self._decisions.append(Expire(gang.job_id))
 
@@ -85,17 +92,15 @@
             return True
         return gang.rank == 0 and self._reclaim_own(gang)
 
-    # Within the guarantee
-
     def _try_guaranteed(self, gang: Gang, charge: Charge) -> bool:
         key = (f"{gang.spec.account} {gang.spec.adjacent}", gang.rank == 0)
-        if gang.spec.accelerators >= self._too_large.get(key, 1 << 30):
+        if gang.spec.accelerators >= self._failed_sizes.get(key, 1 << 30):
             return False
         guarantees = self._cell.guarantees
         shape = guarantees.shape_for(charge, gang.spec)
         limit = guarantees.limits(charge)
         if len(charge) > 1:
-            limit = _only(guarantees.at_witnesses(charge), len(limit))
+            limit = _limit_to(guarantees.at_witnesses(charge), len(limit))
             shape = gang.spec.shape
         usable = list(map(min, self._resources.free, limit))
         shares = self._find(shape, usable)
@@ -106,37 +111,38 @@
             return True
         if self._reclaim_within(gang, shape, charge, limit):
             return True
-        self._too_large[key] = gang.spec.accelerators
+        self._failed_sizes[key] = gang.spec.accelerators
         return False
 
     def _reclaim_within(
         self, gang: Gang, shape: Shape, charge: Charge, limit: Sequence[int]
     ) -> bool:
-        """Take room back where it is cheapest, else where it is kept: that always works."""
-        kept = _only(self._cell.guarantees.at_witnesses(charge, whole=True), len(limit))
+        """Reclaim where it is cheapest, otherwise on the witnesses, which always works."""
+        kept = _limit_to(self._cell.guarantees.at_witnesses(charge, whole=True), len(limit))
         for allowed in (limit, kept):
             found = self._cheapest(shape, lambda other: not other.pinned, allowed, 0)
             if found is not None and self._cell.guarantees.admit(charge, found.shares):
-                self._evict_all(found)
+                self._evict_victims(found)
                 self._start(gang, found.shares, charge)
                 return True
         return False
 
-    def _worth(self, gang: Gang, found: ReclaimPlan) -> bool:
-        """Beyond a guarantee, work that is not urgent waits as long as stopping would cost."""
+    def _is_worth_the_loss(self, gang: Gang, found: ReclaimPlan) -> bool:
+        """Whether a gang has waited at least as many accelerator-seconds as reclaiming loses.
+
+        Urgent gangs reclaim at any cost.
+        """
         if gang.rank == 0:
             return True
         waited = (self._now - gang.submitted) * gang.spec.accelerators
         return found.lost <= waited
 
-    # In borrowed room
-
     def _try_borrowed(self, gang: Gang) -> bool:
         key = (gang.spec.adjacent.value, gang.spec.reclaimable)
-        if gang.spec.accelerators >= self._too_large.get(key, 1 << 30):
+        if gang.spec.accelerators >= self._failed_sizes.get(key, 1 << 30):
             return False
         if self._cell.place_free(gang.spec.shape) is None:
-            self._too_large[key] = gang.spec.accelerators
+            self._failed_sizes[key] = gang.spec.accelerators
             return False
         if not gang.spec.reclaimable:
             return self._try_pinned(gang)
@@ -147,7 +153,7 @@
         return True
 
     def _try_pinned(self, gang: Gang) -> bool:
-        """Borrowed room for work that can't be taken back: beside every guarantee."""
+        """Start a gang that is not reclaimable on borrowed capacity beside every guarantee."""
         spare = list(map(min, self._resources.free, self._cell.guarantees.limits(())))
         for usable in (spare, self._resources.free):
             shares = self._place_beside_reservations(gang, usable)
@@ -157,33 +163,38 @@
         return False
 
     def _place_beside_reservations(self, gang: Gang, usable: Sequence[int]) -> Shares | None:
-        """Free room that delays no reserved gang: what it can checkpoint does not delay it."""
+        """Find free capacity whose use delays no gang that has a reservation.
+
+        A checkpointing gang of a lower class delays no reservation, as it can be reclaimed
+        without loss.
+        """
         shape = gang.spec.shape
         end = self._now + self._cell.estimator.expected(gang.spec) - gang.progress
         blocking = [
-            held
-            for held in self._reservations
-            if end > held.start and not (gang.spec.checkpoint and gang.rank > held.rank)
+            reservation
+            for reservation in self._reservations
+            if end > reservation.start
+            and not (gang.spec.checkpoint and gang.rank > reservation.rank)
         ]
         if not blocking:
             return self._find(shape, usable)
-        kept = frozenset().union(*(held.workers for held in blocking))
+        kept = frozenset().union(*(reservation.workers for reservation in blocking))
         outside = [0 if w in kept else free for w, free in enumerate(usable)]
         shares = self._find(shape, outside)
         if shares is not None:
             return shares
-        if any(self._spare[held.job_id] < shape.accelerators for held in blocking):
+        if any(self._spare[reservation.job_id] < shape.accelerators for reservation in blocking):
             return None
-        for held in blocking:
-            self._spare[held.job_id] -= shape.accelerators
+        for reservation in blocking:
+            self._spare[reservation.job_id] -= shape.accelerators
         return self._find(shape, usable)
 
     def _reclaim_as_borrower(self, gang: Gang) -> bool:
-        """Take borrowed room from lesser classes: at once for urgent work, else if it pays."""
-        if not self._patient(gang):
+        """Reclaim from lower classes: at once for urgent gangs, otherwise if it is worth it."""
+        if not self._has_waited_long_enough(gang):
             return False
         key = (f"reclaim {gang.spec.adjacent} {gang.rank}", gang.spec.reclaimable)
-        if gang.spec.accelerators >= self._too_large.get(key, 1 << 30):
+        if gang.spec.accelerators >= self._failed_sizes.get(key, 1 << 30):
             return False
         limit = self._resources.total
         if not gang.spec.reclaimable:
@@ -195,33 +206,33 @@
             gang.rank + 1,
         )
         if found is None:
-            self._too_large[key] = gang.spec.accelerators
+            self._failed_sizes[key] = gang.spec.accelerators
             return False
-        if not self._worth(gang, found):
+        if not self._is_worth_the_loss(gang, found):
             return False
         if not gang.spec.reclaimable and not self._cell.guarantees.admit(None, found.shares):
             return False
-        self._evict_all(found)
+        self._evict_victims(found)
         self._start(gang, found.shares, None)
         return True
 
-    def _patient(self, gang: Gang) -> bool:
-        """Beyond its guarantee, work that is not urgent waits a while before it takes room."""
+    def _has_waited_long_enough(self, gang: Gang) -> bool:
+        """Whether a gang may reclaim beyond its guarantee: urgent ones at once, others later."""
         expected = self._cell.estimator.expected(gang.spec)
-        return gang.rank == 0 or self._now - gang.submitted >= PATIENCE * expected
+        return gang.rank == 0 or self._now - gang.submitted >= RECLAIM_WAIT_FACTOR * expected
 
     def _reclaim_own(self, gang: Gang) -> bool:
-        """Urgent work may displace its own account's lesser work from its guarantee."""
-        victims = self._own_victims(gang)
+        """Reclaim a guarantee from lower classes of the same account, for an urgent gang."""
+        victims = self._find_own_victims(gang)
         if victims is None:
             return False
         for victim in victims:
             self._decisions.append(self._cell.evict(victim, self._now))
-        self._too_large.clear()
+        self._failed_sizes.clear()
         charge = self._cell.guarantees.charge_for(gang.spec)
         return charge is not None and self._try_guaranteed(gang, charge)
 
-    def _own_victims(self, gang: Gang) -> list[Gang] | None:
+    def _find_own_victims(self, gang: Gang) -> list[Gang] | None:
         best: tuple[float, list[Gang]] | None = None
         for unit in self._cell.guarantees.of(gang.spec.account):
             if unit.shape.accelerators < gang.spec.accelerators:
@@ -234,26 +245,24 @@
                 best = (lost, users)
         return None if best is None else best[1]
 
-    # Blocked gangs
-
-    def _block(self, gang: Gang) -> None:
-        if len(self._reservations) >= RESERVATIONS:
+    def _reserve_or_move(self, gang: Gang) -> None:
+        if len(self._reservations) >= MAX_RESERVATIONS:
             return
         if self._reservations and gang.spec.accelerators <= 1:
             return
         if self._try_moving(gang):
             return
-        held = reserve(gang, self._resources, self._running_by_end(), self._now)
-        if held is not None:
-            self._reservations.append(held)
-            self._spare[held.job_id] = self._spare_at(held, gang)
+        reservation = reserve(gang, self._resources, self._running_by_end(), self._now)
+        if reservation is not None:
+            self._reservations.append(reservation)
+            self._spare[reservation.job_id] = self._spare_at(reservation, gang)
 
-    def _spare_at(self, held: Reservation, gang: Gang) -> int:
-        free = sum(self._resources.free[w] for w in held.workers)
+    def _spare_at(self, reservation: Reservation, gang: Gang) -> int:
+        free = sum(self._resources.free[w] for w in reservation.workers)
         for end, other in self._running_by_end():
-            if end > held.start:
+            if end > reservation.start:
                 break
-            free += sum(count for w, count in other.shares if w in held.workers)
+            free += sum(count for w, count in other.shares if w in reservation.workers)
         return free - gang.spec.accelerators
 
     def _running_by_end(self) -> list[tuple[float, Gang]]:
@@ -269,13 +278,13 @@
         return self._ends
 
     def _try_moving(self, gang: Gang) -> bool:
-        """Make contiguous room by moving checkpointable borrowers to other free room."""
+        """Free contiguous capacity by moving checkpointing borrowers elsewhere."""
         if not gang.spec.reclaimable or sum(self._resources.free) < gang.spec.accelerators:
             return False
         if self._now < gang.next_move:
             return False
-        gang.next_move = self._now + TRY_MOVING_S
-        found = self._cheapest(gang.spec.shape, self._movable, self._resources.total, 0)
+        gang.next_move = self._now + MOVE_ATTEMPT_INTERVAL_S
+        found = self._cheapest(gang.spec.shape, self._is_movable, self._resources.total, 0)
         if found is None or not found.victims:
             return False
         size = sum(victim.spec.accelerators for victim in found.victims)
@@ -283,8 +292,8 @@
             return False
         return self._move_all(gang, found)
 
-    def _movable(self, gang: Gang) -> bool:
-        rested = self._now - max(gang.moved, gang.started) >= MOVE_INTERVAL_S
+    def _is_movable(self, gang: Gang) -> bool:
+        rested = self._now - max(gang.moved, gang.started) >= MIN_MOVE_INTERVAL_S
         return not gang.pinned and gang.spec.checkpoint and rested
 
     def _move_all(self, gang: Gang, found: ReclaimPlan) -> bool:
@@ -293,7 +302,7 @@
         usable = list(self._resources.free)
         for worker, count in found.shares:
             usable[worker] -= count
-        places = self._places_for(found.victims, usable)
+        places = self._find_places(found.victims, usable)
         if places is None:
             for victim, shares, charge, progress in before:
                 self._cell.undo_evict(victim, shares, charge, progress)
@@ -304,7 +313,7 @@
             self._start(victim, place, None)
         return True
 
-    def _places_for(self, gangs: Iterable[Gang], usable: list[int]) -> list[Shares] | None:
+    def _find_places(self, gangs: Iterable[Gang], usable: list[int]) -> list[Shares] | None:
         places: list[Shares] = []
         for gang in gangs:
             place = self._find(gang.spec.shape, usable)
@@ -315,8 +324,6 @@
             places.append(place)
         return places
 
-    # Shared steps
-
     def _find(self, shape: Shape, usable: Sequence[int]) -> Shares | None:
         return find_placement(shape, usable, self._resources.racks, scatter=self._cell.scatter)
 
@@ -327,7 +334,7 @@
         limit: Sequence[int],
         least_rank: int,
     ) -> ReclaimPlan | None:
-        """The cheapest takeover from gangs of a class rank or lesser ones."""
+        """The cheapest plan that reclaims takeable gangs of class rank ``least_rank`` or more."""
         resources = self._resources
         lent = [sum(counts) for counts in zip(*self._cell.lent[least_rank:], strict=True)]
         if not lent:
@@ -342,7 +349,7 @@
         search = Reclaimer(resources, gangs_on, takeable, limit, reachable, self._now)
         return search.cheapest(shape)
 
-    def _evict_all(self, found: ReclaimPlan) -> None:
+    def _evict_victims(self, found: ReclaimPlan) -> None:
         for victim in found.victims:
             self._decisions.append(self._cell.evict(victim, self._now))
 
@@ -351,8 +358,8 @@
         self._ends = None
 
 
-def _only(shares: Shares | None, size: int) -> list[int]:
-    """Limits that allow just the given shares."""
+def _limit_to(shares: Shares | None, size: int) -> list[int]:
+    """Per-worker limits that allow exactly the given shares."""
     limit = [0] * size
     for worker, count in shares or ():
         limit[worker] = count
--- a/src/saddlestack/policy/router.py
+++ b/src/saddlestack/policy/router.py
@@ -1,4 +1,4 @@
-"""To which cell a job goes, from the summaries that cell schedulers announce."""
+"""Routes jobs to cells by the summaries that the cells' schedulers publish."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CellSummary:
-    """What a cell's scheduler announces.
-
-    :param largest: the largest gang the empty cell holds, by adjacency worker, rack, hall.
-    :param pinnable: the largest gang that can't be taken back and yet leaves room for every
-        guarantee in the empty cell, by the same.
-    :param free: the largest gang that fits in free room, by the same.
-    :param queued: accelerators asked for by waiting jobs, by class rank 0 to 2.
-    :param lent: accelerators that work of each class rank could take back from lesser ones.
+    """The state of a cell as published by its scheduler.
+
+    :param largest: the largest gang that fits the empty cell, for worker, rack and hall adjacency.
+    :param pinnable: the largest non-reclaimable gang that fits the empty cell beside every
+        guarantee, likewise.
+    :param free: the largest gang that fits the free capacity, likewise.
+    :param queued: accelerators requested by waiting jobs, by class rank 0 to 2.
+    :param lent: accelerators that a job of each class rank could reclaim from lower classes.
     :param capacity: accelerators of the cell.
     """
 
@@ -36,20 +36,20 @@
 
 
 class RoutedSinceSummary:
-    """Counts what was sent to each cell since it last announced itself.
+    """Counts the accelerators routed to each cell since its latest summary.
 
-    Summaries are a heartbeat old; without this, every job of a burst would go to the cell
-    that had most room a second ago.
+    Summaries are a heartbeat old. Without this correction, every job of a burst would go to
+    the cell that had the most free capacity a second ago.
     """
 
     def __init__(self) -> None:
-        self._seen: dict[str, CellSummary] = {}
+        self._last_summary: dict[str, CellSummary] = {}
         self._sent: dict[str, list[int]] = {}
 
     def adjusted(self, summary: CellSummary) -> CellSummary:
-        """The summary with what was sent since taken out of its room."""
-        if self._seen.get(summary.cell) != summary:
-            self._seen[summary.cell] = summary
+        """The summary, corrected by the jobs routed to the cell since."""
+        if self._last_summary.get(summary.cell) != summary:
+            self._last_summary[summary.cell] = summary
             self._sent[summary.cell] = [0, 0, 0]
         sent = self._sent[summary.cell]
         total = sum(sent)
@@ -71,7 +71,7 @@
         )
 
     def note(self, cell: str, spec: JobSpec) -> None:
-        """A job goes to a cell."""
+        """Record that a job is routed to a cell."""
         self._sent[cell][_RANK[spec.job_class]] += spec.accelerators
 
 
@@ -82,27 +82,29 @@
     *,
     home: str | None = None,
 ) -> str | None:
-    """The cell for a job.
+    """Choose the cell for a job.
 
-    Cells with free room come first, those where the account has a guarantee before others;
-    then cells where its guarantee would have to be taken back; then the least queue ahead
-    per accelerator. Among cells with free room the fullest is taken, which keeps whole racks
-    free elsewhere; a cell of the home hall decides a tie.
+    Cells with enough free capacity come first, those where the account has a guarantee before
+    others. Cells where its guarantee would have to be reclaimed come next, then those with the
+    shortest queue ahead per accelerator. Among cells with enough free capacity the fullest one
+    is chosen, which keeps whole racks free elsewhere. Ties go to a cell of the home hall.
 
     :param guaranteed: cells where the account has an unused guarantee that covers the job.
-    :param home: the data hall of the asking VM.
-    :return: a cell's name, or ``None`` where no known cell could ever hold the shape.
+    :param home: the data hall of the calling VM.
+    :return: the cell's name, or ``None`` if no known cell could ever hold the shape.
     """
     possible = [
-        s for s in summaries if holds(s, spec.shape) and (s.cell in guaranteed or lends(s, spec))
+        s
+        for s in summaries
+        if can_hold(s, spec.shape) and (s.cell in guaranteed or can_lend(s, spec))
     ]
     if not possible:
         return None
-    return min(possible, key=lambda s: _preference(spec, s, guaranteed, home)).cell
+    return min(possible, key=lambda s: _cell_preference(spec, s, guaranteed, home)).cell
 
 
 def find_better_cell(spec: JobSpec, here: str, summaries: Iterable[CellSummary]) -> str | None:
-    """A cell where a job that waits would start at once, unless it would here too.
+    """Find another cell in which a waiting job would start at once; the tightest fit wins.
 
     :param here: the cell where it waits.
     :return: the cell's name, or ``None``.
@@ -111,48 +113,53 @@
     rank = _RANK[spec.job_class]
     candidates = []
     for summary in summaries:
-        room = summary.free[index]
+        available = summary.free[index]
         if spec.job_class is JobClass.URGENT and spec.reclaimable:
-            room = max(room, summary.lent[0])
+            available = max(available, summary.lent[0])
         ahead = sum(summary.queued[: rank + 1])
-        if summary.cell == here or ahead or room < spec.accelerators or not lends(summary, spec):
+        if (
+            summary.cell == here
+            or ahead
+            or available < spec.accelerators
+            or not can_lend(summary, spec)
+        ):
             continue
-        candidates.append((room - spec.accelerators, summary.cell))
+        candidates.append((available - spec.accelerators, summary.cell))
     return min(candidates)[1] if candidates else None
 
 
-def holds(summary: CellSummary, shape: Shape) -> bool:
-    """Whether the empty cell could hold the shape."""
+def can_hold(summary: CellSummary, shape: Shape) -> bool:
+    """Whether the shape would fit if the cell were empty."""
     return summary.largest[_INDEX[shape.adjacent]] >= shape.accelerators
 
 
-def _crowded(spec: JobSpec, summary: CellSummary) -> bool:
-    """Whether urgent work would find neither free room nor lesser work to take it from."""
+def _is_full_of_urgent(spec: JobSpec, summary: CellSummary) -> bool:
+    """Whether an urgent job would find neither enough free nor enough reclaimable capacity."""
     if spec.job_class is not JobClass.URGENT:
         return False
     ahead = summary.queued[0]
     return summary.free[2] + summary.lent[0] < spec.accelerators + ahead
 
 
-def lends(summary: CellSummary, spec: JobSpec) -> bool:
-    """Whether the cell could ever lend room for the job beside its guarantees."""
+def can_lend(summary: CellSummary, spec: JobSpec) -> bool:
+    """Whether the cell could ever lend capacity to the job beside its guarantees."""
     return spec.reclaimable or summary.pinnable[_INDEX[spec.adjacent]] >= spec.accelerators
 
 
-def _preference(
+def _cell_preference(
     spec: JobSpec, summary: CellSummary, guaranteed: Sequence[str], home: str | None
 ) -> tuple[int, float, int, bool, str]:
-    room = summary.free[_INDEX[spec.adjacent]]
+    available = summary.free[_INDEX[spec.adjacent]]
     ahead = sum(summary.queued[: _RANK[spec.job_class] + 1])
-    fits = room >= spec.accelerators and not ahead
-    mine = summary.cell in guaranteed
-    if fits and mine:
+    fits = available >= spec.accelerators and not ahead
+    has_guarantee = summary.cell in guaranteed
+    if fits and has_guarantee:
         level = 0
     elif fits and spec.reclaimable:
         level = 1
-    elif mine and not _crowded(spec, summary):
+    elif has_guarantee and not _is_full_of_urgent(spec, summary):
         level = 2
-    elif spec.job_class is JobClass.URGENT and not _crowded(spec, summary):
+    elif spec.job_class is JobClass.URGENT and not _is_full_of_urgent(spec, summary):
         level = 3
     else:
         level = 4
--- a/src/saddlestack/policy/stall.py
+++ b/src/saddlestack/policy/stall.py
@@ -1,8 +1,8 @@
-"""Work that stands still: nothing of a job runs, though it may, beside a pool that is mostly free.
+"""Stalled jobs: none of a job's tasks runs although they may, while the pool is mostly free.
 
-One definition for all who look: the leader, which tells of it, the judges of the simulation and the
-soak, and the reader of logs. Each finds out by its own means which jobs stand; this module tells
-what counts as room enough, and which of them have stood for too long.
+This is the one definition for the leader, which reports stalls, for the checks of the simulation
+and the soak test, and for the analysis of logs. Each of them determines by itself which jobs are
+waiting; this module defines how much free capacity counts and how long a job must wait.
 """
 
 from __future__ import annotations
@@ -11,17 +11,17 @@
 from dataclasses import dataclass
 
 STALL_S = 3.0
-"""For so long a job may stand beside a free pool. From the platform's bounds."""
+"""A job is stalled if it waits this long beside a free pool. Specified by the platform."""
 FREE_CAPACITY_FACTOR = 2
-"""Room is there where a job fits so many times over. From the platform's bounds."""
+"""Free capacity is enough if a job fits this many times. Specified by the platform."""
 
 
 @dataclass(frozen=True, slots=True)
 class PoolUsage:
-    """What of a service's pool is held.
+    """How much of a service's pool is in use.
 
-    :param used: accelerators that runs hold, those being stopped among them.
-    :param total: accelerators of all workers that live.
+    :param used: accelerators held by runs, including those that are being stopped.
+    :param total: accelerators of all live workers.
     """
 
     used: int
@@ -29,16 +29,16 @@
 
     @property
     def is_mostly_free(self) -> bool:
-        """Whether under half of the accelerators is held."""
+        """Whether less than half of the accelerators are in use."""
         return self.used * 2 < self.total
 
 
 @dataclass(frozen=True, slots=True)
 class Stall:
-    """A job that has stood still for too long.
+    """A stalled job.
 
-    :param job_id: its name.
-    :param since_s: since when, on the clock of whoever looks.
+    :param job_id: the id of the job.
+    :param since_s: when it began to wait, on the clock of the caller.
     """
 
     job_id: str
@@ -46,38 +46,39 @@
 
 
 def has_free_capacity(pool: PoolUsage, copies: int, wanted: int) -> bool:
-    """Whether a job that stands has no reason to in the pool's room.
+    """Whether the pool has enough free capacity for a waiting job to start.
 
-    :param copies: tasks of it that fit into what is free.
-    :param wanted: tasks that have to start at once: all of a gang, else one.
+    :param copies: the number of the job's tasks that fit the free capacity.
+    :param wanted: the number of tasks that must start together: all of a gang, otherwise one.
     """
     return pool.is_mostly_free and copies >= FREE_CAPACITY_FACTOR * wanted
 
 
 class StallDetector:
-    """Since when each job stands, from look to look."""
+    """Tracks since when jobs have been waiting and detects those that become stalled."""
 
     def __init__(self) -> None:
         self._since: dict[str, float] = {}
-        self._told: set[str] = set()
+        self._reported: set[str] = set()
 
-    def update(self, standing: Iterable[str], now: float) -> list[Stall]:
-        """Note which jobs stand now; those that have just stood for too long, once each time.
+    def update(self, waiting: Iterable[str], now: float) -> list[Stall]:
+        """Update the set of waiting jobs.
 
-        :param standing: jobs of which nothing runs, though a task may and has room.
+        :param waiting: jobs of which no task runs, although one may and would fit.
+        :return: the jobs that have just become stalled; each stall is returned once.
         """
-        present = set(standing)
-        for job_id in [each for each in self._since if each not in present]:
+        waiting_now = set(waiting)
+        for job_id in [each for each in self._since if each not in waiting_now]:
             del self._since[job_id]
-            self._told.discard(job_id)
+            self._reported.discard(job_id)
         found = []
-        for job_id in sorted(present):
+        for job_id in sorted(waiting_now):
             since_s = self._since.setdefault(job_id, now)
-            if now - since_s >= STALL_S and job_id not in self._told:
-                self._told.add(job_id)
+            if now - since_s >= STALL_S and job_id not in self._reported:
+                self._reported.add(job_id)
                 found.append(Stall(job_id, since_s))
         return found
 
     def since(self, job_id: str) -> float | None:
-        """Since when a job stands; ``None`` where it does not."""
+        """When a job began to wait, or ``None`` if it is not waiting."""
         return self._since.get(job_id)
--- a/src/saddlestack/policy/suspicion.py
+++ b/src/saddlestack/policy/suspicion.py
@@ -1,8 +1,8 @@
-"""Whether a call without an answer speaks against one worker or against its whole data hall.
+"""Decides whether an unanswered call casts suspicion on one worker or on its whole data hall.
 
-Answers get lost now and then; a hall that is cut off loses them for all of its workers at once. To
-look at a whole hall costs a call for each of its workers, 108 on a pool of 540 and 2,000 on one of
-10,000, so one lost answer has its worker looked at alone.
+Single answers get lost now and then, while a partitioned hall loses the answers of all its workers
+at once. Polling a whole hall costs a call per worker, 108 on a pool of 540 workers and 2,000 on one
+of 10,000, so after a single lost answer only that worker is polled.
 """
 
 from __future__ import annotations
@@ -10,26 +10,29 @@
 from dataclasses import dataclass
 
 CORRELATION_WINDOW_S = 0.5
-"""Calls to two workers of a hall without answer within this time speak against the hall: orders are
-given up after 0.6 s and looks at least every 2.4 s, so a cut hall shows this soon."""
+"""Unanswered calls to two workers of a hall within this time make the hall suspect. Orders time out
+after 0.6 s and polls are made at least every 2.4 s, so a partitioned hall is noticed this soon."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Miss:
+class _UnansweredCall:
     worker_id: str
     at_s: float
 
 
 class Suspicion:
-    """The latest call without answer of each data hall."""
+    """Tracks the latest unanswered call of each data hall."""
 
     def __init__(self) -> None:
-        self._latest: dict[str, _Miss] = {}
+        self._latest: dict[str, _UnansweredCall] = {}
 
     def record_unanswered(self, hall: str, worker_id: str, now: float) -> bool:
-        """Note a call without answer; whether it speaks against the whole hall."""
-        before = self._latest.get(hall)
-        self._latest[hall] = _Miss(worker_id, now)
-        if before is None or before.worker_id == worker_id:
+        """Record an unanswered call.
+
+        :return: whether the whole hall is suspect.
+        """
+        previous = self._latest.get(hall)
+        self._latest[hall] = _UnansweredCall(worker_id, now)
+        if previous is None or previous.worker_id == worker_id:
             return False
-        return now - before.at_s <= CORRELATION_WINDOW_S
+        return now - previous.at_s <= CORRELATION_WINDOW_S
--- a/src/saddlestack/policy/upkeep.py
+++ b/src/saddlestack/policy/upkeep.py
@@ -1,4 +1,4 @@
-"""Which machine of a wave goes down for its upkeep next, and when."""
+"""Schedules the machines of a wave for upkeep, a bounded number at a time."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 from saddlestack.policy.cluster.workers import Worker
 
 SLACK_S = 1.0
-LEAST_PREPARATION_S = 1.0
+MIN_PREPARATION_S = 1.0
 
 
 class MachineStatus(enum.StrEnum):
-    """Where a machine stands in its wave."""
+    """The progress of a machine through its wave."""
 
     WAITING = "waiting"
     PREPARING = "preparing"
@@ -32,13 +32,13 @@
 
 @dataclass(slots=True)
 class WaveState:
-    """One wave as its leader drives it.
+    """The state of one wave at the leader.
 
-    At most ``most`` machines are being prepared, ordered or down at any time, so that never
-    more can be down at once, whatever became of an order without an answer.
+    At most ``wave.most`` machines are being prepared, ordered or down at any time. This also
+    bounds the machines that are down, even if an order was carried out but never answered.
 
     :param seen_s: when the leader first saw the wave.
-    :param down_s: how long a machine's upkeep takes.
+    :param down_s: how long the upkeep of a machine takes.
     """
 
     wave: Wave
@@ -52,12 +52,12 @@
 
     @property
     def finished(self) -> bool:
-        """Whether every machine has begun its upkeep, or is gone."""
+        """Whether every machine has begun its upkeep or is gone."""
         return all(m.status in {MachineStatus.DOWN, MachineStatus.DONE} for m in self._all())
 
     @property
     def begun(self) -> tuple[str, ...]:
-        """Machines whose upkeep has begun or is over."""
+        """Machines whose upkeep has begun or is complete."""
         return tuple(
             name
             for name, machine in self.machines.items()
@@ -65,28 +65,29 @@
         )
 
     def prepare(self, workers: Mapping[str, Worker], now: float) -> list[tuple[Worker, float]]:
-        """Workers that from now on get no work, and when their machine is to go down.
+        """Choose the machines to prepare next.
 
         :param workers: the listed worker of each machine.
+        :return: workers that must get no new work, with the time their machine goes down.
         """
-        self._come_back(workers)
+        self._mark_returned(workers)
         chosen = self._restarted(workers)
         waiting = [n for n, m in self.machines.items() if m.status is MachineStatus.WAITING]
-        waiting.sort(key=lambda name: _load(workers.get(name)))
+        waiting.sort(key=lambda name: _run_count(workers.get(name)))
         for name in waiting:
-            if self._busy() >= self.wave.most:
+            if self._count_in_progress() >= self.wave.most:
                 break
             worker = workers.get(name)
             machine = self.machines[name]
             machine.status = MachineStatus.PREPARING
-            machine.worker_id = _life_of(worker)
-            machine.order_by_s = now + self._preparation(now)
+            machine.worker_id = _worker_id(worker)
+            machine.order_by_s = now + self._preparation_s(now)
             if worker is not None:
                 chosen.append((worker, machine.order_by_s))
         return chosen
 
     def due(self, workers: Mapping[str, Worker], now: float) -> list[str]:
-        """Machines to be ordered down now: they run nothing, or their time has come."""
+        """Machines to order down now: those that run nothing or whose preparation time is up."""
         names = []
         for name, machine in self.machines.items():
             worker = workers.get(name)
@@ -94,20 +95,20 @@
             if machine.status is MachineStatus.PREPARING and is_due:
                 machine.status = MachineStatus.ORDERED
             if machine.status is MachineStatus.ORDERED:
-                machine.worker_id = _life_of(worker) or machine.worker_id
+                machine.worker_id = _worker_id(worker) or machine.worker_id
                 names.append(name)
         return names
 
     def mark_down(self, machine: str) -> None:
-        """The order was carried out."""
+        """Record that the order was carried out."""
         self.machines[machine].status = MachineStatus.DOWN
 
     def mark_done(self, machine: str) -> None:
-        """There is no such machine any more, or it is not of this wave."""
+        """Record that a machine is gone, not part of this wave, or had its upkeep before."""
         self.machines[machine].status = MachineStatus.DONE
 
     def is_preparing(self, machine: str) -> bool:
-        """Whether a machine is to go down and has not yet."""
+        """Whether a machine is going to be taken down but is not down yet."""
         known = self.machines.get(machine)
         return known is not None and known.status in {
             MachineStatus.PREPARING,
@@ -115,7 +116,7 @@
         }
 
     def _restarted(self, workers: Mapping[str, Worker]) -> list[tuple[Worker, float]]:
-        """Workers that started again on machines that are to run empty: they know nothing of it."""
+        """Workers that restarted on machines in preparation and have to be closed again."""
         found = []
         for name, machine in self.machines.items():
             worker = workers.get(name)
@@ -126,31 +127,31 @@
                 found.append((worker, machine.order_by_s))
         return found
 
-    def _come_back(self, workers: Mapping[str, Worker]) -> None:
+    def _mark_returned(self, workers: Mapping[str, Worker]) -> None:
         for name, machine in self.machines.items():
             worker = workers.get(name)
             returned = worker is not None and worker.worker_id != machine.worker_id
             if machine.status is MachineStatus.DOWN and returned:
                 machine.status = MachineStatus.DONE
 
-    def _busy(self) -> int:
-        quiet = {MachineStatus.WAITING, MachineStatus.DONE}
-        return sum(1 for machine in self._all() if machine.status not in quiet)
+    def _count_in_progress(self) -> int:
+        idle = {MachineStatus.WAITING, MachineStatus.DONE}
+        return sum(1 for machine in self._all() if machine.status not in idle)
 
-    def _preparation(self, now: float) -> float:
-        """Seconds that a machine may take to run empty, so that all are through in time."""
+    def _preparation_s(self, now: float) -> float:
+        """Seconds allowed for draining a machine, so that all are done by the deadline."""
         left = sum(1 for m in self._all() if m.status is not MachineStatus.DONE)
         rounds = max(1, -(-left // max(1, self.wave.most)))
         remaining = self.seen_s + self.wave.deadline_s - now - SLACK_S
-        return max(LEAST_PREPARATION_S, remaining / rounds - self.down_s - SLACK_S)
+        return max(MIN_PREPARATION_S, remaining / rounds - self.down_s - SLACK_S)
 
     def _all(self) -> list[_Machine]:
         return list(self.machines.values())
 
 
-def _load(worker: Worker | None) -> int:
+def _run_count(worker: Worker | None) -> int:
     return 0 if worker is None else len(worker.runs)
 
 
-def _life_of(worker: Worker | None) -> str:
+def _worker_id(worker: Worker | None) -> str:
     return "" if worker is None else worker.worker_id
--- a/src/saddlestack/settings.py
+++ b/src/saddlestack/settings.py
@@ -11,8 +11,8 @@
 from saddlestack.models import Model
 
 LOG_LEVELS = ("debug", "info", "warning", "error")
-HASH_LENGTH = 64
-MIN_KEY = 16
+HASH_DIGITS = 64
+MIN_KEY_LENGTH = 16
 
 
 class Address(Model, frozen=True):
@@ -134,21 +134,21 @@
         ipaddress.ip_address(address.address)
     except ValueError:
         faults.append(f"{key}.address: expected an IP number, got {address.address!r}")
-    least = 0 if listening else 1
-    if not least <= address.port <= 65_535:
-        faults.append(f"{key}.port: expected {least} to 65535, got {address.port}")
+    min_port = 0 if listening else 1
+    if not min_port <= address.port <= 65_535:
+        faults.append(f"{key}.port: expected {min_port} to 65535, got {address.port}")
     return faults
 
 
 def _secret_faults(settings: Settings) -> list[str]:
     faults = []
-    if len(settings.peer_key) < MIN_KEY:
-        faults.append(f"peer_key: expected at least {MIN_KEY} characters")
+    if len(settings.peer_key) < MIN_KEY_LENGTH:
+        faults.append(f"peer_key: expected at least {MIN_KEY_LENGTH} characters")
     if not settings.operators:
         faults.append("operators: expected at least one")
     for i, operator in enumerate(settings.operators):
         digits = operator.token_sha256.lower()
-        if len(digits) != HASH_LENGTH or any(c not in "0123456789abcdef" for c in digits):
+        if len(digits) != HASH_DIGITS or any(c not in "0123456789abcdef" for c in digits):
             faults.append(f"operators[{i}].token_sha256: expected 64 hexadecimal digits")
     return faults
 
