--- a/src/saddlestack/__init__.py
+++ b/src/saddlestack/__init__.py
@@ -49,7 +49,7 @@
 def submit(request: str, accelerators: int, *, vm: str, token: str, **options: Any) -> JobView:
     """Submit one job; see :meth:`saddlestack.Client.submit` for the options.
 
-    :param vm: an entry VM or the balancer, as ``IP:PORT``.
+    :param vm: an entry VM or the load balancer, as ``IP:PORT``.
     :rtype: JobView
     """
     with _client(vm, token) as client:
@@ -57,7 +57,7 @@
 
 
 def job(request: str, *, vm: str, token: str, wait: float = 0.0) -> JobView:
-    """Ask for one job."""
+    """Return one job."""
     with _client(vm, token) as client:
         return client.job(request, wait=wait)
 
--- a/src/saddlestack/api.py
+++ b/src/saddlestack/api.py
@@ -1,4 +1,4 @@
-"""The bodies of the HTTP interface, shared by the daemon and the client."""
+"""Request and response bodies of the HTTP API, shared by the daemon and the client."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 class SubmitBody(Model, frozen=True):
     """A job to submit.
 
-    :param request: the caller's name for it; the same name never runs twice.
-    :param account: for operators, who act for any account.
-    :param adjacent: default the narrowest that can hold the gang.
-    :param deadline_s: seconds from now after which it is not to start any more.
+    :param request: the caller's name for the job; the same name never runs twice.
+    :param account: only for operators, who may act for any account.
+    :param adjacent: defaults to the narrowest adjacency that can hold the gang.
+    :param deadline_s: seconds from now after which the job must not start.
     """
 
     request: str
@@ -30,19 +30,19 @@
 
 
 class JobsBody(Model, frozen=True):
-    """Jobs, newest first."""
+    """A list of jobs, newest first."""
 
     jobs: tuple[JobView, ...]
 
 
 class AuditBody(Model, frozen=True):
-    """Audit records, newest first."""
+    """A list of audit records, newest first."""
 
     records: tuple[AuditRecord, ...]
 
 
 class VmStatus(Model, frozen=True):
-    """An entry VM as the asked one sees it."""
+    """The state of an entry VM as known to the VM that answers."""
 
     name: str
     data_hall: str
@@ -54,7 +54,7 @@
 
 
 class StatusBody(Model, frozen=True):
-    """The state of the system as one VM sees it."""
+    """The state of the system as known to the VM that answers."""
 
     vm: str
     data_hall: str
@@ -66,7 +66,7 @@
 
 
 class HealthBody(Model, frozen=True):
-    """Health and readiness."""
+    """Whether a VM accepts requests, otherwise why not."""
 
     ready: bool
     reason: str = ""
--- a/src/saddlestack/client.py
+++ b/src/saddlestack/client.py
@@ -36,11 +36,11 @@
 
 
 class AsyncClient:
-    """Talks to the entry VMs; tries the next one when one does not answer.
+    """An asyncio client of the entry VMs. If one does not answer, the next one is tried.
 
-    :param vms: addresses and ports of entry VMs, or of the balancer.
-    :param token: a caller's or an operator's bearer token.
-    :param tries: how often a request that may be repeated is sent at most.
+    :param vms: addresses and ports of entry VMs or of the load balancer.
+    :param token: the bearer token of a caller or an operator.
+    :param tries: the maximum number of times that a repeatable request is sent.
     """
 
     def __init__(
@@ -74,15 +74,15 @@
         account: str | None = None,
         wait: float = 0.0,
     ) -> JobView:
-        """Submit a job. The same request name never runs twice, however often it is sent.
+        """Submit a job. A request name never runs twice, however often it is submitted.
 
         :param request: your name for the job, unique within the account.
         :param accelerators: size of the gang, 1 to 256.
-        :param estimate: expected running time, seconds.
-        :param deadline: seconds from now after which it is not to start.
-        :param wait: seconds to wait for the end; 0 returns as soon as it is taken in.
+        :param estimate: expected running time in seconds.
+        :param deadline: seconds from now after which the job must not start.
+        :param wait: seconds to wait for the job to end; 0 returns once the job is accepted.
         :rtype: JobView
-        :raises SaddlestackError: refused; ``error.rule.ran`` tells whether it may have run.
+        :raises SaddlestackError: the call failed; ``error.rule.ran`` tells if the job may have run.
         """
         body = SubmitBody(
             request=request,
@@ -100,9 +100,9 @@
         return _job(await self._send("POST", path, body, timeout=wait + CALL_TIMEOUT_S))
 
     async def job(self, request: str, *, account: str | None = None, wait: float = 0.0) -> JobView:
-        """Ask for a job.
+        """Return a job.
 
-        :param wait: seconds to wait for its end.
+        :param wait: seconds to wait for the job to end.
         :raises SaddlestackError: there is no such job.
         """
         path = f"/v1/jobs/{quote(request)}?wait={wait:g}{_account(account, '&')}"
@@ -122,24 +122,24 @@
         return _job(await self._send("DELETE", path))
 
     async def clear(self, request: str, *, account: str | None = None) -> JobView:
-        """Start the tasks of a job as any others, though workers crashed under them.
+        """Allow tasks of a job to start normally again after workers crashed under them.
 
-        Each start still counts, so that none crashes workers without end.
+        Each start still counts towards the limit, so that no task crashes workers endlessly.
         """
         path = f"/v1/jobs/{quote(request)}/clear{_account(account, '?')}"
         return _job(await self._ok("POST", path))
 
     async def plan(self, intent: Intent) -> Plan:
-        """Ask what an intent would change. Nothing changes.
+        """Return what an intent would change, without changing anything.
 
-        :raises SaddlestackError: the intent is wrong.
+        :raises SaddlestackError: the intent is invalid.
         """
         return from_json((await self._ok("POST", "/v1/plans", intent)).body, Plan)
 
     async def confirm(self, plan: Plan, *, wait: float = 0.0) -> Confirmation:
-        """Put a plan in force.
+        """Apply a plan.
 
-        :param wait: seconds to wait until all known VMs have it in force.
+        :param wait: seconds to wait until all known VMs have applied it.
         :raises SaddlestackError: outdated (``conflict``) or refused; nothing has changed.
         """
         path = f"/v1/confirmations?wait={wait:g}"
@@ -147,24 +147,24 @@
         return from_json(response.body, Confirmation)
 
     async def configuration(self) -> Document:
-        """The configuration in force at the asked VM."""
+        """Return the configuration that the contacted VM has applied."""
         return from_json((await self._ok("GET", "/v1/configuration")).body, Document)
 
     async def audit(self, *, limit: int = 100) -> tuple[AuditRecord, ...]:
-        """Changes and refusals, newest first."""
+        """Return accepted and refused configuration changes, newest first."""
         response = await self._ok("GET", f"/v1/audit?limit={limit}")
         return from_json(response.body, AuditBody).records
 
     async def status(self) -> StatusBody:
-        """Cells, terms, queues, guarantees and VMs as the asked VM sees them."""
+        """Return cells, terms, queues, guarantees and VMs as known to the contacted VM."""
         return from_json((await self._ok("GET", "/v1/status")).body, StatusBody)
 
     async def metrics(self) -> MetricsView:
-        """Counters and latencies of the asked VM."""
+        """Return the counters and latencies of the contacted VM."""
         return from_json((await self._ok("GET", "/v1/metrics")).body, MetricsView)
 
     async def ready(self) -> HealthBody:
-        """Whether the asked VM wants requests."""
+        """Return whether the contacted VM accepts requests."""
         return from_json((await self._send("GET", "/v1/ready", tries=1)).body, HealthBody)
 
     def close(self) -> None:
@@ -195,7 +195,7 @@
         tries: int | None = None,
         timeout: float = CALL_TIMEOUT_S,
     ) -> Response:
-        """Send, and send again to the next VM where that can do no harm."""
+        """Send a request, retrying at the next VM if it was not answered or got status 503."""
         allowed = tries or self._tries
         lost: Exception | None = None
         for attempt in range(allowed):
@@ -215,7 +215,7 @@
 
 
 class Client:
-    """The same as :class:`AsyncClient` for programs without an event loop.
+    """A blocking version of :class:`AsyncClient`, for programs without an event loop.
 
     >>> with Client([("127.0.0.1", 7080)], token="…") as client:
     ...     job = client.submit("splits-2026-12-02", 16, run_once=True, wait=60)
@@ -243,7 +243,7 @@
         return self._run(self._client.submit(request, accelerators, **options))
 
     def job(self, request: str, *, account: str | None = None, wait: float = 0.0) -> JobView:
-        """Ask for a job; see :meth:`AsyncClient.job`."""
+        """Return a job; see :meth:`AsyncClient.job`."""
         return self._run(self._client.job(request, account=account, wait=wait))
 
     def jobs(self, *, account: str | None = None, limit: int = 100) -> tuple[JobView, ...]:
@@ -255,27 +255,27 @@
         return self._run(self._client.cancel(request, account=account))
 
     def clear(self, request: str, *, account: str | None = None) -> JobView:
-        """See :meth:`AsyncClient.clear`."""
+        """Allow tasks of a job to start again; see :meth:`AsyncClient.clear`."""
         return self._run(self._client.clear(request, account=account))
 
     def plan(self, intent: Intent) -> Plan:
-        """Ask what an intent would change."""
+        """Return what an intent would change."""
         return self._run(self._client.plan(intent))
 
     def confirm(self, plan: Plan, *, wait: float = 0.0) -> Confirmation:
-        """Put a plan in force; see :meth:`AsyncClient.confirm`."""
+        """Apply a plan; see :meth:`AsyncClient.confirm`."""
         return self._run(self._client.confirm(plan, wait=wait))
 
     def configuration(self) -> Document:
-        """The configuration in force."""
+        """Return the current configuration."""
         return self._run(self._client.configuration())
 
     def audit(self, *, limit: int = 100) -> tuple[AuditRecord, ...]:
-        """Changes and refusals, newest first."""
+        """Return accepted and refused configuration changes, newest first."""
         return self._run(self._client.audit(limit=limit))
 
     def status(self) -> StatusBody:
-        """Cells, terms, queues, guarantees and VMs."""
+        """Return cells, terms, queues, guarantees and VMs."""
         return self._run(self._client.status())
 
     def close(self) -> None:
@@ -289,7 +289,7 @@
 
 
 def _job(response: Response) -> JobView:
-    """The job in an answer; every known job has one, whatever its state."""
+    """Decode the job in a response; it may be present whatever the status."""
     if response.status in {200, 202}:
         return from_json(response.body, JobView)
     try:
@@ -303,9 +303,11 @@
 
 
 def _check_for_lost_answer(response: Response, lost: Exception | None, method: str) -> Response:
-    """A refusal after a try whose answer was lost does not say that nothing ran.
+    """Check an error response that follows an earlier try whose answer was lost.
 
-    :raises SaddlestackError: the outcome is not known.
+    Such a response does not prove that the job did not run, as the earlier try may have started it.
+
+    :raises SaddlestackError: the outcome is unknown.
     """
     if method != "POST" or not isinstance(lost, AnswerLost) or response.status < 400:
         return response
@@ -317,7 +319,7 @@
         return response
     raise SaddlestackError(
         ErrorKind.OUTCOME_UNKNOWN,
-        f"an earlier try was not answered, the last one said: {error.message}",
+        f"an earlier try was not answered, the last one failed: {error.message}",
         retry_after=error.retry_after,
     )
 
--- a/src/saddlestack/codec.py
+++ b/src/saddlestack/codec.py
@@ -1,4 +1,4 @@
-"""Decoding with errors that say where: JSON with comments, JSON and msgpack."""
+"""Encoding and decoding of JSON, JSON with comments and msgpack; errors name the location."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 def from_json(data: bytes | str, kind: type[T], where: str = "body") -> T:
     """Decode JSON into a model.
 
-    :raises SaddlestackError: malformed JSON, or a field that is wrong, with its key path.
+    :raises SaddlestackError: malformed JSON or an invalid field; names its key path.
     """
     try:
         if isinstance(data, bytes):
@@ -52,18 +52,18 @@
 
 
 def _check_utf8(data: bytes) -> None:
-    """Check also the fields that no model has, which the decoder passes over.
+    """Check that all data is UTF-8, including unknown fields, which the decoder skips.
 
-    :raises UnicodeDecodeError: not UTF-8.
+    :raises UnicodeDecodeError: the data is not UTF-8.
     """
     if not data.isascii():
         data.decode()
 
 
 def has_repeated_keys(data: bytes, where: str) -> bool:
-    """Whether an object of a JSON document names a key twice: readers differ on which counts.
+    """Whether an object of a JSON document has a duplicate key, which decoders treat differently.
 
-    :raises SaddlestackError: not a document that can be read whole.
+    :raises SaddlestackError: the document is malformed.
     """
     repeated = False
 
@@ -81,7 +81,7 @@
 def from_msgpack(data: bytes, kind: type[T]) -> T:
     """Decode msgpack into a model.
 
-    :raises SaddlestackError: a frame that is not such a model.
+    :raises SaddlestackError: the data does not encode such a model.
     """
     try:
         return msgspec.msgpack.decode(data, type=kind)
@@ -90,9 +90,9 @@
 
 
 def convert(value: object, kind: type[T], where: str) -> T:
-    """Check a decoded value against a model.
+    """Convert a decoded value into a model.
 
-    :raises SaddlestackError: a field that is wrong, with its key path.
+    :raises SaddlestackError: a field is invalid; names its key path.
     """
     try:
         return msgspec.convert(value, type=kind)
@@ -103,7 +103,8 @@
 def read_json_with_comments(path: Path, kind: type[T]) -> T:
     """Read a file of JSON with comments into a model.
 
-    :raises SaddlestackError: unreadable, malformed or wrong, with file and line or key path.
+    :raises SaddlestackError: the file is unreadable, malformed or invalid; names the file and the
+        line or key path.
     """
     try:
         text = path.read_text(encoding="utf-8")
@@ -113,7 +114,7 @@
 
 
 def parse_json_with_comments(text: str, kind: type[T], name: str) -> T:
-    """Parse JSON with comments into a model; ``name`` is the file named in errors."""
+    """Parse JSON with comments into a model; errors name the file ``name``."""
     try:
         value: Any = pyjson5.decode(text)
     except pyjson5.Json5Exception as error:
--- a/src/saddlestack/daemon.py
+++ b/src/saddlestack/daemon.py
@@ -1,4 +1,4 @@
-"""One entry VM's daemon: its services, put together, started and stopped in order."""
+"""The daemon of an entry VM: builds its services and starts and stops them in order."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 class Daemon:
     """All services of one entry VM.
 
-    :param incarnation: rises with each start; wall-clock milliseconds where none is given.
+    :param incarnation: must increase with each start; defaults to wall-clock milliseconds.
     """
 
     def __init__(
@@ -100,7 +100,7 @@
         register("store_writes", lambda: self.store.writes)
 
     def _on_configuration(self, document: Document) -> None:
-        """An operator's `vm drain` of this VM is a planned stop."""
+        """Request a planned stop if an operator drains this VM with `vm drain`."""
         if self.settings.vm in document.leaving:
             self.stop_requested.set()
 
@@ -110,7 +110,7 @@
         return service
 
     async def start(self) -> None:
-        """Start every service; the intake last."""
+        """Start all services, the intake last."""
         for service in self._services:
             await service.start()
         self._tasks.spawn(self._share_store_limits())
@@ -127,16 +127,16 @@
 
     @property
     def http_port(self) -> int:
-        """Where callers and operators are served."""
+        """The port that serves callers and operators."""
         return self.intake.server.port
 
     @property
     def peer_port(self) -> int:
-        """Where other entry VMs connect."""
+        """The port that other entry VMs connect to."""
         return self.membership.port
 
     async def drain(self) -> None:
-        """A planned stop: not ready, hand cells over, answer what is in hand, leave."""
+        """Stop as planned: become not ready, hand over cells, finish requests, then stop."""
         log.info("draining", extra={"event": "draining", "vm": self.settings.vm})
         self.intake.begin_stop(self.settings.drain_s)
         await self.ownership.hand_over()
@@ -146,7 +146,7 @@
         await self.stop()
 
     async def stop(self) -> None:
-        """Stop every service, the intake first."""
+        """Stop all services, the intake first."""
         await self._tasks.cancel()
         for service in reversed(self._services):
             await service.stop()
@@ -154,19 +154,19 @@
         log.info("daemon stopped", extra={"event": "daemon_stopped", "vm": self.settings.vm})
 
     def abort(self) -> None:
-        """Close all listening sockets and links at once, as when the process dies."""
+        """Close all listening sockets and links immediately, as if the process died."""
         self.intake.server.abort()
         self.membership.abort()
 
     async def _share_store_limits(self) -> None:
-        """Keep this VM's share of the store's rates in step with the live VMs."""
+        """Update this VM's share of the store's rate limits as the number of live VMs changes."""
         while True:
             self.store.share_among(len(self.membership.alive()))
             await asyncio.sleep(STORE_SHARE_INTERVAL_S)
 
 
 async def serve(settings: Settings) -> None:
-    """Run a daemon until SIGTERM, SIGINT or an operator's `vm drain`, then drain it."""
+    """Run a daemon until SIGTERM, SIGINT or an operator's `vm drain`, then stop it as planned."""
     daemon = Daemon(settings)
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/src/saddlestack/errors.py
+++ b/src/saddlestack/errors.py
@@ -1,7 +1,7 @@
-"""Every error kind saddlestack can answer with, and what each one means to a caller.
+"""The error kinds that callers can receive and what each one means to them.
 
-The list is closed. :data:`TABLE` gives, for each kind, the HTTP status, the exit code of
-the command line, whether a repeat may help, and whether the request ran.
+The list is closed. For each kind, :data:`TABLE` defines the HTTP status, the exit code of the
+command line, whether a retry may succeed, and whether the request may have run.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class ErrorKind(enum.StrEnum):
-    """The closed list of error kinds."""
+    """The kinds of errors."""
 
     MALFORMED = "malformed"
     INVALID = "invalid"
@@ -39,7 +39,7 @@
 
 
 class Ran(enum.StrEnum):
-    """Whether the work of a failed request ran."""
+    """Whether the work of a failed request may have run."""
 
     NO = "no"
     UNKNOWN = "unknown"
@@ -47,9 +47,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ErrorRule:
-    """What one error kind means outside.
+    """What one error kind means to a caller.
 
-    :param status: HTTP status of the answer.
+    :param status: HTTP status of the response.
     :param exit_code: exit code of the command line.
     :param retryable: whether the same request may succeed later.
     :param ran: whether the work may have run.
@@ -97,12 +97,12 @@
 
 
 class SaddlestackError(Exception):
-    """Any failure of the library, tagged with its kind.
+    """The exception for all failures of the library.
 
-    :param kind: one of the closed list.
-    :param message: one sentence for a person.
-    :param retry_after: seconds until a repeat makes sense, or ``None``.
-    :param where: file and line, or key path, that the error speaks of.
+    :param kind: the kind of the error.
+    :param message: a sentence for humans.
+    :param retry_after: seconds after which a retry makes sense, or ``None``.
+    :param where: the file and line or the key path of the error.
     """
 
     def __init__(
@@ -130,7 +130,7 @@
 
 
 def invalid(message: str, where: str | None = None) -> SaddlestackError:
-    """An error for input that was understood and is wrong.
+    """An error for input that is well-formed but invalid.
 
     :rtype: SaddlestackError
     """
--- a/src/saddlestack/logs.py
+++ b/src/saddlestack/logs.py
@@ -1,7 +1,8 @@
-"""Logs as JSON lines with stable event names; no payloads and no tokens.
+"""Logs as JSON lines with stable event names, without payloads and tokens.
 
-Lines go through a bounded queue to a thread that writes them: a reader that stalls costs
-lines, never requests. How many lines were left out is told as soon as there is room again.
+Lines pass through a bounded queue to a thread that writes them. If the reader stalls, lines are
+dropped, but requests are never delayed. The number of dropped lines is logged as soon as the
+queue has space again.
 """
 
 from __future__ import annotations
@@ -23,16 +24,16 @@
 
 
 def level_of(name: str) -> int:
-    """The level of the logging module that settings name."""
+    """The level of the :mod:`logging` module with the given name."""
     return int(getattr(logging, name.upper()))
 
 
 class BoundedHandler(logging.Handler):
-    """Queues lines for a writing thread; lines that find no room are counted.
+    """A handler that queues lines for a writer thread and counts those it has to drop.
 
-    :param stream: where the thread writes.
-    :param queued: lines that may wait.
-    :param rate: lines a second that are taken in the mean.
+    :param stream: the stream that the thread writes to.
+    :param queued: the maximum number of queued lines.
+    :param rate: the maximum average number of lines per second.
     """
 
     def __init__(
@@ -47,7 +48,7 @@
         self._thread.start()
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Queue a line, or count it as left out."""
+        """Queue a line, or count it as dropped."""
         if not self._bucket.take(record.created):
             self.dropped += 1
             return
@@ -57,7 +58,7 @@
             self.dropped += 1
 
     def close(self) -> None:
-        """Write what is queued, as far as the reader takes it in a short time."""
+        """Write the queued lines, unless the reader takes longer than ``CLOSE_TIMEOUT_S``."""
         try:
             self._lines.put(None, timeout=CLOSE_TIMEOUT_S)
         except queue.Full:
@@ -74,7 +75,7 @@
 
     def _dropped_line(self, record: logging.LogRecord) -> str:
         notice = logging.LogRecord(
-            record.name, logging.WARNING, "", 0, "lines were left out", None, None
+            record.name, logging.WARNING, "", 0, "log lines were dropped", None, None
         )
         notice.__dict__.update(event="log_left_out", lines=self.dropped)
         return self.format(notice)
@@ -88,7 +89,7 @@
             self._lines.task_done()
 
     def drain(self) -> None:
-        """Wait until the reader has taken every queued line."""
+        """Wait until all queued lines are written."""
         self._lines.join()
 
     def _write_line(self, line: str) -> None:
@@ -101,7 +102,7 @@
 
 
 def configure(level: int, vm: str) -> BoundedHandler:
-    """Send the logs of saddlestack to standard output, one JSON object a line."""
+    """Send the logs of saddlestack to standard output, one JSON object per line."""
     handler = BoundedHandler(sys.stdout)
     handler.setFormatter(
         JsonFormatter(
--- a/src/saddlestack/models.py
+++ b/src/saddlestack/models.py
@@ -1,8 +1,8 @@
-"""The data that callers, operators and daemons exchange.
+"""The data models that callers, operators and daemons exchange.
 
-Every model is a :class:`msgspec.Struct`: typed, checked when decoded, and encoded the same
-way as JSON towards the outside and as msgpack between daemons. Times are seconds; wall
-times are seconds since the epoch.
+Every model is a :class:`msgspec.Struct`: typed, validated when decoded, and encoded as JSON
+for callers and as msgpack between daemons. Times are in seconds; wall times are seconds since
+the epoch.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class JobClass(enum.StrEnum):
-    """How soon a job has to start."""
+    """The urgency of a job."""
 
     URGENT = "urgent"
     NORMAL = "normal"
@@ -25,7 +25,7 @@
 
 
 class Adjacency(enum.StrEnum):
-    """How close the accelerators of a gang have to be."""
+    """How close together the accelerators of a gang must be."""
 
     WORKER = "worker"
     RACK = "rack"
@@ -54,18 +54,18 @@
 
 
 class Model(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Base of all models: never changed once made, and unknown fields are an error."""
+    """Base of all immutable models; unknown fields are an error."""
 
 
 class MutableModel(msgspec.Struct, forbid_unknown_fields=True, kw_only=True):
-    """Base of the few models that are changed in place."""
+    """Base of the few models that are modified in place."""
 
 
 class Shape(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A number of accelerators and how close they have to be.
+    """A number of accelerators and how close together they must be.
 
-    :param accelerators: how many, 1 to 256.
-    :param adjacent: within one worker, one rack or one data hall.
+    :param accelerators: the number of accelerators, 1 to 256.
+    :param adjacent: whether they must share a worker, a rack or a data hall.
     """
 
     accelerators: int
@@ -76,7 +76,7 @@
 
 
 class Guarantee(Model, frozen=True):
-    """A shape that a client account can always have, a number of times over."""
+    """A shape that is always available to a client account, ``count`` times."""
 
     accelerators: int
     adjacent: Adjacency | None = None
@@ -84,11 +84,11 @@
 
 
 class Limits(Model, frozen=True):
-    """Bounds on what one client account may ask for.
+    """Limits on the requests of one client account.
 
-    :param queued: jobs waiting at once.
-    :param rate: submissions a second.
-    :param burst: submissions at once before ``rate`` counts.
+    :param queued: the maximum number of waiting jobs.
+    :param rate: submissions per second.
+    :param burst: submissions allowed at once beyond ``rate``.
     """
 
     queued: int = 1000
@@ -106,14 +106,14 @@
 
 
 class Weights(Model, frozen=True):
-    """What a deployment weighs: completion time against fragmentation."""
+    """How a deployment weighs completion time against fragmentation."""
 
     completion: float = 0.5
     fragmentation: float = 0.5
 
 
 class Rack(Model, frozen=True):
-    """A rack of alike workers, named RACK-01, RACK-02 and so on."""
+    """A rack of identical workers, named RACK-01, RACK-02 and so on."""
 
     name: str
     workers: int
@@ -151,11 +151,11 @@
 
 
 class JobSpec(Model, frozen=True):
-    """What a caller asks for. (account, request) names the job.
+    """A job as requested by a caller, identified by account and request.
 
-    :param estimate: the caller's guess of the running time, seconds.
-    :param deadline: wall time after which the job is no longer to start, or ``None``.
-    :param payload: opaque to saddlestack, handed to the first task.
+    :param estimate: the caller's estimate of the running time in seconds.
+    :param deadline: wall time after which the job must not start, or ``None``.
+    :param payload: opaque data that is passed to the first task.
     """
 
     account: str
@@ -176,12 +176,12 @@
 
     @property
     def job_id(self) -> str:
-        """The job's name: account and request id."""
+        """The job id, made of account and request."""
         return f"{self.account}/{self.request}"
 
     @property
     def reclaimable(self) -> bool:
-        """Whether the job may be stopped and run again without running twice."""
+        """Whether the job may be stopped and started again without running its work twice."""
         return self.checkpoint or not self.run_once
 
 
@@ -193,7 +193,7 @@
 
 
 class Answer(Model, frozen=True):
-    """The output of a finished job, with what proves it whole.
+    """The output of a finished job, with its length and digest.
 
     :param digest: SHA-256 of ``output``, hexadecimal.
     """
@@ -205,7 +205,7 @@
 
 
 class JobView(Model, frozen=True):
-    """What a caller is told about a job."""
+    """The state of a job as returned to its caller."""
 
     account: str
     request: str
@@ -225,7 +225,7 @@
 
 
 class ErrorBody(Model, frozen=True):
-    """The body of every error answer."""
+    """The body of every error response."""
 
     error: str
     message: str
@@ -236,12 +236,12 @@
 
 
 class Intent(Model, frozen=True):
-    """What an operator wants changed. Parts left out stay as they are.
+    """A configuration change by an operator. Fields that are not set leave the value unchanged.
 
-    :param data_halls: the halls and racks, replacing all that is known.
+    :param data_halls: the halls and racks, replacing all existing ones.
     :param accounts: client accounts to create or replace; without tokens they keep theirs.
     :param remove_accounts: client accounts to remove.
-    :param drain: VMs that are to receive no new work.
+    :param drain: VMs that must receive no new work.
     :param undrain: VMs that may receive work again.
     """
 
@@ -255,10 +255,10 @@
 
 
 class AuditRecord(Model, frozen=True):
-    """One change or refusal: who, when, from which revision, what, with which outcome.
+    """An accepted or refused configuration change.
 
-    :param record: identifies the record; the same record is never kept twice.
-    :param at: wall time.
+    :param record: the unique id of the record; the same record is never stored twice.
+    :param at: wall time of the change.
     :param outcome: ``accepted`` or an error kind.
     """
 
@@ -275,10 +275,10 @@
 
 
 class Document(Model, frozen=True):
-    """The configuration in force: one revisioned value in the platform's store.
+    """The current configuration, stored as one versioned value in the platform's store.
 
-    :param revision: rises by one with each accepted change.
-    :param spare: workers each cell can lose with all guarantees still packing.
+    :param revision: incremented by each accepted change.
+    :param spare: workers that each cell can lose with all guarantees still packing.
     :param leaving: VMs that receive no new work.
     :param history: the latest accepted changes, newest last.
     """
@@ -293,17 +293,17 @@
     history: tuple[AuditRecord, ...] = ()
 
     def account(self, name: str) -> Account | None:
-        """The client account of that name."""
+        """The client account of that name, or ``None``."""
         return next((account for account in self.accounts if account.name == name), None)
 
 
 class Plan(Model, frozen=True):
-    """What would happen if an intent were confirmed. Nothing has changed yet.
+    """The effect that confirming an intent would have. A plan itself changes nothing.
 
-    :param plan: digest of base revision and intent.
-    :param changes: what changes, a sentence each.
-    :param reclaims: what running work may have to give room, a sentence each.
-    :param refusals: why the plan can't be confirmed; empty where it can.
+    :param plan: digest of the base revision and the intent.
+    :param changes: the changes, one sentence each.
+    :param reclaims: the running work that may be reclaimed, one sentence each.
+    :param refusals: why the plan can't be confirmed; empty if it can.
     """
 
     plan: str
@@ -318,8 +318,8 @@
 class Confirmation(Model, frozen=True):
     """A confirmed plan.
 
-    :param in_force: VMs known to have the revision in force.
-    :param behind: VMs known and not yet there.
+    :param in_force: known VMs that have applied the revision.
+    :param behind: known VMs that have not applied it yet.
     """
 
     revision: int
--- a/src/saddlestack/settings.py
+++ b/src/saddlestack/settings.py
@@ -1,4 +1,4 @@
-"""A daemon's settings: JSON with comments, checked whole before anything starts."""
+"""The settings of a daemon: JSON with comments, fully validated before anything starts."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 class Address(Model, frozen=True):
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     address: str
     port: int
 
 
 class Peer(Model, frozen=True):
-    """Another entry VM, known from the settings."""
+    """Another entry VM, listed in the settings."""
 
     name: str
     data_hall: str
@@ -32,7 +32,7 @@
 
 
 class Operator(Model, frozen=True):
-    """An operator who may plan and confirm.
+    """An operator who may plan and confirm configuration changes.
 
     :param token_sha256: SHA-256 of the bearer token, hexadecimal.
     """
@@ -42,11 +42,11 @@
 
 
 class Bounds(Model, frozen=True):
-    """Bounds of one daemon.
+    """Resource limits of one daemon.
 
-    :param body_bytes: bytes of a request's body.
-    :param connections: HTTP connections at once.
-    :param waiting: requests that wait for a job at once.
+    :param body_bytes: the maximum size of a request body in bytes.
+    :param connections: the maximum number of concurrent HTTP connections.
+    :param waiting: the maximum number of concurrent requests that wait for a job.
     """
 
     body_bytes: int = 256 * 1024
@@ -55,19 +55,20 @@
 
 
 class Settings(Model, frozen=True):
-    """What a daemon has to know to start.
+    """The settings of one entry VM's daemon.
 
     :param vm: the name of this VM.
-    :param data_hall: the data hall it stands in.
-    :param http: where callers and operators are served.
-    :param peer: where other entry VMs connect.
-    :param store: the platform's key-value store.
-    :param vm_list: the platform's list of VMs.
-    :param peer_key: the key that all entry VMs share.
-    :param operators: who may plan and confirm.
-    :param peers: entry VMs to know before the VM list answers.
-    :param drain_s: seconds a planned stop may take.
-    :param retention_s: seconds for which a final answer is kept.
+    :param data_hall: the data hall of this VM.
+    :param http: the address that serves callers and operators.
+    :param peer: the address that other entry VMs connect to.
+    :param store: the address of the platform's key-value store.
+    :param vm_list: the address of the platform's list of VMs.
+    :param peer_key: the key shared by all entry VMs.
+    :param operators: operators who may plan and confirm.
+    :param peers: entry VMs that are known before the VM list is available.
+    :param drain_s: the maximum duration of a planned stop in seconds.
+    :param retention_s: seconds for which the final answer of a job is kept.
+    :param store_token: a bearer token for the store, if it needs one.
     """
 
     vm: str
@@ -87,9 +88,9 @@
 
 
 def load(path: Path) -> Settings:
-    """Read and check a settings file.
+    """Read and validate a settings file.
 
-    :raises SaddlestackError: with every fault found, each with its line or key path.
+    :raises SaddlestackError: the file is invalid; lists every error with its line or key path.
     """
     settings = read_json_with_comments(path, Settings)
     faults = check(settings)
@@ -99,7 +100,7 @@
 
 
 def check(settings: Settings) -> list[str]:
-    """Every fault of the settings: key path and what was expected.
+    """List every error in the settings, with its key path and what was expected.
 
     :rtype: list[str]
     """
@@ -154,20 +155,20 @@
 
 
 def logging_level(settings: Settings) -> int:
-    """The level of the logging module that the settings name."""
+    """The level of the :mod:`logging` module that the settings select."""
     return int(getattr(logging, settings.log_level.upper()))
 
 
 EXAMPLE = """\
 // Settings of one entry VM. JSON with comments; every key that is not marked optional
-// has to be there, and keys that are not known are an error.
+// is required, and unknown keys are an error.
 {
   // The name of this VM, as in the platform's VM list.
   "vm": "ee-entry-01",
-  // The data hall it stands in. It schedules cells of this data hall only.
+  // The data hall of this VM. It schedules cells of this data hall only.
   "data_hall": "ulemiste",
 
-  // Where callers and operators are served (HTTP), and where other entry VMs connect.
+  // The addresses that serve callers and operators (HTTP) and other entry VMs.
   "http": {"address": "127.0.0.1", "port": 7080},
   "peer": {"address": "127.0.0.1", "port": 7081},
 
@@ -185,12 +186,12 @@
      "token_sha256": "0000000000000000000000000000000000000000000000000000000000000000"}
   ],
 
-  // Optional: entry VMs to know before the VM list answers.
+  // Optional: entry VMs that are known before the VM list is available.
   "peers": [
     // {"name": "ee-entry-02", "data_hall": "ulemiste", "address": "127.0.0.2", "port": 7081}
   ],
 
-  // Optional: bounds of this daemon.
+  // Optional: resource limits of this daemon.
   "bounds": {"body_bytes": 262144, "connections": 4096, "waiting": 10000},
   // Optional: debug, info, warning or error.
   "log_level": "info",
--- a/src/saddlestack/shapes.py
+++ b/src/saddlestack/shapes.py
@@ -1,4 +1,4 @@
-"""Checks that every shape passes, wherever it comes from, and its short form."""
+"""Validation of shapes and the short form of guarantees."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 def parse_guarantee(text: str) -> Guarantee:
-    """Read ``COUNTxACCELERATORS@ADJACENCY``, such as ``2x16@rack``.
+    """Parse ``COUNTxACCELERATORS@ADJACENCY``, such as ``2x16@rack``.
 
-    :raises SaddlestackError: another form.
+    :raises SaddlestackError: the text is malformed or the size is out of range.
     """
     match = _SHORT.match(text)
     if match is None:
@@ -24,9 +24,9 @@
 
 
 def check_accelerators(accelerators: int, where: str) -> None:
-    """Refuse a gang that is empty or larger than any gang may be.
+    """Check that the size of a gang is between 1 and ``MAX_GANG``.
 
-    :raises SaddlestackError: out of range.
+    :raises SaddlestackError: the size is out of range.
     """
     if not 1 <= accelerators <= MAX_GANG:
         raise invalid(f"accelerators must be 1 to {MAX_GANG}, got {accelerators}", where)
--- a/src/saddlestack/work.py
+++ b/src/saddlestack/work.py
@@ -1,8 +1,8 @@
-"""What a client account asks to be run: jobs of steps, steps of tasks.
+"""The model of a job: jobs consist of steps, steps of tasks.
 
-The model is the product's own. A platform's adapter translates what clients send into a
-:class:`JobRequest`; the scheduler keeps it as an :class:`AcceptedJob`. Memory is in MB,
-processors in thousandths of a core, times in milliseconds.
+The model is independent of the platform. A platform's adapter translates what clients send into a
+:class:`JobRequest`; the scheduler stores it as an :class:`AcceptedJob`. Memory is in MB, processor
+capacity in thousandths of a core, times are in milliseconds.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class Resources(msgspec.Struct, frozen=True, array_like=True):
-    """Room on a worker.
+    """An amount of a worker's resources.
 
     :param cpu: thousandths of a core.
     :param memory_mb: megabytes.
@@ -56,44 +56,49 @@
             self.accelerators - other.accelerators,
         )
 
-    def fits(self, room: Resources) -> bool:
-        """Whether this much fits into some room."""
+    def fits(self, available: Resources) -> bool:
+        """Whether this amount fits into the given resources."""
         return (
-            self.cpu <= room.cpu
-            and self.memory_mb <= room.memory_mb
-            and self.accelerators <= room.accelerators
+            self.cpu <= available.cpu
+            and self.memory_mb <= available.memory_mb
+            and self.accelerators <= available.accelerators
         )
 
-    def copies_in(self, room: Resources) -> int:
-        """How many times this fits into some room; a large number where it is empty."""
+    def copies_in(self, available: Resources) -> int:
+        """How many times this amount fits into the given resources.
+
+        At most ``MAX_TASKS_OF_JOB``, also if the amount is empty.
+        """
         copies = MAX_TASKS_OF_JOB
-        if self.cpu and (fit := room.cpu // self.cpu) < copies:
+        if self.cpu and (fit := available.cpu // self.cpu) < copies:
             copies = fit
-        if self.memory_mb and (fit := room.memory_mb // self.memory_mb) < copies:
+        if self.memory_mb and (fit := available.memory_mb // self.memory_mb) < copies:
             copies = fit
-        if self.accelerators and (fit := room.accelerators // self.accelerators) < copies:
+        if self.accelerators and (fit := available.accelerators // self.accelerators) < copies:
             copies = fit
         return copies if copies > 0 else 0
 
 
 class Step(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """A number of alike tasks.
+    """A number of identical tasks.
 
-    :param needs: room that each task takes.
-    :param estimate_ms: a rough guess of how long a task runs.
+    :param count: the number of tasks.
+    :param needs: resources of each task.
+    :param estimate_ms: a rough estimate of how long a task runs.
     :param after: numbers of earlier steps that must be done first.
     :param gang: the tasks run all together or not at all.
     :param same_rack: the tasks run much slower on more than one rack.
     :param label: a label that the worker must have.
     :param data_rack: the rack near the data; tasks run much slower elsewhere.
-    :param per_worker: tasks of the step on one worker at most; 0 means any number.
+    :param per_worker: the maximum number of tasks of the step on one worker; 0 means any number.
     :param checkpoint: tasks save their progress and can resume from it.
-    :param speculative: copies of a task may run side by side.
+    :param speculative: copies of a task may run concurrently.
     :param long_running: tasks run until the job is cancelled.
     :param image: tasks of the same image behave alike.
     :param target_ms: tail latency that a serving task should stay below.
-    :param fills: the tasks take processor time that others leave unused.
-    :param may_miss: tasks of a long-running step that may be away through us at once.
+    :param fills: the tasks use processor time that others leave unused.
+    :param may_miss: the maximum number of tasks of a long-running step that the scheduler may
+        have stopped at once.
     :param once: a task that may have begun never starts again, except from a checkpoint.
     """
 
@@ -117,19 +122,19 @@
 
     @property
     def allocation(self) -> Resources:
-        """What a task takes of a worker's room."""
+        """The resources that a task reserves on its worker."""
         if not self.fills:
             return self.needs
         return Resources(0, self.needs.memory_mb, self.needs.accelerators)
 
 
 class JobRequest(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """A job as a client hands it in.
+    """A job as submitted by a client.
 
-    :param payload: opaque text, handed to every task.
-    :param times: how often the steps run; 0 means once and at once.
-    :param first_at_ms: when the first time is due, milliseconds since 1970.
-    :param interval_ms: from one time to the next.
+    :param payload: opaque text that is passed to every task.
+    :param times: how often the steps run; 0 means once and immediately.
+    :param first_at_ms: when the first occurrence is due, milliseconds since 1970.
+    :param interval_ms: the time from one occurrence to the next.
     """
 
     payload: str
@@ -140,24 +145,27 @@
 
     @property
     def occurrences(self) -> int:
-        """How many times the steps run."""
+        """The number of times that the steps run."""
         return max(1, self.times)
 
     def due_ms(self, occurrence: int) -> int:
-        """When an occurrence is due, milliseconds since 1970; 0 means at once."""
+        """When an occurrence is due, milliseconds since 1970; 0 means immediately."""
         if not self.times:
             return 0
         return self.first_at_ms + occurrence * self.interval_ms
 
 
 class AcceptedJob(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """A job that was accepted, as the store keeps it.
+    """An accepted job, as kept in the store.
+
+    The objective for its duration is ``stretch`` times its longest chain of work plus
+    ``target_ms``.
 
-    :param account: the client account, or empty where the queue is open to all.
+    :param account: the client account, or empty if the queue is open to all.
     :param accepted_ms: wall time of the acceptance, milliseconds since 1970.
-    :param attempts: failed runs after which a task fails its job.
-    :param stretch: the objective is this many times the longest chain of work...
-    :param target_ms: ...plus this.
+    :param attempts: the number of failed runs of a task after which its job fails.
+    :param stretch: the factor of the objective.
+    :param target_ms: the constant of the objective, in milliseconds.
     """
 
     job_id: str
@@ -174,7 +182,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class TaskName:
-    """Names one task of one occurrence of a job."""
+    """Identifies one task of one occurrence of a job."""
 
     job_id: str
     occurrence: int
@@ -186,16 +194,16 @@
 
     @classmethod
     def parse(cls, text: str) -> TaskName:
-        """The name that a text spells.
+        """Parse a task name, as formatted by ``str``.
 
-        :raises ValueError: it spells none.
+        :raises ValueError: the text is not a task name.
         """
         job_id, occurrence, step, index = text.split(".")
         return cls(job_id, int(occurrence), int(step), int(index))
 
 
 def faults_of(request: JobRequest) -> list[str]:
-    """Every fault of a job request: its place and what was expected.
+    """List every error in a job request, with its location and what was expected.
 
     :rtype: list[str]
     """
@@ -220,7 +228,7 @@
         faults.append(f"steps[{number}].count: expected 1 or more, got {step.count}")
     needs = step.needs
     if min(needs.cpu, needs.memory_mb, needs.accelerators) < 0:
-        faults.append(f"steps[{number}]: expected room of 0 or more")
+        faults.append(f"steps[{number}]: expected resources of 0 or more")
     if min(step.estimate_ms, step.per_worker, step.target_ms, step.may_miss) < 0:
         faults.append(f"steps[{number}]: expected numbers of 0 or more")
     for earlier in step.after:
