--- a/tests/support.py
+++ b/tests/support.py
@@ -1,4 +1,4 @@
-"""Helpers that several tests use."""
+"""Helpers shared by several tests."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 def bare_context(
     clock: Clock, *, store: MetadataStore | None = None, health: StoreHealth | None = None
 ) -> EntryContext:
-    """What parts of an entry VM are given where they are tested alone."""
+    """A minimal context for testing parts of an entry VM in isolation."""
     unused: Any = None
     return EntryContext(
         settings=unused,
--- a/tests/test_client.py
+++ b/tests/test_client.py
@@ -11,9 +11,9 @@
 HOST = "127.0.0.1"
 
 
-class DoubtTest(unittest.TestCase):
-    def test_a_refusal_after_a_lost_answer_is_not_called_not_run(self) -> None:
-        """The first VM dies with the request in hand; the second refuses its repetition."""
+class LostAnswerTest(unittest.TestCase):
+    def test_a_refusal_after_a_lost_answer_is_not_reported_as_not_run(self) -> None:
+        """The first VM dies while it handles the request; the second refuses the retry."""
 
         async def main() -> None:
             async def refuse(request: Request) -> Response:
@@ -46,7 +46,9 @@
 
 
 class StartingVmTest(ClusterTest):
-    def test_a_vm_without_a_configuration_says_not_ready_rather_than_who_are_you(self) -> None:
+    def test_a_vm_without_a_configuration_is_unavailable_rather_than_refusing_the_token(
+        self,
+    ) -> None:
         async def body(cluster: Cluster) -> None:
             cluster.store.faults.down = True
             for name in list(cluster.entries):
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -9,7 +9,7 @@
 
 
 class AccessTest(ClusterTest):
-    def test_without_a_good_token_nothing_is_done(self) -> None:
+    def test_requests_without_a_valid_token_are_refused(self) -> None:
         async def body(cluster: Cluster) -> None:
             for token, kind in (("nobody's", ErrorKind.UNAUTHENTICATED), ("", "unauthenticated")):
                 client = cluster.client(token or "x")
@@ -37,7 +37,7 @@
 
 
 class InputTest(ClusterTest):
-    def test_bad_requests_get_a_clear_error_with_its_place(self) -> None:
+    def test_bad_requests_get_a_clear_error_with_its_location(self) -> None:
         async def body(cluster: Cluster) -> None:
             entry = next(iter(cluster.entries.values()))
             http = HttpClient(entry.address, entry.daemon.http_port, token=token_of("depots"))
@@ -73,7 +73,7 @@
 
         self.with_cluster(body)
 
-    def test_limits_refuse_as_not_run_and_say_when_to_come_back(self) -> None:
+    def test_limits_refuse_as_not_run_and_give_a_retry_time(self) -> None:
         limits = Limits(queued=1, rate=1.0, burst=6)
         limited = Account(name="small", limits=limits, tokens=(hash_token(token_of("small")),))
 
@@ -93,7 +93,7 @@
 
 
 class CallerTest(ClusterTest):
-    def test_ask_list_and_cancel(self) -> None:
+    def test_get_list_and_cancel(self) -> None:
         async def body(cluster: Cluster) -> None:
             client = cluster.client(token_of("replays"))
             await client.submit("hold", 64, adjacent="rack", payload='{"seconds": 30}')
@@ -187,7 +187,7 @@
 
         self.with_cluster(body)
 
-    def test_a_drained_endpoint_gets_no_new_work_and_may_come_back(self) -> None:
+    def test_a_drained_endpoint_gets_no_new_work_until_it_is_undrained(self) -> None:
         async def body(cluster: Cluster) -> None:
             operator = cluster.operator()
             names = tuple(f"ee-u-{i:02d}" for i in range(1, 8))
@@ -201,13 +201,13 @@
 
         self.with_cluster(body)
 
-    def test_draining_an_entry_vm_asks_its_daemon_to_leave(self) -> None:
+    def test_draining_an_entry_vm_requests_a_stop_of_its_daemon(self) -> None:
         async def body(cluster: Cluster) -> None:
             operator = cluster.operator()
             intent = Intent(drain=("ulemiste-entry-2",))
             await operator.confirm(await operator.plan(intent), wait=5)
-            left = {n: e.daemon.stop_requested.is_set() for n, e in cluster.entries.items()}
-            self.assertEqual(left, {"ulemiste-entry-1": False, "ulemiste-entry-2": True})
+            stopping = {n: e.daemon.stop_requested.is_set() for n, e in cluster.entries.items()}
+            self.assertEqual(stopping, {"ulemiste-entry-1": False, "ulemiste-entry-2": True})
 
         self.with_cluster(body)
 
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -13,7 +13,7 @@
                 self.assertTrue(400 <= rule.status <= 599)
                 self.assertGreater(rule.exit_code, 0)
 
-    def test_what_may_have_run_is_not_called_not_run(self) -> None:
+    def test_kinds_that_may_have_run_are_not_marked_as_not_run(self) -> None:
         may_have_run = {kind for kind, rule in TABLE.items() if rule.ran is Ran.UNKNOWN}
         self.assertEqual(
             may_have_run,
--- a/tests/test_guarantees.py
+++ b/tests/test_guarantees.py
@@ -23,7 +23,7 @@
 
 
 def brute_force_packs(left: tuple[int, ...], racks: list[list[int]], shapes: list[Shape]) -> bool:
-    """Tries every way to place every shape, an accelerator at a time."""
+    """Try every placement of every shape, one accelerator at a time."""
     if not shapes:
         return True
     shape, rest = shapes[0], shapes[1:]
@@ -49,15 +49,15 @@
 shapes_strategy = st.lists(
     st.builds(Shape, st.integers(1, 5), st.sampled_from(list(Adjacency))), min_size=1, max_size=4
 )
-rooms_strategy = st.lists(
+cells_strategy = st.lists(
     st.lists(st.integers(0, 4), min_size=1, max_size=2), min_size=1, max_size=2
 )
 
 
 class PackingTest(unittest.TestCase):
     @settings(max_examples=200, deadline=None, derandomize=True)
-    @given(rooms_strategy, shapes_strategy)
-    def test_agrees_with_brute_force_on_small_rooms(
+    @given(cells_strategy, shapes_strategy)
+    def test_agrees_with_brute_force_on_small_cells(
         self, sizes: list[list[int]], shapes: list[Shape]
     ) -> None:
         workers = cell_workers(sizes)
@@ -103,7 +103,7 @@
 
 
 class InvariantTest(unittest.TestCase):
-    """After every decision all unused guaranteed shapes can be formed at the same time."""
+    """All unused guaranteed shapes can be formed at the same time after every decision."""
 
     def setUp(self) -> None:
         self.cell = Cell(
@@ -193,7 +193,7 @@
         self.assertIn("a/want", starts)
         self.check(False)
 
-    def test_run_once_work_that_cannot_checkpoint_is_never_taken_back(self) -> None:
+    def test_run_once_work_that_cannot_checkpoint_is_never_reclaimed(self) -> None:
         for i in range(30):
             self.submit("c", f"once{i}", 1, Adjacency.WORKER, JobClass.BULK, run_once=True)
         self.cell.decide(1.0)
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -1,4 +1,4 @@
-"""Logs: bounded, and never in the way of requests."""
+"""Tests that logs are bounded and never delay requests."""
 
 from __future__ import annotations
 
@@ -43,7 +43,7 @@
         lines = [json.loads(line) for line in stream.getvalue().splitlines()]
         self.assertEqual([line["number"] for line in lines], list(range(100)))
 
-    def test_a_stalled_reader_costs_lines_and_no_time(self) -> None:
+    def test_a_stalled_reader_loses_lines_without_delay(self) -> None:
         stream = StalledStream()
         handler = BoundedHandler(stream, queued=10)
         logger = self.logger(handler)
@@ -56,14 +56,14 @@
         logger.info("after")
         handler.close()
         lines = [json.loads(line) for line in stream.getvalue().splitlines()]
-        told = sum(line["lines"] for line in lines if line.get("event") == "log_left_out")
+        reported = sum(line["lines"] for line in lines if line.get("event") == "log_left_out")
         written = sum(1 for line in lines if "number" in line)
-        self.assertEqual(told + written, 500)
+        self.assertEqual(reported + written, 500)
         self.assertLessEqual(written, 12)
         self.assertEqual(lines[-1]["message"], "after")
 
     def test_the_rate_is_bounded(self) -> None:
-        """The time is the lines' own: how fast this machine writes them must not matter."""
+        """The rate is computed from the time of the lines, not from the speed of this machine."""
         stream = io.StringIO()
         handler = BoundedHandler(stream, rate=50)
         handler.setFormatter(JsonFormatter("%(message)s"))
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -3,8 +3,8 @@
 from tests.support import EE_HALLS, ClusterTest
 
 
-class WholePathTest(ClusterTest):
-    def test_a_gang_goes_the_whole_way(self) -> None:
+class EndToEndTest(ClusterTest):
+    def test_a_gang_runs_from_submission_to_its_answer(self) -> None:
         async def body(cluster: Cluster) -> None:
             client = cluster.client(token_of("depots"), hall="ulemiste")
             job = await client.submit(
@@ -24,7 +24,7 @@
 
         self.with_cluster(body, halls=EE_HALLS)
 
-    def test_a_repeated_request_gets_its_first_answer(self) -> None:
+    def test_a_repeated_request_gets_the_first_answer(self) -> None:
         async def body(cluster: Cluster) -> None:
             client = cluster.client(token_of("depots"))
             first = await client.submit("pay-1", 8, run_once=True, wait=30)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -56,7 +56,7 @@
 
 
 class QueueTest(unittest.TestCase):
-    def test_urgent_work_takes_borrowed_room_at_once(self) -> None:
+    def test_urgent_work_reclaims_borrowed_capacity_at_once(self) -> None:
         cell = new_cell()
         for i in range(8):
             cell.submit(job(f"b{i}", 8, job_class=JobClass.BULK, checkpoint=True), 0.0)
@@ -158,8 +158,8 @@
 
 
 class FleetTest(unittest.TestCase):
-    def test_no_more_waiting_jobs_move_than_the_other_cell_has_room_for(self) -> None:
-        """The second one saw the room that the first had just taken."""
+    def test_no_more_waiting_jobs_move_than_fit_the_other_cell(self) -> None:
+        """A second job was moved by a summary from before the first one moved."""
         halls = [one_rack_hall(name, workers=2, accelerators=8) for name in ("one", "two")]
         fleet = Fleet(cells_of(halls), (), Weights(), {})
         for request in ("a", "b", "c", "d"):
@@ -196,7 +196,7 @@
         self.assertIn("nearest that would fit is 16@hall", str(caught.exception))
 
     def test_shapes_that_fit_only_apart_from_each_other_are_assigned(self) -> None:
-        """Found by hand: the narrow shapes were spread first, and no rack was left whole."""
+        """A greedy pass spreads the narrow shapes first and leaves no rack whole."""
         halls = [one_rack_hall(f"hall-{number}", workers=8, accelerators=8) for number in range(3)]
         assigned = Planner(cells_of(halls)).assign(
             [
@@ -212,7 +212,7 @@
     @settings(max_examples=150, deadline=None)
     @given(st.integers(0, 2**32))
     def test_small_plans_are_exact(self, seed: int) -> None:
-        """What some way of dealing the shapes to cells can hold is never refused."""
+        """Shapes are never refused if some assignment to cells can hold them."""
         rng = random.Random(seed)
         halls = [
             one_rack_hall(f"hall-{number}", workers=rng.randint(1, 2), accelerators=4)
@@ -231,24 +231,26 @@
             fits = len(Planner(cells_of(halls), spare).assign(accounts)) == len(guarantees)
         except SaddlestackError:
             fits = False
-        self.assertEqual(fits, self.fits_some_way(halls, spare, guarantees))
+        self.assertEqual(fits, self.fits_some_assignment(halls, spare, guarantees))
 
-    def fits_some_way(self, halls: list[DataHall], spare: int, guarantees: list[Guarantee]) -> bool:
-        """Try every way to deal guarantees to halls; each hall is judged alone."""
+    def fits_some_assignment(
+        self, halls: list[DataHall], spare: int, guarantees: list[Guarantee]
+    ) -> bool:
+        """Try every assignment of guarantees to halls, checking each hall alone."""
 
-        def holds(hall: DataHall, dealt: list[Guarantee]) -> bool:
-            accounts = [self.account(f"a{i}", each) for i, each in enumerate(dealt)]
+        def fits(hall: DataHall, assigned: list[Guarantee]) -> bool:
+            accounts = [self.account(f"a{i}", each) for i, each in enumerate(assigned)]
             try:
                 Planner(cells_of([hall]), spare).assign(accounts)
             except SaddlestackError:
                 return False
             return True
 
-        for ways in itertools.product(range(len(halls)), repeat=len(guarantees)):
-            dealt: list[list[Guarantee]] = [[] for _ in halls]
-            for way, guarantee in zip(ways, guarantees, strict=True):
-                dealt[way].append(guarantee)
-            if all(holds(hall, each) for hall, each in zip(halls, dealt, strict=True)):
+        for assignment in itertools.product(range(len(halls)), repeat=len(guarantees)):
+            assigned: list[list[Guarantee]] = [[] for _ in halls]
+            for number, guarantee in zip(assignment, guarantees, strict=True):
+                assigned[number].append(guarantee)
+            if all(fits(hall, each) for hall, each in zip(halls, assigned, strict=True)):
                 return True
         return False
 
@@ -323,7 +325,7 @@
             64,
         )
 
-    def test_free_room_comes_before_a_guarantee_that_has_to_be_taken_back(self) -> None:
+    def test_free_capacity_comes_before_a_guarantee_that_has_to_be_reclaimed(self) -> None:
         cells = [self.summary("mine", 0), self.summary("other", 16)]
         self.assertEqual(choose_cell(job("x", 8), cells, ["mine"]), "other")
         self.assertEqual(choose_cell(job("x", 8, run_once=True), cells, ["mine"]), "mine")
@@ -342,13 +344,13 @@
         cells = [self.summary("a", 64, pinnable=4), self.summary("b", 0)]
         self.assertEqual(choose_cell(job("x", 8, run_once=True), cells, []), "b")
 
-    def test_what_was_sent_counts_until_the_cell_announces_itself(self) -> None:
-        sent = RoutedSinceSummary()
+    def test_routed_jobs_count_until_the_next_summary(self) -> None:
+        routed = RoutedSinceSummary()
         cell = self.summary("a", 16)
-        self.assertEqual(sent.adjusted(cell).free[2], 16)
-        sent.note("a", job("x", 8))
-        self.assertEqual(sent.adjusted(cell).free[2], 8)
-        self.assertEqual(sent.adjusted(self.summary("a", 12)).free[2], 12)
+        self.assertEqual(routed.adjusted(cell).free[2], 16)
+        routed.note("a", job("x", 8))
+        self.assertEqual(routed.adjusted(cell).free[2], 8)
+        self.assertEqual(routed.adjusted(self.summary("a", 12)).free[2], 12)
 
 
 class LimitsTest(unittest.TestCase):
@@ -362,7 +364,7 @@
             taken += bucket.take(now)
             self.assertLessEqual(taken, 5.0 + 2.0 * now + 1e-6)
 
-    def test_waiting_as_long_as_told_is_enough(self) -> None:
+    def test_waiting_for_the_returned_time_is_enough(self) -> None:
         bucket = TokenBucket(4.0, 1.0)
         self.assertTrue(bucket.take(0.0))
         self.assertFalse(bucket.take(0.0))
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -9,7 +9,7 @@
 
 FILES = sorted((Path(__file__).parent.parent / "scenarios").glob("*.scenario"))
 CHAOS_SEEDS = (1, 5, 6, 12)
-"""Seeds that found faults: a phantom gang, a second start, a livelock, an older attempt."""
+"""Seeds that found faults: a nonexistent gang, a second start, a livelock, an older attempt."""
 CHAOS_SECONDS = 60.0
 
 
@@ -58,13 +58,13 @@
     def test_a_broken_promise_fails_the_scenario(self) -> None:
         text = "start ulemiste entries=1\naccount depots\nconfigure\nsubmit depots r-1 1 run_once\n"
         scenario = Scenario("x", parse(text + "expect done depots/r-1\n", "x"))
-        spoil = scenario._hold
+        check_promises = scenario._hold
 
-        def twice() -> list[object]:
+        def check_duplicated_history() -> list[object]:
             for endpoint in scenario.cluster.endpoints.values():
                 endpoint.history.extend(list(endpoint.history))
-            return list(spoil())
+            return list(check_promises())
 
-        scenario._hold = twice  # type: ignore[method-assign, assignment]
+        scenario._hold = check_duplicated_history  # type: ignore[method-assign, assignment]
         outcome = run(scenario.play())
         self.assertFalse(outcome.held)
--- a/tests/test_still_steps.py
+++ b/tests/test_still_steps.py
@@ -1,10 +1,9 @@
-"""Work that waits for a better place while any other is free.
+"""Tests that work does not stall waiting for a better placement while others are free.
 
-Seen: accepted jobs had nothing running for seconds beside a pool of which under half was in use,
-others started beside them, and they went on later. How it came about: a step waits for a place near
-its data for 8 s, whatever the rest of the pool holds, a gang even where that rack could never hold
-it. Cause: the wait was bounded by time alone, not by what else is free. Proof: the tests below, on
-a board with nothing else wrong.
+Accepted jobs had no task running for seconds while less than half of the pool was in use and other
+jobs started. A step waited up to 8 s for a placement near its data, whatever was free elsewhere; a
+gang waited even if that rack could never hold it. The wait was limited by time alone, not by the
+free capacity elsewhere. The tests below cover this on a cluster state without other problems.
 """
 
 from __future__ import annotations
@@ -15,12 +14,12 @@
 from tests.test_board import BULK, NORMAL, URGENT, ClusterCase, record, step
 
 TICK_S = 0.5
-"""A leader decides at least so often."""
+"""The maximum interval between two rounds of a leader."""
 
 
 class StillStepsTest(ClusterCase):
     def started_within(self, job_id: str, until_s: float) -> bool:
-        """Whether something of a job starts up to some time, with a round each tick."""
+        """Whether a task of a job starts by ``until_s``, with a scheduling round each tick."""
         now = 0.0
         while now <= until_s:
             if any(start.run.task.name.job_id == job_id for start in self.plan(now).starts):
@@ -62,7 +61,7 @@
         self.assertTrue(self.started_within(job, STALL_S - TICK_S))
 
     def test_bulk_work_opens_workers_kept_for_a_gang_while_a_hall_is_evacuated(self) -> None:
-        """Halls that are being evacuated count as free room of the pool."""
+        """Halls that are being evacuated count as free capacity of the pool."""
         self.workers(racks=2, each=2)
         for name in ("w31", "w32", "w33", "w34", "w35", "w36"):
             self.cluster_state.set_worker(record(name, rack="r3", hall="other"), 0.0)
@@ -73,7 +72,7 @@
         job = self.add(step(4, 1), priority=BULK)
         self.assertTrue(self.started_within(job, STALL_S - TICK_S))
 
-    def test_workers_on_trial_hold_no_gang_up_in_a_free_pool(self) -> None:
+    def test_workers_on_trial_do_not_delay_a_gang_in_a_free_pool(self) -> None:
         for same_rack in (True, False):
             with self.subTest(same_rack=same_rack):
                 self.setUp()
@@ -86,7 +85,7 @@
                 job = self.add(gang, priority=NORMAL)
                 self.assertTrue(self.started_within(job, STALL_S - TICK_S))
 
-    def test_workers_in_quarantine_hold_no_work_up_for_long_in_a_free_pool(self) -> None:
+    def test_workers_in_quarantine_do_not_delay_work_for_long_in_a_free_pool(self) -> None:
         self.workers(racks=2, each=2)
         for worker in self.cluster_state.workers.values():
             worker.strikes = 3
@@ -94,8 +93,8 @@
         job = self.add(step(4, 2), priority=BULK)
         self.assertTrue(self.started_within(job, STALL_S - TICK_S))
 
-    def last_try(self, *, quarantine_s: float) -> str:
-        """A job whose next failure is its last, beside workers that have all failed work."""
+    def last_attempt(self, *, quarantine_s: float) -> str:
+        """Add a job on its last attempt, with only workers on which work has failed."""
         self.workers(racks=2, each=2)
         for worker in self.cluster_state.workers.values():
             worker.strikes = 3
@@ -106,13 +105,13 @@
         self.cluster_state.jobs[job].occurrences[0].steps[0].tasks[0].record.failures = 1
         return job
 
-    def test_a_last_try_goes_to_no_worker_in_quarantine(self) -> None:
-        self.assertFalse(self.started_within(self.last_try(quarantine_s=60.0), 59.0))
+    def test_a_last_attempt_does_not_start_on_a_worker_in_quarantine(self) -> None:
+        self.assertFalse(self.started_within(self.last_attempt(quarantine_s=60.0), 59.0))
 
-    def test_a_last_try_waits_for_no_probation_in_a_free_pool(self) -> None:
-        self.assertTrue(self.started_within(self.last_try(quarantine_s=0.0), STALL_S - TICK_S))
+    def test_a_last_attempt_does_not_wait_for_probation_in_a_free_pool(self) -> None:
+        self.assertTrue(self.started_within(self.last_attempt(quarantine_s=0.0), STALL_S - TICK_S))
 
-    def test_sound_workers_go_before_those_in_quarantine(self) -> None:
+    def test_healthy_workers_are_preferred_to_those_in_quarantine(self) -> None:
         self.workers(racks=2, each=4)
         for name in ("w11", "w12", "w13", "w14", "w21", "w22"):
             self.cluster_state.workers[name].strikes = 1
@@ -122,7 +121,7 @@
         tasks = self.cluster_state.jobs[job].occurrences[0].steps[0].tasks
         self.assertLessEqual({"w23", "w24"}, {task.record.worker for task in tasks})
 
-    def test_workers_that_do_not_answer_make_no_pool_look_used(self) -> None:
+    def test_unreachable_workers_do_not_count_as_used(self) -> None:
         self.workers(racks=4, each=2)
         self.add(step(4, 8))
         self.plan()
@@ -134,8 +133,8 @@
         job = self.add(step(1, 1, data_rack="r1"), priority=NORMAL)
         self.assertTrue(self.started_within(job, STALL_S - TICK_S))
 
-    def test_a_gang_behind_one_of_its_kind_that_has_waited_less_is_spread_as_well(self) -> None:
-        """The first comes again after it was stopped, so it has stood for less time."""
+    def test_a_gang_behind_a_similar_one_that_has_waited_less_is_spread_as_well(self) -> None:
+        """The first gang was stopped and requeued, so it has been stalled for less time."""
         self.workers(racks=6, each=2)
         for rack in range(1, 7):
             self.add(step(1, 1, label=f"r{rack}"))
@@ -146,7 +145,7 @@
         self.cluster_state.jobs[first].occurrences[0].steps[0].stalled_since_s = 2.0
         self.assertTrue(self.started_within(second, STALL_S - TICK_S))
 
-    def test_tasks_that_never_ran_go_past_one_that_avoids_what_is_free(self) -> None:
+    def test_tasks_that_never_ran_start_before_one_that_avoids_the_free_workers(self) -> None:
         self.workers(racks=1, each=4)
         self.add(step(1, 8))
         self.plan()
