--- a/src/saddlestack/policy/intent.py
+++ b/src/saddlestack/policy/intent.py
@@ -97,7 +97,7 @@
 def _check_account(account: Account, where: str) -> None:
     _check_name(account.name, f"{where}.name")
     if "/" in account.name:
-        raise invalid("a name has no '/'", f"{where}.name")
+        raise invalid("expected a name without '/'", f"{where}.name")
     for i, guarantee in enumerate(account.guarantees):
         place = f"{where}.guarantees[{i}]"
         check_accelerators(guarantee.accelerators, f"{place}.accelerators")
@@ -121,7 +121,7 @@
 def _check_unique(names: list[str], where: str) -> None:
     for name in names:
         if names.count(name) > 1:
-            raise invalid(f"{name!r} is there twice", where)
+            raise invalid(f"{name!r} is listed twice", where)
 
 
 def _accounts(document: Document, intent: Intent) -> tuple[Account, ...]:
--- a/src/saddlestack/policy/reclaim.py
+++ b/src/saddlestack/policy/reclaim.py
@@ -60,7 +60,7 @@
         for workers in domains(shape, self._resources.racks):
             if sum([reachable[w] for w in workers]) < shape.accelerators:
                 continue
-            found = self._within(workers, shape.accelerators)
+            found = self._plan_within(workers, shape.accelerators)
             if found is None:
                 continue
             urgent = sum(1 for gang in found.victims if gang.rank == 0)
@@ -71,20 +71,20 @@
                     break
         return best
 
-    def _within(self, workers: Sequence[int], wanted: int) -> ReclaimPlan | None:
-        candidates = self._candidates(workers)
+    def _plan_within(self, workers: Sequence[int], wanted: int) -> ReclaimPlan | None:
+        candidates = self._find_candidates(workers)
         victims = self._choose_victims(workers, candidates, wanted)
         if victims is None:
             return None
         victims = self._drop_unneeded(workers, victims, wanted)
-        usable = self._usable(workers, victims)
+        usable = self._usable_without(workers, victims)
         shares = fill(workers, usable, wanted)
         if shares is None:
             return None
         lost = sum(gang.loss(self._now) for gang in victims)
         return ReclaimPlan(shares, tuple(victims), lost)
 
-    def _candidates(self, workers: Sequence[int]) -> list[Gang]:
+    def _find_candidates(self, workers: Sequence[int]) -> list[Gang]:
         found: dict[str, Gang] = {}
         for worker in workers:
             for job_id, gang in self._gangs_on[worker].items():
@@ -101,11 +101,11 @@
         self, workers: Sequence[int], candidates: Iterable[Gang], wanted: int
     ) -> list[Gang] | None:
         victims: list[Gang] = []
-        if sum(self._usable(workers, victims)) >= wanted:
+        if sum(self._usable_without(workers, victims)) >= wanted:
             return victims
         for gang in candidates:
             victims.append(gang)
-            if sum(self._usable(workers, victims)) >= wanted:
+            if sum(self._usable_without(workers, victims)) >= wanted:
                 return victims
         return None
 
@@ -115,11 +115,11 @@
         kept = list(victims)
         for gang in sorted(victims, key=lambda gang: -gang.loss(self._now)):
             fewer = [other for other in kept if other is not gang]
-            if sum(self._usable(workers, fewer)) >= wanted:
+            if sum(self._usable_without(workers, fewer)) >= wanted:
                 kept = fewer
         return kept
 
-    def _usable(self, workers: Sequence[int], victims: Iterable[Gang]) -> list[int]:
+    def _usable_without(self, workers: Sequence[int], victims: Iterable[Gang]) -> list[int]:
         resources = self._resources
         freed: dict[int, int] = {}
         slots: dict[int, int] = {}
--- a/src/saddlestack/policy/round.py
+++ b/src/saddlestack/policy/round.py
@@ -68,7 +68,7 @@
             self._now,
         )
         for gang in order.sort(gangs):
-            if gang.job_id in self._cell.waiting and not self._try(gang):
+            if gang.job_id in self._cell.waiting and not self._try_start(gang):
                 self._reserve_or_move(gang)
 
     def _expire(self) -> None:
@@ -82,7 +82,7 @@
             del self._cell.waiting[gang.job_id]
             self._decisions.append(Expire(gang.job_id))
 
-    def _try(self, gang: Gang) -> bool:
+    def _try_start(self, gang: Gang) -> bool:
         charge = self._cell.guarantees.charge_for(gang.spec)
         if charge is not None and self._try_guaranteed(gang, charge):
             return True
@@ -103,31 +103,31 @@
             limit = _limit_to(guarantees.at_witnesses(charge), len(limit))
             shape = gang.spec.shape
         usable = list(map(min, self._resources.free, limit))
-        shares = self._find(shape, usable)
+        shares = self._find_placement(shape, usable)
         if shares is None and len(charge) == 1 and charge[0][0].domain is None:
             shares = self._cell.place_free(shape)
         if shares is not None and guarantees.admit(charge, shares):
             self._start(gang, shares, charge)
             return True
-        if self._reclaim_within(gang, shape, charge, limit):
+        if self._reclaim_guaranteed(gang, shape, charge, limit):
             return True
         self._failed_sizes[key] = gang.spec.accelerators
         return False
 
-    def _reclaim_within(
+    def _reclaim_guaranteed(
         self, gang: Gang, shape: Shape, charge: Charge, limit: Sequence[int]
     ) -> bool:
         """Reclaim where it is cheapest, otherwise on the witnesses, which always works."""
         kept = _limit_to(self._cell.guarantees.at_witnesses(charge, whole=True), len(limit))
         for allowed in (limit, kept):
-            found = self._cheapest(shape, lambda other: not other.pinned, allowed, 0)
-            if found is not None and self._cell.guarantees.admit(charge, found.shares):
-                self._evict_victims(found)
-                self._start(gang, found.shares, charge)
+            plan = self._find_cheapest(shape, lambda other: not other.pinned, allowed, 0)
+            if plan is not None and self._cell.guarantees.admit(charge, plan.shares):
+                self._evict_victims(plan)
+                self._start(gang, plan.shares, charge)
                 return True
         return False
 
-    def _is_worth_the_loss(self, gang: Gang, found: ReclaimPlan) -> bool:
+    def _is_worth_the_loss(self, gang: Gang, plan: ReclaimPlan) -> bool:
         """Whether a gang has waited at least as many accelerator-seconds as reclaiming loses.
 
         Urgent gangs reclaim at any cost.
@@ -135,7 +135,7 @@
         if gang.rank == 0:
             return True
         waited = (self._now - gang.submitted) * gang.spec.accelerators
-        return found.lost <= waited
+        return plan.lost <= waited
 
     def _try_borrowed(self, gang: Gang) -> bool:
         key = (gang.spec.adjacent.value, gang.spec.reclaimable)
@@ -177,17 +177,17 @@
             and not (gang.spec.checkpoint and gang.rank > reservation.rank)
         ]
         if not blocking:
-            return self._find(shape, usable)
+            return self._find_placement(shape, usable)
         kept = frozenset().union(*(reservation.workers for reservation in blocking))
         outside = [0 if w in kept else free for w, free in enumerate(usable)]
-        shares = self._find(shape, outside)
+        shares = self._find_placement(shape, outside)
         if shares is not None:
             return shares
         if any(self._spare[reservation.job_id] < shape.accelerators for reservation in blocking):
             return None
         for reservation in blocking:
             self._spare[reservation.job_id] -= shape.accelerators
-        return self._find(shape, usable)
+        return self._find_placement(shape, usable)
 
     def _reclaim_as_borrower(self, gang: Gang) -> bool:
         """Reclaim from lower classes: at once for urgent gangs, otherwise if it is worth it."""
@@ -199,21 +199,21 @@
         limit = self._resources.total
         if not gang.spec.reclaimable:
             limit = self._cell.guarantees.limits(())
-        found = self._cheapest(
+        plan = self._find_cheapest(
             gang.spec.shape,
             lambda other: not other.pinned and other.rank > gang.rank,
             limit,
             gang.rank + 1,
         )
-        if found is None:
+        if plan is None:
             self._failed_sizes[key] = gang.spec.accelerators
             return False
-        if not self._is_worth_the_loss(gang, found):
+        if not self._is_worth_the_loss(gang, plan):
             return False
-        if not gang.spec.reclaimable and not self._cell.guarantees.admit(None, found.shares):
+        if not gang.spec.reclaimable and not self._cell.guarantees.admit(None, plan.shares):
             return False
-        self._evict_victims(found)
-        self._start(gang, found.shares, None)
+        self._evict_victims(plan)
+        self._start(gang, plan.shares, None)
         return True
 
     def _has_waited_long_enough(self, gang: Gang) -> bool:
@@ -284,39 +284,39 @@
         if self._now < gang.next_move:
             return False
         gang.next_move = self._now + MOVE_ATTEMPT_INTERVAL_S
-        found = self._cheapest(gang.spec.shape, self._is_movable, self._resources.total, 0)
-        if found is None or not found.victims:
+        plan = self._find_cheapest(gang.spec.shape, self._is_movable, self._resources.total, 0)
+        if plan is None or not plan.victims:
             return False
-        size = sum(victim.spec.accelerators for victim in found.victims)
+        size = sum(victim.spec.accelerators for victim in plan.victims)
         if size > gang.spec.accelerators:
             return False
-        return self._move_all(gang, found)
+        return self._move_all(gang, plan)
 
     def _is_movable(self, gang: Gang) -> bool:
         rested = self._now - max(gang.moved, gang.started) >= MIN_MOVE_INTERVAL_S
         return not gang.pinned and gang.spec.checkpoint and rested
 
-    def _move_all(self, gang: Gang, found: ReclaimPlan) -> bool:
-        before = [(v, v.shares, v.charge, v.progress) for v in found.victims]
-        reclaims = [self._cell.evict(victim, self._now, moved=True) for victim in found.victims]
+    def _move_all(self, gang: Gang, plan: ReclaimPlan) -> bool:
+        before = [(v, v.shares, v.charge, v.progress) for v in plan.victims]
+        reclaims = [self._cell.evict(victim, self._now, moved=True) for victim in plan.victims]
         usable = list(self._resources.free)
-        for worker, count in found.shares:
+        for worker, count in plan.shares:
             usable[worker] -= count
-        places = self._find_places(found.victims, usable)
+        places = self._find_places(plan.victims, usable)
         if places is None:
             for victim, shares, charge, progress in before:
                 self._cell.undo_evict(victim, shares, charge, progress)
             return False
         self._decisions.extend(reclaims)
-        self._start(gang, found.shares, None)
-        for victim, place in zip(found.victims, places, strict=True):
+        self._start(gang, plan.shares, None)
+        for victim, place in zip(plan.victims, places, strict=True):
             self._start(victim, place, None)
         return True
 
     def _find_places(self, gangs: Iterable[Gang], usable: list[int]) -> list[Shares] | None:
         places: list[Shares] = []
         for gang in gangs:
-            place = self._find(gang.spec.shape, usable)
+            place = self._find_placement(gang.spec.shape, usable)
             if place is None:
                 return None
             for worker, count in place:
@@ -324,10 +324,10 @@
             places.append(place)
         return places
 
-    def _find(self, shape: Shape, usable: Sequence[int]) -> Shares | None:
+    def _find_placement(self, shape: Shape, usable: Sequence[int]) -> Shares | None:
         return find_placement(shape, usable, self._resources.racks, scatter=self._cell.scatter)
 
-    def _cheapest(
+    def _find_cheapest(
         self,
         shape: Shape,
         takeable: Callable[[Gang], bool],
@@ -349,8 +349,8 @@
         search = Reclaimer(resources, gangs_on, takeable, limit, reachable, self._now)
         return search.cheapest(shape)
 
-    def _evict_victims(self, found: ReclaimPlan) -> None:
-        for victim in found.victims:
+    def _evict_victims(self, plan: ReclaimPlan) -> None:
+        for victim in plan.victims:
             self._decisions.append(self._cell.evict(victim, self._now))
 
     def _start(self, gang: Gang, shares: Shares, charge: Charge | None) -> None:
--- a/src/saddlestack/settings.py
+++ b/src/saddlestack/settings.py
@@ -134,7 +134,7 @@
     try:
         ipaddress.ip_address(address.address)
     except ValueError:
-        faults.append(f"{key}.address: expected an IP number, got {address.address!r}")
+        faults.append(f"{key}.address: expected an IP address, got {address.address!r}")
     min_port = 0 if listening else 1
     if not min_port <= address.port <= 65_535:
         faults.append(f"{key}.port: expected {min_port} to 65535, got {address.port}")
