--- a/src/saddlestack/policy/cell.py
+++ b/src/saddlestack/policy/cell.py
@@ -369,7 +369,7 @@
         if not self._can_ever_pin(spec):
             return Refusal(
                 ErrorKind.SHAPE_IMPOSSIBLE,
-                f"{spec.shape} is not reclaimable and leaves too little for the guarantees of "
+                f"{spec.shape} cannot be reclaimed and leaves too little for the guarantees of "
                 f"cell {self.name}",
             )
         limit = self._queue_limits.get(spec.account, DEFAULT_QUEUE_LIMIT)
