--- a/benchmarks/variants.py
+++ b/benchmarks/variants.py
@@ -135,12 +135,18 @@
     Variant(
         "stuck",
         "urgent work that stands still begins again elsewhere",
-        (Edit("policy/cluster/progress.py", "MOST_MOVES = 2", "MOST_MOVES = 0"),),
+        (Edit("policy/cluster/progress.py", "MAX_MOVES = 2", "MAX_MOVES = 0"),),
     ),
     Variant(
         "caution",
         "urgent work goes to healthy workers while faulty ones are noticed",
-        (Edit("policy/cluster/caution.py", "FAULTY_WORKERS = 2", "FAULTY_WORKERS = 1_000_000"),),
+        (
+            Edit(
+                "policy/cluster/worker_preferences.py",
+                "FAULTY_WORKERS = 2",
+                "FAULTY_WORKERS = 1_000_000",
+            ),
+        ),
     ),
     Variant(
         "quarantine",
@@ -185,8 +191,8 @@
         (
             Edit(
                 "control/relays.py",
-                "                    return Found(asked[call].vm, cut_off=False)",
-                "                    return Found(None, cut_off=False)",
+                "                    return RelayResult(asked[call].vm, cut_off=False)",
+                "                    return RelayResult(None, cut_off=False)",
             ),
         ),
     ),
@@ -204,16 +210,16 @@
     Variant(
         "batches",
         "batches of records beside each other",
-        (Edit("control/commits.py", "WRITES_AT_ONCE = 8", "WRITES_AT_ONCE = 1"),),
+        (Edit("control/commits.py", "MAX_CONCURRENT_WRITES = 8", "MAX_CONCURRENT_WRITES = 1"),),
     ),
     Variant(
         "notices",
         "the leader hears of a job from the VM that took it",
         (
             Edit(
-                "control/desk.py",
-                "        self._peers.tasks.spawn(self._tell(",
-                "        _ = (self._tell, (",
+                "control/leaderrpc.py",
+                "        self._peers.tasks.spawn(self._send(",
+                "        _ = (self._send, (",
             ),
         ),
     ),
--- a/src/saddlestack/control/entry.py
+++ b/src/saddlestack/control/entry.py
@@ -11,14 +11,14 @@
 from pathlib import Path
 
 from saddlestack.control.access import StoreAccess
-from saddlestack.control.callers import Callers
 from saddlestack.control.configuration import Configuration
 from saddlestack.control.context import EntryContext, OrdersFactory
-from saddlestack.control.desk import Desk
 from saddlestack.control.guarded import GuardedStore
 from saddlestack.control.halls import PingQuestion, answer_ping
 from saddlestack.control.health import StoreHealth
+from saddlestack.control.jobapi import JobApi
 from saddlestack.control.jobs import Jobs
+from saddlestack.control.leaderrpc import LeaderRpc
 from saddlestack.control.leadership import Leadership, Term
 from saddlestack.control.membership import Membership
 from saddlestack.control.peers import Peers
@@ -26,7 +26,7 @@
 from saddlestack.control.renewals import Renewals
 from saddlestack.control.scheduler import Scheduler
 from saddlestack.control.settings import EntrySettings, load, parse_address
-from saddlestack.control.waits import show_none
+from saddlestack.control.waits import reset_gauges
 from saddlestack.errors import SaddlestackError
 from saddlestack.interfaces.documents import DocumentReader
 from saddlestack.interfaces.machines import Adviser, Machines
@@ -72,7 +72,7 @@
         dialer = dialer or Dialer()
         clock = clock or SystemClock()
         self.metrics = Metrics(settings.vm, clock)
-        show_none(self.metrics)
+        reset_gauges(self.metrics)
         store = store or _store_at(settings.store, dialer)
         self.health = StoreHealth(store, clock)
         self.context = EntryContext(
@@ -94,19 +94,19 @@
         self.peers = Peers(self.context, self.membership)
         self.peers.serve(PingQuestion, answer_ping)
         self.renewals = Renewals(self.peers, self.membership, self._renews)
-        self.leadership = Leadership(self.context, self, lambda: self.membership.is_told)
-        desk = Desk(self.peers, self.leadership, lambda: self.scheduler)
+        self.leadership = Leadership(self.context, self, lambda: self.membership.is_listed)
+        leader_rpc = LeaderRpc(self.peers, self.leadership, lambda: self.scheduler)
         relays = Relays(self.peers, self.membership, self.health)
         access = StoreAccess(self.context, self.peers, relays)
-        self.jobs = Jobs(self.context, access, desk)
+        self.jobs = Jobs(self.context, access, leader_rpc)
         gateway = Gateway(self.jobs, lambda: self.configuration.current, self._ready)
         self.clients = HttpServer(gateway.handle, max_connections=MAX_CONNECTIONS)
         self.readiness = HttpServer(gateway.readiness)
-        self.figures = HttpServer(self._figures)
-        callers = Callers(self.jobs, lambda: self.configuration.current)
+        self.metrics_server = HttpServer(self._serve_metrics)
+        callers = JobApi(self.jobs, lambda: self.configuration.current)
         self.callers = HttpServer(callers.handle, max_connections=MAX_CONNECTIONS)
         self.scheduler: Scheduler | None = None
-        self._ending = 0
+        self._stopping = 0
         self.stop_requested = asyncio.Event()
         self._tasks = TaskGroup("entry")
 
@@ -120,7 +120,7 @@
             address = parse_address(text)
             await server.start(address.address, address.port)
         figures = self.settings.metrics_address
-        await self.figures.start(figures.address, figures.port)
+        await self.metrics_server.start(figures.address, figures.port)
         if self.settings.callers is not None:
             address = parse_address(self.settings.callers)
             await self.callers.start(address.address, address.port)
@@ -151,7 +151,7 @@
         await self.health.stop()
         await self.clients.stop()
         await self.readiness.stop()
-        await self.figures.stop()
+        await self.metrics_server.stop()
         await self.callers.stop()
         await self.peers.stop()
         await self._tasks.cancel()
@@ -161,7 +161,7 @@
         """Close all sockets at once, as when the process dies."""
         self.clients.abort()
         self.readiness.abort()
-        self.figures.abort()
+        self.metrics_server.abort()
         self.callers.abort()
 
     # What leadership tells
@@ -177,7 +177,7 @@
             self.membership,
             self.renewals,
             lambda: self.leadership.grants_until(term),
-            lambda: self.leadership.is_sure(term),
+            lambda: self.leadership.is_confirmed(term),
             lambda: self._give_up(term),
         )
         await self.scheduler.run()
@@ -187,21 +187,21 @@
         scheduler, self.scheduler = self.scheduler, None
         if scheduler is None:
             return
-        self._ending += 1
+        self._stopping += 1
         try:
             await scheduler.stop()
         finally:
-            self._ending -= 1
+            self._stopping -= 1
 
     def _renews(self) -> bool:
         """Whether this VM renews workers' leases, or may have done so this moment."""
-        return self.scheduler is not None or self._ending > 0
+        return self.scheduler is not None or self._stopping > 0
 
     def _give_up(self, term: Term) -> None:
         """The scheduler found that another leader has taken over."""
-        self._tasks.spawn(self.leadership.give_up(term))
+        self._tasks.spawn(self.leadership.end_term(term))
 
-    async def _figures(self, request: Request) -> Response:
+    async def _serve_metrics(self, request: Request) -> Response:
         """Answer with counters and latencies as text."""
         if request.path != METRICS_PATH:
             return Response(404)
@@ -210,7 +210,7 @@
 
     def _ready(self) -> bool:
         configured = self.configuration.current is not None
-        return configured and self.health.answers and not self.stop_requested.is_set()
+        return configured and self.health.is_available and not self.stop_requested.is_set()
 
 
 def _store_at(text: str, dialer: Dialer) -> MetadataStore:
--- a/src/saddlestack/control/session.py
+++ b/src/saddlestack/control/session.py
@@ -9,11 +9,11 @@
 from typing import TypeVar
 
 from saddlestack.control.contact import Contact
-from saddlestack.control.doubts import LATEST_S, Doubts
-from saddlestack.control.endings import Proof, log_over, log_wait
+from saddlestack.control.endings import EndProof, log_lease_wait, log_runs_over
 from saddlestack.control.leases import Leases
-from saddlestack.control.owner import Owner
-from saddlestack.control.reports import Reports
+from saddlestack.control.owner import SessionOwner
+from saddlestack.control.reports import ReportHandler
+from saddlestack.control.unanswered import MAX_ORDER_DELAY_S, UnansweredStarts
 from saddlestack.interfaces.workers import (
     Refusal,
     StartOrder,
@@ -30,8 +30,8 @@
 from saddlestack.kernel.service import TaskGroup
 from saddlestack.policy.cluster.changes import Start
 from saddlestack.policy.cluster.jobs import Run
-from saddlestack.policy.cluster.pacing import needs_watching
-from saddlestack.policy.cluster.progress import LOOK_S, needs_looks
+from saddlestack.policy.cluster.pacing import needs_latency_polls
+from saddlestack.policy.cluster.progress import PROGRESS_POLL_S, needs_progress_polls
 from saddlestack.policy.cluster.workers import RunKey, Worker
 from saddlestack.work import TaskName
 
@@ -40,18 +40,18 @@
 T = TypeVar("T")
 
 ORDER_TIMEOUT_S = 0.6
-ORDERS_AT_ONCE = 2
-START_TRIES = 3
+MAX_CONCURRENT_ORDERS = 2
+MAX_START_TRIES = 3
 RETRY_S = 0.3
 PROBE_S = 1.0
-LOOK_NOW_TIMEOUT_S = 0.3
+POLL_TIMEOUT_S = 0.3
 """A look that waits for nothing is answered in 1 to 3 ms, in 0.1 s by a slow worker."""
-WAIT_S = 2.0
+LONG_POLL_S = 2.0
 WATCHED_WAIT_S = 0.5
 """How often a worker is looked at on which serving and filling work meet."""
 STOPPING_WAIT_S = 0.4
 """How often one is looked at on which runs are to stop, since room is waited for there."""
-HOLD_SLACK_S = 0.4
+LONG_POLL_SLACK_S = 0.4
 
 
 class _NotWanted(Exception):
@@ -70,30 +70,30 @@
     """Orders to one worker, and looks at it, while this VM leads.
 
     :param leases: what was granted to workers in this term and before.
-    :param doubts: told which starts were answered.
+    :param unanswered_starts: told which starts were answered.
     """
 
     def __init__(
         self,
         worker: Worker,
         orders: WorkerOrders,
-        owner: Owner,
+        owner: SessionOwner,
         clock: Clock,
         leases: Leases,
-        doubts: Doubts | None = None,
+        unanswered_starts: UnansweredStarts | None = None,
     ) -> None:
         self.worker = worker
         self._orders = orders
         self._owner = owner
         self._clock = clock
         self._leases = leases
-        self._doubts = doubts or Doubts()
+        self._unanswered_starts = unanswered_starts or UnansweredStarts()
         self._began_s = clock.now()
         self._contact = Contact(worker, owner, clock, leases)
         self._tasks = TaskGroup(f"session {worker.worker_id}")
-        self._gate = asyncio.Semaphore(ORDERS_AT_ONCE)
+        self._gate = asyncio.Semaphore(MAX_CONCURRENT_ORDERS)
         self._wake = asyncio.Event()
-        self._reports = Reports(worker, owner, clock)
+        self._reports = ReportHandler(worker, owner, clock)
         self._stops: set[RunKey] = set()
         self._watching = False
         self.over = False
@@ -152,7 +152,7 @@
                     )
                 return
             except WorkerFenced:
-                self._owner.fenced()
+                self._owner.worker_fenced()
                 return
             except WorkerReplaced:
                 self._replaced()
@@ -163,7 +163,7 @@
     async def _start(self, start: Start, key: RunKey) -> None:
         run = start.run
         clean = True
-        for _ in range(START_TRIES):
+        for _ in range(MAX_START_TRIES):
             sent = self._clock.now()
             try:
                 reply = await self._send(start)
@@ -182,28 +182,28 @@
                 self._missed(sent)
                 continue
             except WorkerBusy:
-                self.worker.refused(self._clock.now())
-                reply = StartReply(None, Refusal.ROOM)
+                self.worker.record_refusal(self._clock.now())
+                reply = StartReply(None, Refusal.CAPACITY)
             except WorkerReplaced:
                 if clean:
                     self._never_began(run, key)
                 self._replaced()
                 return
             except WorkerFenced:
-                self._owner.fenced()
+                self._owner.worker_fenced()
                 return
             except Exception:
                 log.exception("start failed", extra={"event": "start_failed"})
                 clean = False
                 break
             if clean:
-                self._doubts.answered(self.worker.worker_id, key)
+                self._unanswered_starts.record_answered(self.worker.worker_id, key)
             if reply.refusal is Refusal.LATE and clean:
                 continue
             self._answered(run, key, reply, clean)
             return
         # The next start would most likely fare the same.
-        self.worker.refused(self._clock.now())
+        self.worker.record_refusal(self._clock.now())
         if clean:
             # No order left, or each was refused: there is nothing to wait for.
             self._never_began(run, key)
@@ -242,13 +242,15 @@
                 fence=self._owner.fence,
                 ticket=start.ticket,
             )
-            self._doubts.sent(self.worker.worker_id, (run.task.name, run.number), now)
+            self._unanswered_starts.record_sent(
+                self.worker.worker_id, (run.task.name, run.number), now
+            )
             run.ordered_s = now if run.ordered_s is None else run.ordered_s
             reply = await self._answer_of(self._orders.start(order, ORDER_TIMEOUT_S))
         if reply.clock_ms is None:
-            self._contact.heard()
+            self._contact.record_answer()
         else:
-            self._contact.told(reply.clock_ms)
+            self._contact.record_clock(reply.clock_ms)
         return reply
 
     async def _ask_for_sign(self) -> None:
@@ -262,7 +264,7 @@
         except WorkerUnreachable as error:
             self._missed(asked)
             raise _NotHeard from error
-        self._contact.told(report.clock_ms)
+        self._contact.record_clock(report.clock_ms)
 
     def _is_wanted(self, run: Run) -> bool:
         """Whether a run is still to start there.
@@ -271,14 +273,14 @@
         it would only be in doubt, and wait for a lease that begins as it leaves.
         """
         wanted = run.task.run is run and not run.stopping
-        return wanted and self.worker.takes_decided(self._clock.now())
+        return wanted and self.worker.accepts_decided_start(self._clock.now())
 
     def _answered(self, run: Run, key: RunKey, reply: StartReply, clean: bool) -> None:
         now = self._clock.now()
         if reply.refusal is None:
             self._settle(key)
             self._owner.cluster_state.run_started(run, now)
-            self._owner.changed()
+            self._owner.reschedule()
             self._watch_progress()
             return
         log.info(
@@ -292,14 +294,14 @@
             },
         )
         if reply.refusal is Refusal.FENCED:
-            self._owner.fenced()
-        elif reply.refusal is Refusal.OLD:
+            self._owner.worker_fenced()
+        elif reply.refusal is Refusal.STALE:
             self._settle(key)
         elif clean:
             if reply.refusal is Refusal.TICKET:
-                run.task.step.advice.refused(self.worker.worker_id)
+                run.task.step.advice.discard_ticket(self.worker.worker_id)
             else:
-                self.worker.refused(now)
+                self.worker.record_refusal(now)
             self._never_began(run, key)
         else:
             self._tasks.spawn(self._stop(key, self._begins_until_s()))
@@ -325,7 +327,7 @@
                     await self._answer_of(
                         self._orders.stop(str(name), number, self._owner.fence, ORDER_TIMEOUT_S)
                     )
-                self._contact.heard()
+                self._contact.record_answer()
                 self._settle(key)
                 self._tasks.spawn(self._look_now())
                 return
@@ -333,12 +335,12 @@
                 self._replaced()
                 return
             except WorkerFenced:
-                self._owner.fenced()
+                self._owner.worker_fenced()
                 return
             except WorkerUnreachable:
                 self._missed(sent)
             except WorkerBusy:
-                self.worker.refused(self._clock.now())
+                self.worker.record_refusal(self._clock.now())
             except Exception:
                 log.exception("stop failed", extra={"event": "stop_failed"})
             await asyncio.sleep(RETRY_S)
@@ -347,9 +349,10 @@
         """Until when a start that was sent up to now may still be carried out.
 
         The worker refuses it once the lease that it brings is over by its clock. A life after it
-        may count on another clock, but no order is held back for longer than :data:`LATEST_S`.
+        may count on another clock, but no order is held back for longer than
+        :data:`MAX_ORDER_DELAY_S`.
         """
-        return self._clock.now() + max(self._leases.longest_s, LATEST_S)
+        return self._clock.now() + max(self._leases.lapse_after_s, MAX_ORDER_DELAY_S)
 
     def _settle(self, key: RunKey) -> None:
         self._reports.settle(key)
@@ -357,10 +360,10 @@
 
     def _never_began(self, run: Run, key: RunKey) -> None:
         """No order for a run is under way, and none was carried out."""
-        self._doubts.answered(self.worker.worker_id, key)
+        self._unanswered_starts.record_answered(self.worker.worker_id, key)
         self._reports.withdrawn(key)
         self._owner.cluster_state.run_not_started(run)
-        self._owner.changed()
+        self._owner.reschedule()
 
     # Looking
 
@@ -388,7 +391,7 @@
             self._replaced()
             return True
         except WorkerFenced:
-            self._owner.fenced()
+            self._owner.worker_fenced()
             return True
         except (WorkerUnreachable, WorkerBusy) as error:
             if isinstance(error, WorkerBusy):
@@ -405,15 +408,15 @@
         """Look without waiting for an end, beside the look that does."""
         asked = self._clock.now()
         try:
-            report = await self._hold(None, 0.0, LOOK_NOW_TIMEOUT_S)
+            report = await self._hold(None, 0.0, POLL_TIMEOUT_S)
         except WorkerReplaced:
             self._replaced()
         except WorkerFenced:
-            self._owner.fenced()
+            self._owner.worker_fenced()
         except WorkerBusy:
             self._turned_away()
             if self._is_here:
-                self._contact.heard()
+                self._contact.record_answer()
         except WorkerUnreachable:
             self._missed(asked)
         else:
@@ -421,30 +424,30 @@
 
     def _turned_away(self) -> None:
         """The worker does nothing now: a start would grant a lease that it does not take."""
-        self._contact.turned_away = True
-        self.worker.refused(self._clock.now())
+        self._contact.is_busy = True
+        self.worker.record_refusal(self._clock.now())
 
     def _over(self) -> None:
         """Nothing runs there any more: every lease has lapsed."""
-        heard_s = max(self._contact.heard_s, self._began_s)
-        log_over(self.worker.runs.values(), Proof.LAPSED, self._clock.now() - heard_s)
+        heard_s = max(self._contact.last_answer_s, self._began_s)
+        log_runs_over(self.worker.runs.values(), EndProof.LAPSED, self._clock.now() - heard_s)
         self._owner.cluster_state.worker_ended(
             self.worker.worker_id, self._contact.end(unheard=True)
         )
         self._reports.clear()
-        self._owner.changed()
+        self._owner.reschedule()
 
     def _watch_progress(self) -> None:
         """Look often while urgent work runs; the look that waits for an end may take 2 s."""
-        if not self._watching and needs_looks(self.worker):
+        if not self._watching and needs_progress_polls(self.worker):
             self._watching = True
             self._tasks.spawn(self._look_often())
 
     async def _look_often(self) -> None:
         try:
-            while needs_looks(self.worker) and not self.over:
-                await asyncio.sleep(LOOK_S)
-                if self.worker.reachable and needs_looks(self.worker):
+            while needs_progress_polls(self.worker) and not self.over:
+                await asyncio.sleep(PROGRESS_POLL_S)
+                if self.worker.reachable and needs_progress_polls(self.worker):
                     await self._look_now()
         finally:
             self._watching = False
@@ -462,10 +465,10 @@
         wait_s = self._wait_s() if answers else 0.0
         # A worker that does not answer gets no longer lease, so that it lapses some day; nor does
         # one from a leader that stood still, whose successor counts what it granted before.
-        willing = answers and not self._contact.turned_away
+        willing = answers and not self._contact.is_busy
         renews = self.worker.runs and willing and self._owner.may_grant
         deadline = self._contact.deadline(asked) if renews else None
-        return await self._hold(deadline, wait_s, wait_s + HOLD_SLACK_S)
+        return await self._hold(deadline, wait_s, wait_s + LONG_POLL_SLACK_S)
 
     async def _hold(self, deadline_ms: int | None, wait_s: float, timeout_s: float) -> WorkerReport:
         return await self._answer_of(
@@ -476,16 +479,16 @@
         """How long the worker may wait for an end before it answers a look."""
         if not self.worker.runs or self.worker.suspected or self._reports.awaited:
             return 0.0
-        if self._contact.clock_is_old:
+        if self._contact.is_clock_stale:
             return 0.0
         if any(run.stopping for run in self.worker.runs.values()):
             return STOPPING_WAIT_S
-        return WATCHED_WAIT_S if needs_watching(self.worker) else WAIT_S
+        return WATCHED_WAIT_S if needs_latency_polls(self.worker) else LONG_POLL_S
 
     async def _take(self, report: WorkerReport, asked: float) -> None:
         if self._owner.cluster_state.workers.get(self.worker.worker_id) is not self.worker:
             return
-        self._contact.told(report.clock_ms)
+        self._contact.record_clock(report.clock_ms)
         for run in self.worker.runs.values():
             run.address = run.address or self.worker.record.address
         self._reports.take(report, asked)
@@ -493,19 +496,21 @@
         await self._reports.acknowledge()
 
     def _missed(self, sent: float) -> None:
-        if self._contact.missed(sent):
+        if self._contact.record_miss(sent):
             self._wake.set()
             self._wait_begins()
 
     def _wait_begins(self) -> None:
         """What runs there may go on unseen, until its leases have lapsed at most."""
         if self.worker.runs:
-            log_wait(self.worker, self._leases.left_s(self.worker.worker_id, self._clock.now()))
+            log_lease_wait(
+                self.worker, self._leases.remaining_s(self.worker.worker_id, self._clock.now())
+            )
 
     def _unanswered(self, asked: float) -> bool:
         """Note a failed look; ``True`` where nothing can be running there any more."""
         self._missed(asked)
-        if not self._contact.lapsed:
+        if not self._contact.has_lapsed:
             return False
         if self.worker.runs:
             self._over()
@@ -529,7 +534,7 @@
         """Whether this life is known to have been at the address that is asked."""
         address = self.worker.record.address
         given = all(run.address == address for run in self.worker.runs.values())
-        return given or self._contact.heard_s > -math.inf
+        return given or self._contact.last_answer_s > -math.inf
 
     @property
     def _is_here(self) -> bool:
@@ -538,7 +543,7 @@
         It may be that of any life: it does not prove that one is alive which only an assignment
         names, and its runs wait for the lease.
         """
-        told = self.worker.listed or self._contact.heard_s > -math.inf
+        told = self.worker.listed or self._contact.last_answer_s > -math.inf
         return told and self._was_here
 
     def _replaced(self) -> None:
@@ -548,9 +553,9 @@
         )
         self.over = True
         self.worker.listed = False
-        log_over(self.worker.runs.values(), Proof.REPLACED, 0.0)
+        log_runs_over(self.worker.runs.values(), EndProof.REPLACED, 0.0)
         self._owner.cluster_state.worker_ended(
             self.worker.worker_id, self._contact.end(unheard=False)
         )
-        self._owner.replaced(self.worker)
-        self._owner.changed()
+        self._owner.worker_replaced(self.worker)
+        self._owner.reschedule()
