--- a/src/saddlestack/policy/cluster/advice.py
+++ b/src/saddlestack/policy/cluster/advice.py
@@ -1,4 +1,4 @@
-"""Which workers may run a step of an advised queue, as far as the adviser has told."""
+"""The adviser's approvals: which workers may run a step of an advised queue."""
 
 from __future__ import annotations
 
@@ -9,36 +9,36 @@
 from saddlestack.interfaces.machines import Leave
 from saddlestack.work import Resources
 
-WORKERS_A_CALL = 30
-MARGIN_S = 0.5
-"""A ticket is used only while it is valid for at least this long."""
+MAX_WORKERS_PER_CALL = 30
+TICKET_MARGIN_S = 0.5
+"""A ticket is used only if it stays valid for at least this long."""
 
 
 class Candidate(Protocol):
-    """A worker that may be asked about."""
+    """A worker for which approval may be requested."""
 
     @property
     def worker_id(self) -> str:
-        """Its life's name."""
+        """The id of its incarnation."""
         ...
 
     @property
     def free(self) -> Resources:
-        """Room that nothing holds."""
+        """Resources that nothing holds."""
         ...
 
 
 @dataclass(slots=True)
 class _Ticket:
     text: str
-    until_s: float
+    expires_s: float
 
 
 @dataclass(slots=True)
 class StepAdvice:
     """The adviser's answers about one step.
 
-    :param asking: a call is under way.
+    :param asking: a call to the adviser is in progress.
     """
 
     asking: bool = False
@@ -46,38 +46,43 @@
     _denied: set[str] = field(default_factory=set)
 
     def ticket(self, worker_id: str, now: float) -> str | None:
-        """The valid ticket for a worker, if there is one."""
+        """The ticket for a worker, or ``None`` if there is none that is still valid."""
         ticket = self._tickets.get(worker_id)
-        if ticket is None or ticket.until_s < now + MARGIN_S:
+        if ticket is None or ticket.expires_s < now + TICKET_MARGIN_S:
             return None
         return ticket.text
 
     def unknown(self, workers: Iterable[Candidate], now: float) -> tuple[str, ...]:
-        """Workers to ask about next: known good ones first, then the most free."""
-        open_questions = [
+        """Ids of the workers to ask about next.
+
+        Workers that were approved before come first, then those with the most free resources.
+        """
+        unanswered = [
             worker
             for worker in workers
             if worker.worker_id not in self._denied and self.ticket(worker.worker_id, now) is None
         ]
-        open_questions.sort(
+        unanswered.sort(
             key=lambda worker: (
                 worker.worker_id not in self._tickets,
                 -worker.free.accelerators,
                 -worker.free.cpu,
             )
         )
-        return tuple(worker.worker_id for worker in open_questions[:WORKERS_A_CALL])
+        return tuple(worker.worker_id for worker in unanswered[:MAX_WORKERS_PER_CALL])
 
-    def record_answer(self, asked: Iterable[str], leaves: Iterable[Leave], now: float) -> None:
-        """Note an answer; which workers are good for a step does not change."""
-        good = {leave.worker_id: leave for leave in leaves}
+    def record_answer(self, asked: Iterable[str], approvals: Iterable[Leave], now: float) -> None:
+        """Record an answer. Workers that were asked about and not approved are never asked about
+        again, since the adviser's choice for a step does not change.
+        """
+        approved = {approval.worker_id: approval for approval in approvals}
         for worker_id in asked:
-            leave = good.get(worker_id)
-            if leave is None:
+            approval = approved.get(worker_id)
+            if approval is None:
                 self._denied.add(worker_id)
             else:
-                self._tickets[worker_id] = _Ticket(leave.ticket, now + leave.valid_s)
+                self._tickets[worker_id] = _Ticket(approval.ticket, now + approval.valid_s)
 
     def discard_ticket(self, worker_id: str) -> None:
-        """A worker did not take its ticket: it has to be asked for anew."""
+        """Discard a ticket that its worker rejected, so that a new one is requested."""
         self._tickets.pop(worker_id, None)
--- a/src/saddlestack/policy/cluster/candidates.py
+++ b/src/saddlestack/policy/cluster/candidates.py
@@ -94,7 +94,7 @@
         if rack is None:
             return None
         eligible = [worker for worker in rack.eligible if fit.allows(worker, now)]
-        if sum(worker.most(step.step) for worker in eligible) < step.at_once:
+        if sum(worker.max_copies(step.step) for worker in eligible) < step.at_once:
             return None
         return [worker for worker in eligible if kept is None or not kept(worker)]
 
--- a/src/saddlestack/policy/cluster/feasibility.py
+++ b/src/saddlestack/policy/cluster/feasibility.py
@@ -276,7 +276,7 @@
         free = worker.copies(self._step, worker.free)
         self._add(worker, level, free)
         for each in self._sums_of(worker):
-            each.most[self._counted[number]] += worker.most(self._step.step)
+            each.most[self._counted[number]] += worker.max_copies(self._step.step)
         if worker.reserved != _NOTHING:
             whole = worker.copies(self._step, worker.free + worker.reserved)
             self._add(worker, max(level, _LEVEL[WaitReason.RESERVED]), whole - free)
--- a/src/saddlestack/policy/cluster/fits.py
+++ b/src/saddlestack/policy/cluster/fits.py
@@ -134,7 +134,7 @@
 
     def _releasable(self, rack: Rack, priority: int) -> Iterator[ReleasableWorker]:
         for worker in self.workers(rack):
-            lower = worker.lower_priority_room(priority)
+            lower = worker.lower_priority_usage(priority)
             copies = worker.count_fitting(self.fit.room, worker.free + lower)
             if copies > 0:
                 yield ReleasableWorker.of(worker, lower, copies)
--- a/src/saddlestack/policy/cluster/isolation.py
+++ b/src/saddlestack/policy/cluster/isolation.py
@@ -194,7 +194,7 @@
     def _keep(self, step: StepState, eligible: Sequence[Worker], now: float) -> None:
         """Close the worker that is empty soonest to other work."""
         soonest = min(
-            (worker for worker in eligible if worker.most(step.step) > 0),
+            (worker for worker in eligible if worker.max_copies(step.step) > 0),
             key=lambda worker: _empties_s(worker, now),
             default=None,
         )
@@ -220,7 +220,7 @@
 
 def _least_workers(step: StepState, workers: Sequence[Worker]) -> int:
     """Workers that a gang needs at least: its isolation takes no fewer."""
-    most = max((worker.most(step.step) for worker in workers), default=0)
+    most = max((worker.max_copies(step.step) for worker in workers), default=0)
     return math.ceil(step.step.count / most) if most else 0
 
 
--- a/src/saddlestack/policy/cluster/placement.py
+++ b/src/saddlestack/policy/cluster/placement.py
@@ -37,7 +37,7 @@
     return [
         rack
         for rack in by_rack(workers).values()
-        if sum(worker.most(step.step) for worker in rack) >= step.step.count
+        if sum(worker.max_copies(step.step) for worker in rack) >= step.step.count
     ]
 
 
@@ -87,7 +87,7 @@
 
 def _releasable(step: StepState, workers: Iterable[Worker]) -> Iterator[ReleasableWorker]:
     for worker in workers:
-        lower = worker.lower_priority_room(step.occurrence.job.priority)
+        lower = worker.lower_priority_usage(step.occurrence.job.priority)
         copies = worker.copies(step, worker.free + lower)
         if copies > 0:
             yield ReleasableWorker.of(worker, lower, copies)
--- a/src/saddlestack/policy/cluster/places.py
+++ b/src/saddlestack/policy/cluster/places.py
@@ -75,7 +75,7 @@
     def choose_worker(self, avoid: set[str]) -> Worker | None:
         """See :meth:`Places.choose_worker`."""
         fresh = [worker for worker in self._workers if worker.worker_id not in avoid]
-        others = any(worker.most(self._step.step) > 0 for worker in fresh)
+        others = any(worker.max_copies(self._step.step) > 0 for worker in fresh)
         return place_task(self._step, fresh if others else self._workers, _free_copies(self._step))
 
     def soonest(self) -> Sequence[Worker]:
@@ -243,7 +243,7 @@
     def _has_other(self, avoid: set[str]) -> bool:
         """Whether another worker could hold a task, if it were empty."""
         return any(
-            worker.worker_id not in avoid and worker.most(self._step.step) > 0
+            worker.worker_id not in avoid and worker.max_copies(self._step.step) > 0
             for rack in self._service_capacity.racks
             for worker in self._open(rack)
         )
@@ -281,7 +281,7 @@
     ) -> None:
         self._step = step
         found = [
-            (worker, worker.room_for(step, reserved=worker.worker_id in lenders))
+            (worker, worker.free_copies(step, reserved=worker.worker_id in lenders))
             for worker in workers
         ]
         eligible = [(worker, copies) for worker, copies in found if copies > 0]
--- a/src/saddlestack/policy/cluster/stalled.py
+++ b/src/saddlestack/policy/cluster/stalled.py
@@ -1,4 +1,4 @@
-"""Work that would stall: rooms it may go to that its preferences kept it from so far."""
+"""Placement of stalled work on workers that its preferences have excluded so far."""
 
 from __future__ import annotations
 
@@ -12,24 +12,27 @@
 from saddlestack.policy.cluster.planner_context import PlannerContext
 from saddlestack.policy.cluster.reservations import Reservations
 from saddlestack.policy.cluster.wait_limits import (
-    has_room_for,
+    has_capacity_for,
     loans_allowed_from_s,
     may_drop_preferences,
 )
 from saddlestack.policy.cluster.workers import Worker
 from saddlestack.work import Resources
 
-TRUSTED_A_ROUND = 20
-"""So many steps that would stall may look at all workers in a round: 16 ms for 3,000 workers."""
+MAX_FULL_SEARCHES_PER_ROUND = 20
+"""Maximum number of stalled steps per round that search all workers. So many searches take 16 ms
+with 3,000 workers."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Kind:
-    """What steps that stall have to share so that where one fits nowhere, the other does not.
+    """Properties that decide whether a stalled step fits anywhere.
 
-    :param count: tasks that have to start at once.
-    :param next_failure_is_final: whether their next failure is their jobs' last.
-    :param lenders: ids of the workers that may lend them reserved room.
+    Once a step fits nowhere in a round, steps of the same kind are not tried.
+
+    :param count: tasks that have to start together.
+    :param next_failure_is_final: whether the next failure is the last that their jobs may have.
+    :param lenders: ids of the workers that may lend them reserved resources.
     """
 
     service: str
@@ -41,7 +44,7 @@
 
 
 class StalledPlacement:
-    """Finds room for work that has waited for too long beside a pool that is mostly free."""
+    """Finds workers for steps that have waited too long while the pool is mostly free."""
 
     def __init__(
         self,
@@ -54,72 +57,72 @@
         self._candidates = candidates
         self._reservations = reservations
         self._lending = lending
-        self._trusted = 0
-        self._borrows_s: float | None = None
-        self._at_work: dict[str, bool] = {}
-        self._nowhere: set[_Kind] = set()
+        self._full_searches = 0
+        self._next_loan_s: float | None = None
+        self._running_jobs: dict[str, bool] = {}
+        self._unplaceable: set[_Kind] = set()
 
     @property
     def next_loan_s(self) -> float | None:
-        """When work that waits may next be lent reserved room, on the board's clock."""
-        return self._borrows_s
+        """When a waiting step may next borrow reserved resources; ``None`` for never."""
+        return self._next_loan_s
 
     def begin(self) -> None:
-        """Begin a round."""
-        self._trusted = 0
-        self._borrows_s = None
-        self._at_work.clear()
-        self._nowhere.clear()
+        """Reset the per-round state at the start of a round."""
+        self._full_searches = 0
+        self._next_loan_s = None
+        self._running_jobs.clear()
+        self._unplaceable.clear()
 
     def note_released(self) -> None:
-        """Room has been given back in this round: what fitted nowhere may fit now."""
-        self._nowhere.clear()
+        """Note that resources were released in this round, so that steps may fit that did not."""
+        self._unplaceable.clear()
 
     def note_started(self, job_id: str) -> None:
-        """A run of a job has been assigned in this round."""
-        self._at_work[job_id] = True
+        """Note that a run of a job was assigned in this round."""
+        self._running_jobs[job_id] = True
 
     def choices(self, step: StepState, now: float) -> Iterator[WorkerChoice]:
-        """Rooms to be tried in turn for a step, none where it does not stall.
+        """Yield sets of workers to try in turn for a step; none if the step is not stalled.
 
-        First the workers that others may go to as well, then any that answer, whatever failed there
-        lately. The second looks at each worker, so it is done for few steps in a round, and once
-        for those of a kind.
+        The first set holds the workers that are open to any work, the second one all workers that
+        answer, whatever failed there recently. The second set takes a search of every worker, so it
+        is limited to a few steps in a round and to one step of each kind.
         """
         if not may_drop_preferences(self._candidates.service_capacity(step), step.stalled_s(now)):
             return
-        self._note_borrowing(step, now)
+        self._note_next_loan(step, now)
         lenders = self._lenders(step, now)
         kind = self._kind(step, lenders)
-        if kind in self._nowhere or self._is_at_work(step.occurrence.job):
+        if kind in self._unplaceable or self._is_running(step.occurrence.job):
             return
-        if has_room_for(self._candidates.copies(step), step.at_once):
+        if has_capacity_for(self._candidates.copies(step), step.at_once):
             yield self._candidates.all_places(step, now)
-        if self._trusted >= TRUSTED_A_ROUND:
+        if self._full_searches >= MAX_FULL_SEARCHES_PER_ROUND:
             return
-        self._trusted += 1
-        room = self._any_places(step, lenders, now)
-        if has_room_for(room.copies, step.at_once):
-            yield room
+        self._full_searches += 1
+        choice = self._last_resort_places(step, lenders, now)
+        if has_capacity_for(choice.copies, step.at_once):
+            yield choice
         if kind is not None:
-            self._nowhere.add(kind)
+            self._unplaceable.add(kind)
 
-    def _note_borrowing(self, step: StepState, now: float) -> None:
-        """Note when a step that stalls soon may be lent reserved room."""
+    def _note_next_loan(self, step: StepState, now: float) -> None:
+        """Note when a step that is not yet allowed to borrow reserved resources will be."""
         due_s = loans_allowed_from_s(step)
         if not self._reservations or due_s <= now:
             return
-        if self._borrows_s is None or due_s < self._borrows_s:
-            self._borrows_s = due_s
+        if self._next_loan_s is None or due_s < self._next_loan_s:
+            self._next_loan_s = due_s
 
     def _lenders(self, step: StepState, now: float) -> frozenset[str]:
-        """The ids of workers that may lend a step what is reserved there."""
+        """The ids of workers that may lend a step their reserved resources."""
         if now < loans_allowed_from_s(step):
             return frozenset()
         return self._lending.lenders(step, self._reservations, now)
 
     def _kind(self, step: StepState, lenders: frozenset[str]) -> _Kind | None:
-        """What decides whether a step fits anywhere; ``None`` where more does."""
+        """The kind of a step, or ``None`` if other properties decide where it fits as well."""
         if step.step.per_worker or self._cluster_state.is_advised(step.occurrence.job):
             return None
         return _Kind(
@@ -131,32 +134,34 @@
             lenders,
         )
 
-    def _is_at_work(self, job: Job) -> bool:
-        """Whether a run of a job is on a worker that answers; looked up once a round."""
-        known = self._at_work.get(job.job_id)
+    def _is_running(self, job: Job) -> bool:
+        """Whether a run of a job is on a reachable worker; cached for the round."""
+        known = self._running_jobs.get(job.job_id)
         if known is None:
             known = any(self._cluster_state.is_worker_reachable(run) for run in job.runs())
-            self._at_work[job.job_id] = known
+            self._running_jobs[job.job_id] = known
         return known
 
-    def _any_places(self, step: StepState, lenders: frozenset[str], now: float) -> LastResortPlaces:
-        """All workers that answer; where leave is needed, those that have it."""
-        answering = list(self._answering(step, now))
+    def _last_resort_places(
+        self, step: StepState, lenders: frozenset[str], now: float
+    ) -> LastResortPlaces:
+        """All workers that answer; if approval is required, only those that are approved."""
+        answering = list(self._answering_workers(step, now))
         if not self._cluster_state.is_advised(step.occurrence.job):
             return LastResortPlaces(step, answering, now, lenders)
         advice = step.advice
         allowed = [w for w in answering if advice.ticket(w.worker_id, now) is not None]
-        room = LastResortPlaces(step, allowed, now, lenders)
+        choice = LastResortPlaces(step, allowed, now, lenders)
         unknown = advice.unknown(answering, now)
-        if unknown and not advice.asking and not has_room_for(room.copies, step.at_once):
+        if unknown and not advice.asking and not has_capacity_for(choice.copies, step.at_once):
             self._cluster_state.request_advice(step, unknown)
-        return room
+        return choice
 
-    def _answering(self, step: StepState, now: float) -> Iterator[Worker]:
-        """Workers that take part and answer, whatever failed there lately.
+    def _answering_workers(self, step: StepState, now: float) -> Iterator[Worker]:
+        """Yield schedulable workers that answer, whatever failed there recently.
 
-        A job whose next failure is its last still keeps off those in quarantine; those that have
-        just turned an order away would do so again.
+        Workers that have just refused an order are excluded, since they would refuse another one.
+        Quarantined workers are excluded for jobs whose next failure is their last.
         """
         for rack in self._candidates.service_capacity(step).racks:
             for worker in rack.workers:
--- a/src/saddlestack/policy/cluster/wait_limits.py
+++ b/src/saddlestack/policy/cluster/wait_limits.py
@@ -1,8 +1,9 @@
-"""How long work waits for a better place while any other is free.
+"""How long work waits for a preferred place while another one is free.
 
-A place near the data, on one rack, that leaves the headroom, or that no gang waits for, is worth
-some waiting: work far from its data, or spread over racks, takes up to three times as long. Beside
-a pool that is mostly free all of these are given up in time, so that no accepted work stands still.
+Work prefers places near its data, in one rack, outside the headroom and not kept for gangs. The
+wait pays off because work far from its data, or spread over racks, takes up to three times as long.
+While a pool is mostly free, all preferences are dropped after a limit so that no accepted work
+stalls.
 """
 
 from __future__ import annotations
@@ -14,40 +15,46 @@
 from saddlestack.policy.standstill import ROOM_FACTOR
 
 NEAR_DATA_WAIT_S = 8.0
-"""Work waits this long for a place near its data while much of the pool is in use."""
+"""Maximum wait for a place near the data while much of the pool is in use."""
 HEADROOM_WAIT_S = 15.0
-"""Work of lower priority keeps off the headroom for this long..."""
+"""Maximum wait of lower-priority work before it may use the headroom, while much of the pool is in
+use."""
 IDLE_POOL_WAIT_S = 2.0
-"""...and this long, like all other preferences, while under half of all workers is in use: work may
-stand for 3 s there, and it takes up to 0.5 s to the next decision and 0.1 s until it runs."""
+"""Maximum wait for any preference while less than half of the workers are in use. Work may stall
+for at most 3 s then, and it takes up to 0.5 s until the next decision and 0.1 s until the run
+starts."""
 
 LENDING_WAIT_S = 2.5
-"""Work waits this long beside an idle pool before it is lent reserved room: a run that outlasts the
-stops holds the reservation's step up, so most reservations are over before they lend anything."""
+"""Minimum wait in an idle pool before work may borrow reserved resources. A borrowing run that
+outlasts the stops delays the step that holds the reservation, so the limit is long enough that most
+reservations end before they lend anything."""
 
 
 def is_idle(service_capacity: ServiceCapacity) -> bool:
-    """Whether under half of a service's workers is in use, those of evacuated halls among them.
+    """Whether less than half of a service's workers are in use, evacuated data halls included.
 
-    Workers that do not answer, or are in no list, may be gone with all that counts as running
-    there, or serve on: the pool counts as idle where it is so with them or without.
+    Workers that are unreachable or unlisted may be gone with their runs, or may still be serving.
+    The pool counts as idle if it is idle either with them or without them.
     """
     return service_capacity.all.is_mostly_free or service_capacity.present.is_mostly_free
 
 
-def may_drop_preferences(service_capacity: ServiceCapacity, stood_s: float) -> bool:
-    """Whether work beside an idle pool has waited for a better place for long enough."""
-    return stood_s > IDLE_POOL_WAIT_S and is_idle(service_capacity)
+def may_drop_preferences(service_capacity: ServiceCapacity, stalled_s: float) -> bool:
+    """Whether work has stalled for long enough, in an idle pool, to take any place."""
+    return stalled_s > IDLE_POOL_WAIT_S and is_idle(service_capacity)
 
 
 def loans_allowed_from_s(step: StepState) -> float:
-    """When a step beside an idle pool may be lent reserved room, on the board's clock."""
+    """When a step in an idle pool may borrow reserved resources.
+
+    Seconds on the scheduler's clock; infinite for a step that is not stalled.
+    """
     since_s = step.stalled_since_s
     return math.inf if since_s is None else since_s + LENDING_WAIT_S
 
 
-def has_room_for(copies: int, wanted: int) -> bool:
-    """Whether a pool has room enough for work, so that it has no reason to wait.
+def has_capacity_for(copies: int, wanted: int) -> bool:
+    """Whether a pool has enough free capacity that work has no reason to wait.
 
     :param copies: tasks of it that fit.
     :param wanted: tasks that have to start at once.
--- a/src/saddlestack/policy/cluster/workers.py
+++ b/src/saddlestack/policy/cluster/workers.py
@@ -1,4 +1,4 @@
-"""Workers as the board sees them: room, runs, and how far each is to be trusted."""
+"""State that the scheduler keeps per worker: resources, runs, reachability and failure history."""
 
 from __future__ import annotations
 
@@ -13,27 +13,29 @@
 LONGEST_QUARANTINE_S = 16.0
 BUSY_QUARANTINE_S = 1.5
 EARLY_FAILURE_S = 0.3
-"""A run that fails sooner than this has done no work: its worker is at fault rather than its task.
-Workers that fail all that they start do so within 0.03 s."""
+"""A run that fails sooner than this has done no work, so its worker is at fault rather than its
+task. Workers that fail every run do so within 0.03 s."""
 EARLY_FAILURE_SHARE = 0.5
-"""...and sooner than this share of its estimate: work of 0.15 s that fails at its end is no early
-failure, and says nothing of its worker."""
+"""An early failure also comes before this share of the estimate: a run of 0.15 s that fails at its
+end is not an early failure and is no evidence against its worker."""
 PROBATION_S = 16.0
-"""For so long after an early failure, or until a run ends well there, a worker gets neither urgent
-work nor gangs: it is always free, so they would all go there. As long as the longest quarantine."""
+"""How long a worker takes neither urgent work nor gangs after an early failure, unless a run
+succeeds there first. A worker that fails every run is always free, so all of that work would go
+there. Equals the longest quarantine."""
 TRIAL_S = 64.0
-"""For so long after a quarantine, or until a run ends well there, a worker gets one task at a time.
-Four of the longest quarantines; without a bound a worker where nothing ends well, or nothing fits,
-stayed so for good."""
+"""How long a worker takes one task at a time after a quarantine, unless a run succeeds there first.
+Equals four of the longest quarantines. Without a limit, a worker where no run succeeds or fits
+stayed on trial permanently."""
 
-LEAVES_LATE_S = 0.3
-"""A start may leave so long after its worker's notice was heard. A notice is heard up to 1.5 s
-late, and the shortest time for which work may go to a leaving worker is 2 s."""
+START_AFTER_DRAIN_S = 0.3
+"""A start that is already decided may still be sent this long after its worker began to drain.
+A drain notice arrives up to 1.5 s late, and work may be sent to a draining worker for at least
+2 s."""
 
 RunKey = tuple[TaskName, int]
-"""A task and the number of its run."""
+"""A task and its run number."""
 
-_NOTED = frozenset(
+_INDEXED_FIELDS = frozenset(
     {
         "record",
         "listed",
@@ -51,41 +53,42 @@
         "isolating",
     }
 )
-"""What decides where work fits: a change of any of these is noted."""
-_ROOM = frozenset({"record", "used", "reserved"})
+"""Fields that decide where work fits. Setting one of them marks the worker as changed."""
+_CAPACITY_FIELDS = frozenset({"record", "used", "reserved"})
 _NOTHING = Resources()
 
 
 @dataclass(slots=True, eq=False)
 class Worker:
-    """One life of a worker.
+    """One incarnation of a worker. Times are seconds on the scheduler's clock.
 
-    :param listed: it is in the platform's list.
+    :param listed: it is in the platform's list of workers.
     :param reachable: its latest call was answered.
-    :param suspected: something near it has not answered, and it has not been heard since; no new
-        work goes there, what waits for its room goes on waiting.
-    :param leaves_s: when it may leave at the earliest, on the board's clock.
-    :param draining_since_s: since when it is known to be leaving, on the board's clock.
-    :param closing: its machine is about to have its upkeep.
-    :param evacuated: its data hall is being evacuated; what runs there goes on.
-    :param isolating: a task that may crash it is there, or is to come: nothing else is started.
-    :param last_answer_s: when it last answered in this term, on the board's clock.
-    :param unreachable_since_s: since when it does not answer, on the same.
-    :param outlived_record: it answered after its record was gone.
-    :param cold_until_s: it is slow until then.
-    :param calm_since_s: since when all that serves there is well below its target.
-    :param busy_s: no new work until then: it turned an order away.
-    :param strikes: failures that it was charged with since a run last ended well there.
-    :param quarantine_s: no new work until then, for its strikes.
-    :param probation_s: neither urgent work nor gangs until then.
-    :param trial_s: one task at a time until then.
-    :param last_charged_s: when it was last charged with a failure.
-    :param fails_late: it was charged with one that came after its run had done work.
-    :param last_healthy_s: when a run last made progress, or ended well, there.
-    :param reserved: room set aside for work that waits for others to stop.
-    :param held: room that runs hold, by the priority of their jobs.
-    :param changed: where to note that something about it has changed, if anywhere. Noting it where
-        it is set, and nowhere else, keeps the index of room true whoever changes a worker.
+    :param suspected: a worker or VM near it is unreachable, and it has not answered since. It gets
+        no new work; work that waits for its capacity keeps waiting.
+    :param leaves_s: the earliest time at which it may leave.
+    :param draining_since_s: when it was first known to be draining.
+    :param closing: its machine is about to have upkeep.
+    :param evacuated: its data hall is being evacuated; its present runs continue.
+    :param isolating: it runs, or is kept for, a task that may crash it; nothing else starts there.
+    :param last_answer_s: when it last answered in this term.
+    :param unreachable_since_s: when it stopped answering.
+    :param outlived_record: it answered after its record was removed.
+    :param cold_until_s: it is slow until then, since it has just started or returned.
+    :param calm_since_s: since when all serving tasks there have been well below their latency
+        target.
+    :param busy_s: it takes no new work until then, since it refused an order.
+    :param strikes: failures attributed to it since a run last succeeded there.
+    :param quarantine_s: it takes no new work until then, because of its strikes.
+    :param probation_s: it takes neither urgent work nor gangs until then.
+    :param trial_s: it takes one task at a time until then.
+    :param last_charged_s: when a failure was last attributed to it.
+    :param fails_late: a failure that came after its run had done work was attributed to it.
+    :param last_healthy_s: when a run last made progress or succeeded there.
+    :param reserved: resources set aside for work that waits for other runs to stop.
+    :param held: resources that runs hold, by the priority of their jobs.
+    :param changed: the set of changed workers that it adds itself to, if any. Setting a field is
+        the only thing that marks it, so the capacity index stays correct whoever changes a worker.
     """
 
     record: WorkerRecord
@@ -116,101 +119,106 @@
     held: dict[int, Resources] = field(default_factory=dict)
     changed: dict[Worker, None] | None = None
     _free: Resources | None = None
-    _noted_cold_ms: int = 0
+    _last_cold_ms: int = 0
 
     def __setattr__(self, name: str, value: object) -> None:
         object.__setattr__(self, name, value)
-        if name in _ROOM:
+        if name in _CAPACITY_FIELDS:
             object.__setattr__(self, "_free", None)
-        if name in _NOTED:
+        if name in _INDEXED_FIELDS:
             changed = getattr(self, "changed", None)
             if changed is not None:
                 changed[self] = None
 
     @property
     def worker_id(self) -> str:
-        """Its life's name."""
+        """The id of this incarnation."""
         return self.record.worker_id
 
     @property
     def machine(self) -> str:
-        """The machine that it is a life on; where it names none, its address."""
+        """The machine that it runs on, or its address if its record names no machine."""
         return self.record.machine or self.record.address
 
     @property
     def free(self) -> Resources:
-        """Room that nothing holds or waits for."""
+        """Resources that are neither held nor reserved."""
         if self._free is None:
             self._free = self.record.capacity - self.used - self.reserved
         return self._free
 
     @property
     def unused(self) -> Resources:
-        """Room that nothing holds, what is reserved among it."""
+        """Resources that no run holds, reserved ones included."""
         return self.record.capacity - self.used
 
     @property
     def is_overbooked(self) -> bool:
-        """Whether its runs fill some of the room that is reserved there."""
+        """Whether its runs hold some of its reserved resources."""
         return not _NOTHING.fits(self.free)
 
     def accepts_work(self, now: float) -> bool:
-        """Whether new work may go there."""
+        """Whether new work may start there."""
         return not self.isolating and self.accepts_isolated(now)
 
     def accepts_isolated(self, now: float) -> bool:
-        """Whether a task may go there that is to be alone."""
+        """Whether a task that has to run alone may start there."""
         return self.is_schedulable and self.reachable and now >= max(self.busy_s, self.quarantine_s)
 
     @property
     def is_overcommitted(self) -> bool:
-        """Whether its runs hold more than it has, since its room has shrunk."""
+        """Whether its runs hold more than its capacity, which may have shrunk."""
         return not self.used.fits(self.record.capacity)
 
     @property
     def is_available(self) -> bool:
-        """Whether it takes part, and answers as far as is known."""
+        """Whether it is schedulable and, as far as is known, reachable."""
         return self.is_schedulable and self.reachable and not self.suspected
 
     @property
     def is_schedulable(self) -> bool:
-        """Whether new work may go there once it is reachable and well."""
+        """Whether new work may go there once it is reachable and healthy.
+
+        Unlisted, draining and evacuated workers are not schedulable, nor are those whose machine is
+        about to have upkeep.
+        """
         leaves = not self.listed or self.record.draining or self.closing
         return not leaves and not self.evacuated
 
     def accepts_decided_start(self, now: float) -> bool:
-        """Whether a start that was decided for it may still leave.
+        """Whether a start that is already decided may still be sent to it.
 
-        Its room may have shrunk meanwhile: what runs there goes on, and nothing more begins.
+        Its capacity may have shrunk since the decision: its present runs continue, and no more are
+        started.
         """
         if self.evacuated or not self.reachable or self.is_overcommitted:
             return False
-        return self.draining_since_s is None or now - self.draining_since_s <= LEAVES_LATE_S
+        return self.draining_since_s is None or now - self.draining_since_s <= START_AFTER_DRAIN_S
 
     def next_change_s(self, now: float) -> float | None:
-        """When it takes more work than now, as far as that comes with time."""
+        """The next time at which it takes more work by the passing of time alone."""
         ends = (self.busy_s, self.quarantine_s, self.probation_s, self.trial_s)
         return min((until for until in ends if until > now), default=None)
 
     def expire_trial(self, now: float) -> None:
-        """End its trial once that has lasted for long enough."""
+        """End its trial if the trial period is over."""
         if self.strikes and now >= self.trial_s:
             self.strikes = 0
 
     def is_cold(self, now: float) -> bool:
-        """Whether it is slow since it has just begun, or was given back."""
+        """Whether it is still slow after its start or return."""
         return now < self.cold_until_s
 
     def update_record(self, record: WorkerRecord, now: float) -> None:
-        """Take over a newer record of it."""
+        """Apply a newer record."""
         if record.draining and record.remaining_ms is not None:
             leaves = now + record.remaining_ms / 1000
             self.leaves_s = leaves if self.leaves_s is None else min(self.leaves_s, leaves)
         elif not record.draining and not self.closing:
             self.leaves_s = None
-        if record.cold_ms != self._noted_cold_ms:
+        if record.cold_ms != self._last_cold_ms:
             self.cold_until_s = now + record.cold_ms / 1000
-            self._noted_cold_ms = record.cold_ms
+            self._last_cold_ms = record.cold_ms
         if not record.draining:
             self.draining_since_s = None
         elif self.draining_since_s is None:
@@ -218,49 +226,56 @@
         self.record = record
 
     def cancel_upkeep(self) -> None:
-        """Its machine has no upkeep after all."""
+        """Make it schedulable again after upkeep of its machine was canceled."""
         self.closing = False
         if not self.record.draining:
             self.leaves_s = None
 
     def matches(self, step: Step) -> bool:
-        """Whether it has the label that a step asks for."""
+        """Whether it has the label that a step requires, if any."""
         return not step.label or step.label in self.record.labels
 
-    def most(self, step: Step) -> int:
-        """Tasks of a step that it could hold if it were empty and well."""
+    def max_copies(self, step: Step) -> int:
+        """Tasks of a step that it could hold if it were empty and healthy."""
         copies = step.room.copies_in(self.record.capacity)
         return min(copies, step.per_worker) if step.per_worker else copies
 
-    def count_fitting(self, needs: Resources, room: Resources) -> int:
-        """Tasks of some size that fit into some room of it; one where it has failed lately."""
-        copies = 0 if self.is_overcommitted else needs.copies_in(room)
+    def count_fitting(self, needs: Resources, resources: Resources) -> int:
+        """Tasks of a given size that fit into some of its resources.
+
+        At most one, and only on an empty worker, while it is on trial.
+        """
+        copies = 0 if self.is_overcommitted else needs.copies_in(resources)
         if self.strikes:
             copies = min(copies, 0 if self.runs else 1)
         return copies
 
-    def lower_priority_room(self, priority: int) -> Resources:
-        """Room that runs of lower priority hold."""
+    def lower_priority_usage(self, priority: int) -> Resources:
+        """Resources that runs of lower priority hold."""
         lower = Resources()
-        for other, room in self.held.items():
+        for other, resources in self.held.items():
             if other > priority:
-                lower = lower + room
+                lower = lower + resources
         return lower
 
-    def room_for(self, step: StepState, *, reserved: bool = False) -> int:
-        """Tasks of a step that fit into what is free, whatever failed there lately.
+    def free_copies(self, step: StepState, *, reserved: bool = False) -> int:
+        """Tasks of a step that fit into its free resources, its strikes aside.
 
-        :param reserved: whether what is reserved for other work counts as free.
+        :param reserved: whether resources that are reserved for other work count as free.
         """
-        room = self.unused if reserved else self.free
-        return 0 if self.is_overcommitted else self._limited(step, step.step.room.copies_in(room))
-
-    def copies(self, step: StepState, room: Resources) -> int:
-        """Tasks of a step that fit into some room of it."""
-        return self._limited(step, self.count_fitting(step.step.room, room))
-
-    def _limited(self, step: StepState, copies: int) -> int:
-        """So many tasks of a step, or fewer where it limits those of one worker."""
+        resources = self.unused if reserved else self.free
+        return (
+            0
+            if self.is_overcommitted
+            else self._within_worker_limit(step, step.step.room.copies_in(resources))
+        )
+
+    def copies(self, step: StepState, resources: Resources) -> int:
+        """Tasks of a step that fit into some of its resources."""
+        return self._within_worker_limit(step, self.count_fitting(step.step.room, resources))
+
+    def _within_worker_limit(self, step: StepState, copies: int) -> int:
+        """Apply a step's limit of tasks per worker, if it has one."""
         limit = step.step.per_worker
         if not limit:
             return copies
@@ -268,14 +283,14 @@
         return max(0, min(copies, limit - held))
 
     def add(self, run: Run) -> None:
-        """Hold room for a run."""
+        """Hold resources for a run."""
         self.runs[(run.task.name, run.number)] = run
         priority = run.task.step.occurrence.job.priority
         self.held[priority] = self.held.get(priority, Resources()) + run.allocation
         self.used = self.used + run.allocation
 
     def remove(self, task: TaskName, number: int) -> Run | None:
-        """Free the room of a run that is over."""
+        """Free the resources of a run that is over; returns ``None`` if the run is unknown."""
         run = self.runs.pop((task, number), None)
         if run is not None:
             priority = run.task.step.occurrence.job.priority
@@ -284,13 +299,13 @@
         return run
 
     def record_success(self, now: float) -> None:
-        """A run ended well there."""
+        """Record that a run succeeded there, which clears its failures."""
         self.last_healthy_s = now
         self.busy_s = 0.0
         self.clear_failures()
 
     def clear_failures(self) -> None:
-        """What it was charged with is taken back."""
+        """Clear its strikes, with the quarantine, probation and trial that followed from them."""
         self.strikes = 0
         self.quarantine_s = 0.0
         self.probation_s = 0.0
@@ -298,10 +313,12 @@
         self.fails_late = False
 
     def record_progress(self, run: Run, now: float) -> None:
-        """A run made progress there: work that began since its last charge does not fail at once.
+        """Record that a run made progress there.
 
-        Workers that fail late show well only by an end; the others are free again some 2 s after
-        their quarantine rather than at the end of the task that they are tried with.
+        Clears the failures of a worker that failed runs at once, if the run started after the last
+        of these and has outlived the time of an early failure. So the worker takes all work again
+        some 2 s after its quarantine rather than when its trial task ends. A worker that fails runs
+        late is cleared only by a run that succeeds.
         """
         self.last_healthy_s = now
         if not self.strikes or self.fails_late or run.started_s is None:
@@ -310,9 +327,9 @@
             self.clear_failures()
 
     def record_failure(self, now: float, *, early: bool) -> None:
-        """It is charged with a run that failed there.
+        """Record a failure that is attributed to it, and quarantine it.
 
-        :param early: before it can have done any work.
+        :param early: the run failed before it can have done any work.
         """
         self.strikes += 1
         self.last_charged_s = now
@@ -325,5 +342,5 @@
         self.trial_s = self.quarantine_s + TRIAL_S
 
     def record_refusal(self, now: float) -> None:
-        """It turned an order away as unhealthy."""
+        """Record that it refused an order because it is unhealthy."""
         self.busy_s = max(self.busy_s, now + BUSY_QUARANTINE_S)
--- a/tests/test_index.py
+++ b/tests/test_index.py
@@ -234,7 +234,7 @@
     ) -> None:
         priority = step.occurrence.job.priority
         held = [
-            sum(weight(w.lower_priority_room(priority)) for w in each) for each in (found, plain)
+            sum(weight(w.lower_priority_usage(priority)) for w in each) for each in (found, plain)
         ]
         self.assertEqual(len(found) > 0, len(plain) > 0)
         if not step.step.data_rack:
