--- a/src/saddlestack/control/waits.py
+++ b/src/saddlestack/control/waits.py
@@ -13,7 +13,7 @@
 
 from saddlestack.kernel.clock import Clock
 from saddlestack.policy.cluster.diagnosis import Diagnosis, DiagnosisContext, Wait, WaitReport
-from saddlestack.policy.cluster.feasibility import ServicePool, pools
+from saddlestack.policy.cluster.feasibility import ServicePool, pools_by_service
 from saddlestack.policy.cluster.jobs import Job
 from saddlestack.policy.cluster.reasons import WaitReason
 from saddlestack.policy.cluster.records import FailureCause
@@ -249,7 +249,7 @@
 
     def _percent(self, kept_out: Callable[[ServicePool], int]) -> int:
         """The share of all accelerators that is kept out, taken when it is asked for."""
-        found = pools(self._cluster_state.workers.values(), self._clock.now()).values()
+        found = pools_by_service(self._cluster_state.workers.values(), self._clock.now()).values()
         total = sum(pool.total for pool in found)
         return round(PERCENT * sum(kept_out(pool) for pool in found) / total) if total else 0
 
--- a/src/saddlestack/policy/cluster/diagnosis.py
+++ b/src/saddlestack/policy/cluster/diagnosis.py
@@ -1,7 +1,7 @@
-"""Why nothing of a job runs: the job's runs that are in hand, else what keeps its tasks from room.
+"""Finds out why no task of a job runs: the state of its runs, or what keeps its tasks from workers.
 
-Reads the board and changes nothing there. What a look costs is bounded, since it is taken on the
-leader's tick: the jobs that have waited for the longest time are looked at first.
+The diagnosis only reads the cluster state. It runs on the leader's tick, so the cost of a scan is
+bounded: the jobs that have waited longest are examined first.
 """
 
 from __future__ import annotations
@@ -11,7 +11,12 @@
 from dataclasses import dataclass, field
 from itertools import islice
 
-from saddlestack.policy.cluster.feasibility import Feasibility, FeasibilityCheck, ServicePool, pools
+from saddlestack.policy.cluster.feasibility import (
+    Feasibility,
+    FeasibilityCheck,
+    ServicePool,
+    pools_by_service,
+)
 from saddlestack.policy.cluster.jobs import Job, Occurrence, Run, StepState
 from saddlestack.policy.cluster.reasons import WaitReason
 from saddlestack.policy.cluster.state import ClusterState
@@ -25,12 +30,12 @@
 from saddlestack.work import FINAL_STATES, Resources
 
 MAX_JOBS_PER_SCAN = 128
-"""Jobs whose steps are looked at..."""
+"""Maximum number of jobs whose steps are examined in a scan."""
 MAX_WORKERS_PER_SCAN = 3_000
-"""...and workers after which no more are looked at: a pool counts once for each kind of step. So
-bounded a look takes 30 ms of a core in the median with 3,000 workers and 10,000 waiting jobs, 13 ms
-with 176 and 1,000 (`benchmarks.waits`, 40 looks each, on a busy machine). Where nothing waits only
-the runs are gone through: 1.1 ms with 3,000 workers and 5,300 runs."""
+"""Number of examined workers after which a scan examines no more. A pool counts once for each kind
+of step. With both limits the median scan takes 30 ms of a core with 3,000 workers and 10,000
+waiting jobs, and 13 ms with 176 workers and 1,000 waiting jobs (`benchmarks.waits`). If nothing
+waits, a scan only iterates over the runs: 1.1 ms with 3,000 workers and 5,300 runs."""
 PREFERENCES = frozenset(
     {
         WaitReason.BACKFILL,
@@ -42,22 +47,23 @@
         WaitReason.TRIAL,
     }
 )
-"""What a job that stands beside a pool that is mostly free gives up in time; quarantine only where
-its next failure is not its last."""
-HELD_S = 0.1
-"""A round of decisions that is due begins within milliseconds, or it is held up."""
+"""Constraints that a stalled job drops after a time limit while its pool is mostly free. Quarantine
+is dropped only if the job's next failure is not its last."""
+ROUND_OVERDUE_S = 0.1
+"""A scheduling round that is due starts within milliseconds unless it is held up. It counts as held
+up after this time."""
 
 
 @dataclass(frozen=True, slots=True)
 class DiagnosisContext:
-    """What the leader knows besides its board. Times are seconds on the board's clock.
+    """State of the leader beside its cluster state. Times are seconds on the scheduler's clock.
 
-    :param wall_ms: milliseconds since 1970.
-    :param planned_s: when the last round of decisions began...
-    :param round_full: ...and whether it was full.
-    :param round_due: whether the next one would begin now.
+    :param wall_ms: wall time in milliseconds since 1970.
+    :param planned_s: when the last scheduling round started.
+    :param round_full: whether that round reached its limit of starts.
+    :param round_due: whether the next round would start now.
     :param is_writing: whether records of a job are being written.
-    :param lease_until_s: when every lease of a worker has lapsed.
+    :param lease_until_s: when all leases of a worker have expired.
     """
 
     now: float
@@ -71,14 +77,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Wait:
-    """A job of which nothing runs.
-
-    :param since_s: since when, as far as looks tell.
-    :param tasks: that wait for this reason.
-    :param later_tasks: that wait for an earlier step besides.
-    :param until_s: when the wait ends, or another reason takes over, where a time is known.
-    :param could_start: a task of it could run, there is room for it twice over, and the pool is
-        mostly free.
+    """A job of which no task runs.
+
+    :param since_s: the scan that first found it waiting.
+    :param tasks: number of tasks that wait for this reason.
+    :param later_tasks: number of tasks that wait for an earlier step.
+    :param until_s: when the wait ends or another reason applies, if a time is known.
+    :param could_start: whether a task of it may run, twice the resources it needs are free and the
+        pool is mostly free.
     """
 
     job_id: str
@@ -92,10 +98,10 @@
 
 @dataclass(frozen=True, slots=True)
 class WaitReport:
-    """What a look has found.
+    """The result of a scan.
 
-    :param waits: of the jobs that have waited for the longest time.
-    :param left_out: jobs that wait as well, and were not looked at.
+    :param waits: the waits of the jobs that have waited longest.
+    :param left_out: number of waiting jobs that were not examined.
     """
 
     waits: list[Wait]
@@ -103,8 +109,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Kind:
-    """What steps share that find the same in a pool."""
+class _StepKind:
+    """Properties of a step that decide the result of its feasibility check."""
 
     service: str
     room: Resources
@@ -119,25 +125,28 @@
 
 
 @dataclass(slots=True)
-class _InHand:
-    """The runs of jobs, those at work apart from those that are not.
+class _RunsByState:
+    """All assigned runs, by state and job.
 
-    :param working: jobs of which something runs.
-    :param lost: runs on workers that do not answer, by job.
+    :param working: ids of the jobs with a confirmed run on a reachable worker.
+    :param unreachable: runs on unreachable workers, by job.
     :param stopping: runs that are being stopped, by job.
     :param unconfirmed: runs whose start is not confirmed, by job.
     """
 
     working: set[str] = field(default_factory=set)
-    lost: dict[str, list[Run]] = field(default_factory=lambda: defaultdict(list))
+    unreachable: dict[str, list[Run]] = field(default_factory=lambda: defaultdict(list))
     stopping: dict[str, list[Run]] = field(default_factory=lambda: defaultdict(list))
     unconfirmed: dict[str, list[Run]] = field(default_factory=lambda: defaultdict(list))
 
-    def add(self, run: Run, *, answers: bool) -> None:
-        """Sort a run in."""
+    def add(self, run: Run, *, is_reachable: bool) -> None:
+        """Add a run.
+
+        :param is_reachable: whether its worker is reachable.
+        """
         job_id = run.task.name.job_id
-        if not answers:
-            self.lost[job_id].append(run)
+        if not is_reachable:
+            self.unreachable[job_id].append(run)
         elif run.stopping:
             self.stopping[job_id].append(run)
         elif run.started_s is None:
@@ -146,106 +155,105 @@
             self.working.add(job_id)
 
     def of(self, job_id: str) -> list[Run]:
-        """The runs of a job of which nothing is at work."""
+        """The assigned runs of a job that has no working run."""
         return [
             run
-            for runs in (self.lost, self.stopping, self.unconfirmed)
+            for runs in (self.unreachable, self.stopping, self.unconfirmed)
             for run in runs.get(job_id, ())
         ]
 
 
 class Diagnosis:
-    """Looks at a board from time to time, and keeps since when each job waits."""
+    """Scans a cluster state from time to time, and keeps how long each job has been waiting."""
 
     def __init__(self, cluster_state: ClusterState) -> None:
         self._cluster_state = cluster_state
-        self._since: dict[str, float] = {}
+        self._waiting_since: dict[str, float] = {}
 
     def scan(self, circumstances: DiagnosisContext) -> WaitReport:
-        """The jobs of which nothing runs, those first that have waited for the longest time."""
-        in_hand = _in_hand(self._cluster_state)
-        self._note(in_hand, circumstances.now)
-        look = _Look(self._cluster_state, in_hand, circumstances)
-        longest = list(islice(self._since.items(), MAX_JOBS_PER_SCAN))
+        """Find the jobs of which no task runs, the longest waiting first."""
+        runs_by_state = _runs_by_state(self._cluster_state)
+        self._update_waiting_since(runs_by_state, circumstances.now)
+        scan = _Scan(self._cluster_state, runs_by_state, circumstances)
+        longest = list(islice(self._waiting_since.items(), MAX_JOBS_PER_SCAN))
         jobs = [(self._cluster_state.jobs[job_id], since_s) for job_id, since_s in longest]
-        waits = [look.at(job, since_s) for job, since_s in jobs if not job.over]
-        return WaitReport(waits, len(self._since) - len(longest))
+        waits = [scan.explain(job, since_s) for job, since_s in jobs if not job.over]
+        return WaitReport(waits, len(self._waiting_since) - len(longest))
 
-    def _note(self, in_hand: _InHand, now: float) -> None:
-        """Keep since when each job waits; what waited first stays first."""
+    def _update_waiting_since(self, runs_by_state: _RunsByState, now: float) -> None:
+        """Update since when each job waits; the dict stays in the order in which waits began."""
         jobs = self._cluster_state.jobs
-        working = in_hand.working
-        for job_id in [each for each in self._since if each in working or each not in jobs]:
-            del self._since[job_id]
+        working = runs_by_state.working
+        for job_id in [each for each in self._waiting_since if each in working or each not in jobs]:
+            del self._waiting_since[job_id]
         for job_id, job in jobs.items():
             if job.published_state in FINAL_STATES:
-                self._since.pop(job_id, None)
+                self._waiting_since.pop(job_id, None)
             elif job_id not in working:
-                self._since.setdefault(job_id, now)
+                self._waiting_since.setdefault(job_id, now)
 
 
-def _in_hand(cluster_state: ClusterState) -> _InHand:
-    found = _InHand()
+def _runs_by_state(cluster_state: ClusterState) -> _RunsByState:
+    found = _RunsByState()
     for worker in cluster_state.workers.values():
         for run in worker.runs.values():
-            found.add(run, answers=worker.reachable)
+            found.add(run, is_reachable=worker.reachable)
     return found
 
 
-class _Look:
-    """One look at a board."""
+class _Scan:
+    """One scan of a cluster state."""
 
     def __init__(
-        self, cluster_state: ClusterState, in_hand: _InHand, circumstances: DiagnosisContext
+        self,
+        cluster_state: ClusterState,
+        runs_by_state: _RunsByState,
+        circumstances: DiagnosisContext,
     ) -> None:
         self._cluster_state = cluster_state
-        self._in_hand = in_hand
+        self._runs_by_state = runs_by_state
         self._circumstances = circumstances
         self._now = circumstances.now
-        self._left = MAX_WORKERS_PER_SCAN
+        self._workers_left = MAX_WORKERS_PER_SCAN
         self._pools: dict[str, ServicePool] | None = None
-        self._known: dict[_Kind, Feasibility] = {}
+        self._cache: dict[_StepKind, Feasibility] = {}
 
-    def at(self, job: Job, since_s: float) -> Wait:
-        """Why nothing of a job runs."""
+    def explain(self, job: Job, since_s: float) -> Wait:
+        """Explain why no task of a job runs."""
         due = [each for each in job.occurrences if each.open and self._is_due(each)]
         if not due:
-            return self._not_due(job, since_s)
+            return self._waits_until_due(job, since_s)
         steps = [step for each in due for step in each.steps if not step.finished]
         ready = [step for step in steps if may_start(step)]
-        later = sum(len(step.tasks) for step in steps if not _follows_nothing(step))
+        later = sum(len(step.tasks) for step in steps if not _dependencies_finished(step))
         if ready:
-            tasks = sum(self._waiting(step) for step in ready)
-            return self._for_room(job, ready[0], since_s, tasks, later)
-        return self._for_runs(job, since_s, later)
-
-    # Time
+            tasks = sum(self._count_waiting(step) for step in ready)
+            return self._waits_for_capacity(job, ready[0], since_s, tasks, later)
+        return self._waits_for_runs(job, since_s, later)
 
     def _is_due(self, occurrence: Occurrence) -> bool:
         return occurrence.due_ms <= self._circumstances.wall_ms
 
-    def _not_due(self, job: Job, since_s: float) -> Wait:
+    def _waits_until_due(self, job: Job, since_s: float) -> Wait:
         to_come = [each for each in job.occurrences if each.open]
         tasks = sum(len(step.tasks) for each in to_come[:1] for step in each.steps)
         due_ms = min((each.due_ms for each in to_come), default=0)
         until_s = self._now + (due_ms - self._circumstances.wall_ms) / 1000
         return Wait(job.job_id, WaitReason.NOT_DUE, since_s, tasks, until_s=until_s)
 
-    # Runs
-
-    def _for_runs(self, job: Job, since_s: float, later: int) -> Wait:
-        """A job whose tasks are all given to workers, or follow on such."""
+    def _waits_for_runs(self, job: Job, since_s: float, later: int) -> Wait:
+        """The wait of a job whose tasks are all assigned, or depend on tasks that are."""
         job_id = job.job_id
         until_s = None
-        if job_id in self._in_hand.lost:
-            runs = self._in_hand.lost[job_id]
+        if job_id in self._runs_by_state.unreachable:
+            runs = self._runs_by_state.unreachable[job_id]
             reason = WaitReason.LEASE
             until_s = max(self._circumstances.lease_until_s(run.worker_id) for run in runs)
-        elif job_id in self._in_hand.stopping:
-            runs = self._in_hand.stopping[job_id]
+        elif job_id in self._runs_by_state.stopping:
+            runs = self._runs_by_state.stopping[job_id]
             reason = WaitReason.STOPPING
-        elif job_id in self._in_hand.unconfirmed:
-            runs = self._in_hand.unconfirmed[job_id]
+        elif job_id in self._runs_by_state.unconfirmed:
+            runs = self._runs_by_state.unconfirmed[job_id]
             reason = WaitReason.STARTING
             if self._circumstances.is_writing(job_id) and not runs[0].inherited:
                 reason = WaitReason.WRITE
@@ -253,77 +261,84 @@
             return Wait(job_id, WaitReason.EARLIER_STEP, since_s, 0, later)
         step = runs[0].task.step
         tasks = len(step.tasks) - step.done if step.step.gang else len(runs)
-        return Wait(job_id, reason, since_s, tasks, later, until_s, self._is_beside_room(step))
-
-    def _is_beside_room(self, step: StepState) -> bool:
-        """Whether a step could run at once somewhere else."""
-        survey = self._survey(step)
-        return survey is not None and self._has_room(step, survey)
-
-    # Room
-
-    def _for_room(self, job: Job, step: StepState, since_s: float, tasks: int, later: int) -> Wait:
-        survey = self._survey(step)
-        if survey is None:
+        return Wait(job_id, reason, since_s, tasks, later, until_s, self._could_start(step))
+
+    def _could_start(self, step: StepState) -> bool:
+        """Whether a step could start at once on other workers."""
+        feasibility = self._feasibility(step)
+        return feasibility is not None and self._has_capacity(step, feasibility)
+
+    def _waits_for_capacity(
+        self, job: Job, step: StepState, since_s: float, tasks: int, later: int
+    ) -> Wait:
+        feasibility = self._feasibility(step)
+        if feasibility is None:
             return Wait(job.job_id, WaitReason.LEFT_OUT, since_s, tasks, later)
         if self._cluster_state.planner.awaits_isolation(step):
-            beside = self._has_room(step, survey)
-            return Wait(job.job_id, WaitReason.ISOLATION, since_s, tasks, later, could_start=beside)
-        reason, until_s = self._why(step, survey)
-        room = self._has_room(step, survey)
-        if room:
-            until_s = self._until_s(step, reason, until_s)
-        return Wait(job.job_id, reason, since_s, tasks, later, until_s, room)
-
-    def _why(self, step: StepState, survey: Feasibility) -> tuple[WaitReason, float | None]:
-        """The reason, and when it ends where a time is known."""
+            could_start = self._has_capacity(step, feasibility)
+            return Wait(
+                job.job_id, WaitReason.ISOLATION, since_s, tasks, later, could_start=could_start
+            )
+        reason, until_s = self._reason(step, feasibility)
+        has_capacity = self._has_capacity(step, feasibility)
+        if has_capacity:
+            until_s = self._latest_end_s(step, reason, until_s)
+        return Wait(job.job_id, reason, since_s, tasks, later, until_s, has_capacity)
+
+    def _reason(self, step: StepState, feasibility: Feasibility) -> tuple[WaitReason, float | None]:
+        """The reason of a wait, and when it ends if a time is known."""
         waiting_since_s = self._now if step.waiting_since_s is None else step.waiting_since_s
-        if survey.reason is None:
-            if self._cluster_state.planner.may_open(step, list(survey.places), self._now):
-                return self._for_round(), None
+        if feasibility.reason is None:
+            if self._cluster_state.planner.may_open(step, list(feasibility.places), self._now):
+                return self._round_reason(), None
             return WaitReason.HEADROOM, waiting_since_s + HEADROOM_WAIT_S
         reserved_until_s = self._cluster_state.planner.reserved_until(step)
         if reserved_until_s is not None:
             return WaitReason.MAKING_ROOM, reserved_until_s
-        if survey.reason is WaitReason.NEAR_DATA:
+        if feasibility.reason is WaitReason.NEAR_DATA:
             return WaitReason.NEAR_DATA, waiting_since_s + NEAR_DATA_WAIT_S
-        return survey.reason, survey.until_s
+        return feasibility.reason, feasibility.until_s
 
-    def _until_s(self, step: StepState, reason: WaitReason, until_s: float | None) -> float | None:
-        """When a wait ends at the latest: beside a free pool preferences are given up sooner."""
+    def _latest_end_s(
+        self, step: StepState, reason: WaitReason, until_s: float | None
+    ) -> float | None:
+        """When a wait ends at the latest. In a mostly free pool preferences are dropped sooner."""
         if reason not in PREFERENCES or step.stalled_since_s is None:
             return until_s
         if reason is WaitReason.QUARANTINE and step.next_failure_is_final:
             return until_s
-        impatient_s = step.stalled_since_s + IDLE_POOL_WAIT_S
-        return impatient_s if until_s is None else min(until_s, impatient_s)
+        dropped_s = step.stalled_since_s + IDLE_POOL_WAIT_S
+        return dropped_s if until_s is None else min(until_s, dropped_s)
 
-    def _waiting(self, step: StepState) -> int:
-        """Tasks of a step that are neither done nor given to a worker, without a look at each."""
-        runs = self._in_hand.of(step.occurrence.job.job_id)
-        given = sum(1 for run in runs if run.task.step is step)
-        return len(step.tasks) - step.done - given
+    def _count_waiting(self, step: StepState) -> int:
+        """Tasks of a step that are neither done nor assigned, without iterating over its tasks."""
+        runs = self._runs_by_state.of(step.occurrence.job.job_id)
+        assigned = sum(1 for run in runs if run.task.step is step)
+        return len(step.tasks) - step.done - assigned
 
-    def _for_round(self) -> WaitReason:
+    def _round_reason(self) -> WaitReason:
         circumstances = self._circumstances
-        if circumstances.round_due and self._now - circumstances.planned_s > HELD_S:
+        if circumstances.round_due and self._now - circumstances.planned_s > ROUND_OVERDUE_S:
             return WaitReason.ROUND_HELD
         return WaitReason.ROUND_FULL if circumstances.round_full else WaitReason.NEXT_ROUND
 
-    def _has_room(self, step: StepState, survey: Feasibility) -> bool:
-        wanted = step.step.count if step.step.gang else 1
-        return has_room(self._pool(step).use, survey.copies, wanted)
+    def _has_capacity(self, step: StepState, feasibility: Feasibility) -> bool:
+        required = step.step.count if step.step.gang else 1
+        return has_room(self._pool(step).use, feasibility.copies, required)
+
+    def _feasibility(self, step: StepState) -> Feasibility | None:
+        """The feasibility of a step in its pool, cached by kind of step.
 
-    def _survey(self, step: StepState) -> Feasibility | None:
-        """What a step finds in its pool; ``None`` where that would cost too much."""
-        kind = self._kind(step)
-        known = None if kind is None else self._known.get(kind)
-        if known is not None:
-            return known
+        ``None`` if this scan has already examined too many workers.
+        """
+        kind = self._step_kind(step)
+        cached = None if kind is None else self._cache.get(kind)
+        if cached is not None:
+            return cached
         pool = self._pool(step)
-        if self._left <= 0:
+        if self._workers_left <= 0:
             return None
-        self._left -= len(pool.workers)
+        self._workers_left -= len(pool.workers)
         found = FeasibilityCheck(
             step,
             pool,
@@ -331,19 +346,19 @@
             near=self._cluster_state.planner.waits_near_data(step, self._now),
             advised=self._cluster_state.is_advised(step.occurrence.job),
             now=self._now,
-        ).survey()
+        ).check()
         if kind is not None:
-            self._known[kind] = found
+            self._cache[kind] = found
         return found
 
     def _pool(self, step: StepState) -> ServicePool:
         if self._pools is None:
-            self._pools = pools(self._cluster_state.workers.values(), self._now)
+            self._pools = pools_by_service(self._cluster_state.workers.values(), self._now)
         service = self._cluster_state.service_of(step.occurrence.job)
         return self._pools.setdefault(service, ServicePool())
 
-    def _kind(self, step: StepState) -> _Kind | None:
-        """What a step shares with others; ``None`` where more counts than that."""
+    def _step_kind(self, step: StepState) -> _StepKind | None:
+        """The kind of a step; ``None`` if its feasibility depends on other properties as well."""
         job = step.occurrence.job
         if self._cluster_state.is_advised(job) or step.has_avoided_workers or step.step.per_worker:
             return None
@@ -351,7 +366,7 @@
         near = (
             needs.data_rack if self._cluster_state.planner.waits_near_data(step, self._now) else ""
         )
-        return _Kind(
+        return _StepKind(
             service=self._cluster_state.service_of(job),
             room=needs.room,
             count=needs.count if needs.gang else 1,
@@ -365,7 +380,7 @@
         )
 
 
-def _follows_nothing(step: StepState) -> bool:
-    """Whether every step that has to be done first is."""
+def _dependencies_finished(step: StepState) -> bool:
+    """Whether all steps that a step depends on are finished."""
     steps = step.occurrence.steps
     return all(steps[number].finished for number in step.step.after)
--- a/src/saddlestack/policy/cluster/reasons.py
+++ b/src/saddlestack/policy/cluster/reasons.py
@@ -1,6 +1,6 @@
-"""Why a job waits: a closed table of the mechanisms that keep work from starting.
+"""The reasons for which a job waits: every mechanism that keeps work from starting.
 
-No client account is limited in what it may run at once, so no reason tells of such a limit.
+There is no reason for a limit of a client account, since accounts have no limit on concurrent runs.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 
 class WaitReason(enum.StrEnum):
-    """The mechanism for which nothing of a job runs."""
+    """The mechanism that keeps all tasks of a job from running."""
 
     NOT_DUE = "not_due"
     EARLIER_STEP = "earlier_step"
@@ -42,12 +42,12 @@
 
     @property
     def awaited(self) -> str:
-        """What is waited for."""
+        """What the job waits for, as a clause for operators."""
         return _SENTENCES[self][0]
 
     @property
     def ends(self) -> str:
-        """What ends the wait."""
+        """What ends the wait, as a phrase for operators."""
         return _SENTENCES[self][1]
 
 
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -12,7 +12,7 @@
 
 from saddlestack.interfaces.workers import EndKind
 from saddlestack.policy.cluster.changes import Changes, StopReason
-from saddlestack.policy.cluster.feasibility import pools
+from saddlestack.policy.cluster.feasibility import pools_by_service
 from saddlestack.policy.cluster.lending import DEFAULT_STOP_S, LOAN_GRACE_S
 from saddlestack.policy.cluster.reservations import STOP_OVERDUE_S
 from saddlestack.policy.cluster.wait_limits import LENDING_WAIT_S
@@ -73,11 +73,11 @@
         self.assertEqual(jobs_of(self.plan(LENT_S)), [job])
 
     def test_idle_reserved_room_is_told(self) -> None:
-        pool = pools(self.cluster_state.workers.values(), ASKED_S)[SERVICE]
+        pool = pools_by_service(self.cluster_state.workers.values(), ASKED_S)[SERVICE]
         self.assertEqual(pool.reserved_idle, 8 * WHOLE)
         self.beside(lasting(step(1, 3), 1.0))
         self.plan(LENT_S)
-        pool = pools(self.cluster_state.workers.values(), LENT_S)[SERVICE]
+        pool = pools_by_service(self.cluster_state.workers.values(), LENT_S)[SERVICE]
         self.assertEqual(pool.reserved_idle, 8 * WHOLE - 3)
 
     def test_a_gang_is_lent_room_whole(self) -> None:
