--- a/benchmarks/variants.py
+++ b/benchmarks/variants.py
@@ -94,8 +94,8 @@
         (
             Edit(
                 "policy/cluster/preemption.py",
-                "        return lost * weight(run.allocation) + TOUCH_COST",
-                "        return TOUCH_COST",
+                "        return lost * weight(run.allocation) + STOP_COST_CORE_S",
+                "        return STOP_COST_CORE_S",
             ),
         ),
     ),
@@ -105,7 +105,7 @@
         (
             Edit(
                 "policy/cluster/preemption.py",
-                "        self._spare_needless(wanted)\n",
+                "        self._drop_unneeded(wanted)\n",
                 "",
             ),
         ),
--- a/src/saddlestack/policy/cluster/preemption.py
+++ b/src/saddlestack/policy/cluster/preemption.py
@@ -1,4 +1,4 @@
-"""Which runs to stop for work that may take room back: least work lost, whole gangs only."""
+"""Chooses which runs to preempt, so that the least work is lost. Gangs are only stopped whole."""
 
 from __future__ import annotations
 
@@ -11,26 +11,29 @@
 from saddlestack.work import Resources
 
 CHECKPOINT_LOSS_S = 1.0
-"""Seconds of work that are lost at most where a run saves its progress."""
-REQUEUE_S = 4.0
-"""Seconds of work that a gang is held to lose besides, since it waits for whole room again."""
-TOUCH_COST = 1.0
-"""Core-seconds that any stop is held to cost, so that fewer runs are touched."""
-
-DEARER = 2.0
-"""A search is given up once it loses this many times what the best one so far loses: of what was
-chosen needlessly less is left out again."""
-WORSE_IN_A_ROW = 8
-"""After so many groups of workers in a row that are no better, the search ends: it bounds what a
-round costs in pools of many racks."""
+"""Maximum seconds of work that a run with a checkpoint loses."""
+GANG_REQUEUE_LOSS_S = 4.0
+"""Seconds of work that each run of a gang counts as losing in addition, since a gang waits until
+resources for all of its members are free again."""
+STOP_COST_CORE_S = 1.0
+"""Core-seconds that every stop counts as losing, so that fewer runs are stopped."""
+
+MAX_LOSS_FACTOR = 2.0
+"""A search of a domain ends once its loss exceeds that of the best domain so far by this factor.
+Unneeded groups are dropped at the end of a search, but they make up less than that."""
+MAX_WORSE_DOMAINS = 8
+"""The search ends after this many domains in a row that are no better than the best one. This
+bounds the cost of a round in pools of many racks."""
 NOTHING = Resources()
 
 
 @dataclass(frozen=True, slots=True)
 class Preemption:
-    """A place for a step's tasks, and the runs that have to stop first.
+    """Workers for the tasks of a step, and the runs that have to stop first.
 
-    :param lost: core-seconds thrown away.
+    :param places: a worker for each task.
+    :param victims: the runs to stop.
+    :param lost: core-seconds of work that the stops lose.
     """
 
     places: list[Worker]
@@ -42,72 +45,73 @@
 class _Group:
     """Runs that stop together.
 
-    :param lost: core-seconds that all of them lose.
-    :param rooms: what they hold, by worker.
+    :param lost: core-seconds of work that all of them lose.
+    :param allocations: the resources that they hold, by worker.
     """
 
     runs: Sequence[Run]
     lost: float
-    rooms: Mapping[str, Resources]
+    allocations: Mapping[str, Resources]
 
     @property
     def step(self) -> StepState:
-        """The step that they are of."""
+        """The step of the runs."""
         return self.runs[0].task.step
 
 
 @dataclass(frozen=True, slots=True)
 class _Option:
-    """Groups that make room for one more task on some worker.
+    """Groups whose stop lets at least one more task fit on some worker.
 
-    :param gain: tasks that fit more, on all workers of the search.
+    :param gain: number of additional tasks that fit, over all workers of the search.
     """
 
     groups: list[_Group]
     lost: float
     gain: int
 
-    def price(self, missing: int) -> float:
-        """Core-seconds lost for each task that is still missing."""
+    def loss_per_task(self, missing: int) -> float:
+        """Core-seconds lost per additional task, of which no more than ``missing`` count."""
         return self.lost / min(self.gain, missing)
 
 
 class Preemptor:
-    """Searches the cheapest set of runs to stop.
+    """Searches for the cheapest set of runs to stop.
 
-    :param members: all runs that stop together with a run.
-    :param may_stop: whether a run may be stopped for the work in question.
-    :param gives_back: whether a run ends soon anyway, since that work has lent it its room.
+    :param members: returns all runs that stop together with a run.
+    :param may_stop: whether a run may be stopped for the preempting work.
+    :param is_loan_ending: whether a run is stopped soon anyway, since it borrows its resources from
+        the preempting work.
     """
 
     def __init__(
         self,
         members: Callable[[Run], Sequence[Run]],
         may_stop: Callable[[Run], bool],
-        gives_back: Callable[[Run], bool],
+        is_loan_ending: Callable[[Run], bool],
         now: float,
     ) -> None:
         self._members = members
         self._may_stop = may_stop
-        self._gives_back = gives_back
+        self._gives_back = is_loan_ending
         self._now = now
         self._groups: dict[StepState | Run, _Group | None] = {}
 
     def cheapest(
         self, step: StepState, wanted: int, domains: Iterable[Sequence[Worker]]
     ) -> Preemption | None:
-        """The cheapest preemption that makes room for ``wanted`` tasks of a step.
+        """The cheapest preemption after which ``wanted`` tasks of a step fit, or ``None``.
 
-        :param domains: groups of workers, the most promising first; the tasks go to one of them.
+        :param domains: groups of workers, the most promising first. All tasks go to one of them.
         """
         best: Preemption | None = None
         near = step.step.data_rack
         best_key: tuple[bool, float] | None = None
         worse = 0
         for domain in domains:
-            if worse >= WORSE_IN_A_ROW:
+            if worse >= MAX_WORSE_DOMAINS:
                 break
-            limit = math.inf if best is None else best.lost * DEARER
+            limit = math.inf if best is None else best.lost * MAX_LOSS_FACTOR
             found = _Search(self, step, domain).cheapest(wanted, limit)
             if found is None:
                 worse += best is not None
@@ -122,7 +126,7 @@
         return best
 
     def group(self, run: Run) -> _Group | None:
-        """The runs that stop with a run, or ``None`` where one of them must not."""
+        """The runs that stop with a run, or ``None`` if one of them must not be stopped."""
         step = run.task.step
         key: StepState | Run = step if step.step.gang else run
         if key not in self._groups:
@@ -133,13 +137,15 @@
         members = self._members(run)
         if not all(self._may_stop(member) for member in members):
             return None
-        rooms: dict[str, Resources] = {}
+        allocations: dict[str, Resources] = {}
         for member in members:
-            rooms[member.worker_id] = rooms.get(member.worker_id, NOTHING) + member.allocation
-        return _Group(members, sum(self.loss(member) for member in members), rooms)
+            allocations[member.worker_id] = (
+                allocations.get(member.worker_id, NOTHING) + member.allocation
+            )
+        return _Group(members, sum(self.loss(member) for member in members), allocations)
 
     def loss(self, run: Run) -> float:
-        """Core-seconds thrown away if the run stops now."""
+        """Core-seconds of work that are lost if a run stops now."""
         if run.stopping or self._gives_back(run):
             return 0.0
         since = run.started_s if run.started_s is not None else run.assigned_s
@@ -147,12 +153,12 @@
         if run.task.step.step.checkpoint and run.saved:
             lost = min(lost, CHECKPOINT_LOSS_S)
         if run.task.step.step.gang:
-            lost += REQUEUE_S
-        return lost * weight(run.allocation) + TOUCH_COST
+            lost += GANG_REQUEUE_LOSS_S
+        return lost * weight(run.allocation) + STOP_COST_CORE_S
 
 
 class _Search:
-    """Grows a set of groups until enough tasks fit, then leaves out what is not needed."""
+    """Greedy search of one domain: adds groups until enough tasks fit, then drops unneeded ones."""
 
     def __init__(self, owner: Preemptor, step: StepState, domain: Sequence[Worker]) -> None:
         self._owner = owner
@@ -166,11 +172,11 @@
     def cheapest(self, wanted: int, limit: float) -> Preemption | None:
         """The cheapest set that was found, or ``None``.
 
-        :param limit: core-seconds beyond which the search is given up.
+        :param limit: core-seconds of loss at which the search ends without a result.
         """
         lost = 0.0
         while (missing := wanted - self._total) > 0:
-            option = self._best(missing)
+            option = self._best_option(missing)
             if option is None:
                 return None
             lost += option.lost
@@ -178,119 +184,125 @@
                 return None
             for group in option.groups:
                 self._choose(group)
-        self._spare_needless(wanted)
+        self._drop_unneeded(wanted)
         return self._result(wanted)
 
     @property
     def _total(self) -> int:
         return sum(self._copies.values())
 
-    def _best(self, missing: int) -> _Option | None:
+    def _best_option(self, missing: int) -> _Option | None:
         best: _Option | None = None
         for worker_id in self._domain:
             if worker_id not in self._options:
-                self._options[worker_id] = self._option(self._domain[worker_id])
+                self._options[worker_id] = self._cheapest_option(self._domain[worker_id])
             option = self._options[worker_id]
             if option is None:
                 continue
-            if best is None or option.price(missing) < best.price(missing):
+            if best is None or option.loss_per_task(missing) < best.loss_per_task(missing):
                 best = option
         return best
 
     def _choose(self, group: _Group) -> None:
         self._chosen[group] = None
-        self._free(group, Resources.__add__)
+        self._update_freed(group, Resources.__add__)
 
-    def _free(self, group: _Group, change: Callable[[Resources, Resources], Resources]) -> None:
-        """Add the room of a group to what is freed, or take it away again."""
-        for worker_id, room in group.rooms.items():
+    def _update_freed(
+        self, group: _Group, operation: Callable[[Resources, Resources], Resources]
+    ) -> None:
+        """Add the resources of a group to those that are freed, or subtract them again."""
+        for worker_id, resources in group.allocations.items():
             worker = self._domain.get(worker_id)
             if worker is None:
                 continue
-            freed = change(self._freed.get(worker_id, NOTHING), room)
+            freed = operation(self._freed.get(worker_id, NOTHING), resources)
             self._freed[worker_id] = freed
             self._copies[worker_id] = worker.copies(self._step, worker.free + freed)
             self._options.pop(worker_id, None)
 
-    def _option(self, worker: Worker) -> _Option | None:
-        """The cheapest groups to stop so that one more task fits on a worker."""
+    def _cheapest_option(self, worker: Worker) -> _Option | None:
+        """The cheapest groups whose stop lets one more task fit on a worker."""
         groups = self._groups_on(worker)
-        free = self._room(worker)
-        alone = next(
+        free = self._available(worker)
+        single = next(
             (
                 group
                 for group in groups
-                if self._is_enough(worker, free + group.rooms[worker.worker_id])
+                if self._fits_one_more(worker, free + group.allocations[worker.worker_id])
             ),
             None,
         )
-        chain = self._chain(worker, groups)
+        chain = self._cheapest_chain(worker, groups)
         found = [
             _Option(each, sum(group.lost for group in each), self._gain(each))
-            for each in ([alone] if alone is not None else [], chain)
+            for each in ([single] if single is not None else [], chain)
             if each
         ]
         return min(found, key=lambda option: option.lost / option.gain, default=None)
 
     def _groups_on(self, worker: Worker) -> list[_Group]:
-        """What may stop on a worker and is not to be stopped already, the cheapest first."""
+        """The groups on a worker that may be stopped and are not chosen yet, the cheapest first."""
         groups: dict[_Group, None] = {}
         for run in worker.runs.values():
             group = self._owner.group(run)
-            if group is not None and group not in self._chosen and self._spared([group]):
+            if (
+                group is not None
+                and group not in self._chosen
+                and self._within_disruption_budgets([group])
+            ):
                 groups[group] = None
         return sorted(groups, key=lambda group: group.lost)
 
-    def _chain(self, worker: Worker, groups: Sequence[_Group]) -> list[_Group]:
-        """The cheapest groups one after the other, without those that proved needless."""
+    def _cheapest_chain(self, worker: Worker, groups: Sequence[_Group]) -> list[_Group]:
+        """The cheapest groups in order until a task fits, without those that prove unnecessary."""
         chain: list[_Group] = []
-        room = self._room(worker)
+        resources = self._available(worker)
         for group in groups:
-            if not self._spared([*chain, group]):
+            if not self._within_disruption_budgets([*chain, group]):
                 continue
             chain.append(group)
-            room = room + group.rooms[worker.worker_id]
-            if self._is_enough(worker, room):
+            resources = resources + group.allocations[worker.worker_id]
+            if self._fits_one_more(worker, resources):
                 break
         else:
             return []
         for group in sorted(chain, key=lambda group: -group.lost):
-            less = room - group.rooms[worker.worker_id]
-            if self._is_enough(worker, less):
+            less = resources - group.allocations[worker.worker_id]
+            if self._fits_one_more(worker, less):
                 chain.remove(group)
-                room = less
+                resources = less
         return chain
 
-    def _room(self, worker: Worker) -> Resources:
-        """Free room of a worker, with what was freed so far."""
+    def _available(self, worker: Worker) -> Resources:
+        """The free resources of a worker, including those that were freed so far."""
         return worker.free + self._freed.get(worker.worker_id, NOTHING)
 
-    def _is_enough(self, worker: Worker, room: Resources) -> bool:
-        """Whether one more task fits on a worker in some room of it."""
-        return worker.copies(self._step, room) > self._copies[worker.worker_id]
+    def _fits_one_more(self, worker: Worker, resources: Resources) -> bool:
+        """Whether one more task fits on a worker than so far, given its free resources."""
+        return worker.copies(self._step, resources) > self._copies[worker.worker_id]
 
     def _gain(self, groups: Sequence[_Group]) -> int:
-        """Tasks that fit more on all workers once some groups have stopped."""
-        rooms: dict[str, Resources] = {}
+        """The number of additional tasks that fit on all workers once some groups have stopped."""
+        allocations: dict[str, Resources] = {}
         for group in groups:
-            for worker_id, room in group.rooms.items():
-                rooms[worker_id] = rooms.get(worker_id, NOTHING) + room
+            for worker_id, resources in group.allocations.items():
+                allocations[worker_id] = allocations.get(worker_id, NOTHING) + resources
         gain = 0
-        for worker_id, freed in rooms.items():
+        for worker_id, freed in allocations.items():
             worker = self._domain.get(worker_id)
             if worker is not None:
-                copies = worker.copies(self._step, self._room(worker) + freed)
+                copies = worker.copies(self._step, self._available(worker) + freed)
                 gain += copies - self._copies[worker_id]
         return gain
 
-    def _spare_needless(self, wanted: int) -> None:
-        """Leave out groups without which enough tasks fit, the dearest first."""
+    def _drop_unneeded(self, wanted: int) -> None:
+        """Drop groups without which enough tasks still fit, the most expensive first."""
         for group in sorted(self._chosen, key=lambda group: -group.lost):
-            self._free(group, Resources.__sub__)
+            self._update_freed(group, Resources.__sub__)
             if self._total >= wanted:
                 del self._chosen[group]
                 continue
-            self._free(group, Resources.__add__)
+            self._update_freed(group, Resources.__add__)
 
     def _result(self, wanted: int) -> Preemption:
         places: list[Worker] = []
@@ -301,8 +313,8 @@
         victims = [run for group in self._chosen for run in group.runs]
         return Preemption(places, victims, sum(group.lost for group in self._chosen))
 
-    def _spared(self, groups: Sequence[_Group]) -> bool:
-        """Whether all steps can miss the runs of some groups beside those chosen already."""
+    def _within_disruption_budgets(self, groups: Sequence[_Group]) -> bool:
+        """Whether the stop of more groups stays within the disruption budgets of all steps."""
         limited = [group for group in groups if group.step.step.may_miss]
         if not limited:
             return True
--- a/src/saddlestack/policy/cluster/state.py
+++ b/src/saddlestack/policy/cluster/state.py
@@ -355,7 +355,7 @@
             return
         if end.how is EndKind.DONE:
             worker.record_success(now)
-            self._fault_attribution.ended_well(worker_id)
+            self._fault_attribution.record_success(worker_id)
         elif end.how is EndKind.FAILED:
             self._note_failure(worker, run, now)
         self._planner.run_ended(run, end.how, now)
@@ -371,7 +371,7 @@
     def _charge(self, worker: Worker, run: Run, kind: FailureKind, now: float) -> None:
         if run.task.name.job_id not in self.jobs:
             return
-        at_fault = self._fault_attribution.failed(worker, run, kind, now)
+        at_fault = self._fault_attribution.record_failure(worker, run, kind, now)
         if at_fault and kind is not FailureKind.LATE:
             self._worker_preferences.note_faulty(worker, now)
 
--- a/tests/test_blame.py
+++ b/tests/test_blame.py
@@ -7,8 +7,8 @@
 from saddlestack.interfaces.workers import EndedTask, EndKind, RunningTask
 from saddlestack.policy.cluster.fault_attribution import (
     FAULT_RULE,
-    JOBS_KEPT,
-    WORKERS_KEPT,
+    MAX_JOBS_PER_WORKER,
+    MAX_WORKERS_PER_JOB,
     FailureKind,
     JobEvidence,
 )
@@ -112,7 +112,7 @@
 
     def test_a_job_that_failed_late_elsewhere_too_tells_nothing(self) -> None:
         self.assertFalse(self.at_fault(JobEvidence(LATE, 1, 0)))
-        self.assertFalse(self.at_fault(*[JobEvidence(LATE, 9, 0)] * JOBS_KEPT))
+        self.assertFalse(self.at_fault(*[JobEvidence(LATE, 9, 0)] * MAX_JOBS_PER_WORKER))
 
     def test_where_nearly_all_runs_of_a_job_end_well_two_workers_may_be_at_fault(self) -> None:
         self.assertFalse(self.at_fault(JobEvidence(LATE, 1, 16)))
@@ -123,7 +123,7 @@
         self.assertFalse(self.at_fault(JobEvidence(EARLY, 3, 0)))
 
     def test_several_jobs_that_fail_early_everywhere_tell_nothing_together(self) -> None:
-        self.assertFalse(self.at_fault(*[JobEvidence(EARLY, 20, 0)] * JOBS_KEPT))
+        self.assertFalse(self.at_fault(*[JobEvidence(EARLY, 20, 0)] * MAX_JOBS_PER_WORKER))
 
     def test_a_job_whose_other_runs_live_on_may_tell_of_a_fifth_of_its_workers(self) -> None:
         self.assertTrue(self.at_fault(JobEvidence(EARLY, 5, 20)))
@@ -153,7 +153,7 @@
             self.fail_one(100.0, after_s=kind_s)
             self.assertEqual(self.worker("w11").strikes, 1)
             self.worker("w11").clear_failures()
-            self.cluster_state._fault_attribution.ended_well("w11")
+            self.cluster_state._fault_attribution.record_success("w11")
 
     def test_workers_that_fail_at_once_are_found_beside_runs_that_live_on(self) -> None:
         self.workers(racks=2, each=4)
@@ -345,20 +345,22 @@
 
 class MemoryTest(BlameCase):
     def test_what_is_remembered_has_bounds(self) -> None:
-        self.workers(racks=1, each=WORKERS_KEPT + 8)
-        wide = self.add(step(WORKERS_KEPT + 8, 8))
+        self.workers(racks=1, each=MAX_WORKERS_PER_JOB + 8)
+        wide = self.add(step(MAX_WORKERS_PER_JOB + 8, 8))
         self.plan(0.0)
         self.end(wide, EndKind.FAILED, 5.0)
         self.cluster_state.cancel(wide)
-        blame = self.cluster_state._fault_attribution
-        self.assertEqual(len(blame._of_job[wide].workers), WORKERS_KEPT)
-        for number in range(JOBS_KEPT + 4):
+        fault_attribution = self.cluster_state._fault_attribution
+        self.assertEqual(len(fault_attribution._failures_by_job[wide].workers), MAX_WORKERS_PER_JOB)
+        for number in range(MAX_JOBS_PER_WORKER + 4):
             job = self.add(step(1, 8, label="a"))
             self.plan(100.0 * (number + 1))
             (worker_id,) = self.placed(job)
             self.end_on(worker_id, job, EndKind.FAILED, 100.0 * (number + 1) + 5.0)
             self.cluster_state.cancel(job)
-        self.assertLessEqual(max(map(len, blame._on_worker.values())), JOBS_KEPT)
+        self.assertLessEqual(
+            max(map(len, fault_attribution._failures_by_worker.values())), MAX_JOBS_PER_WORKER
+        )
 
     def test_a_failure_of_a_forgotten_job_is_not_remembered(self) -> None:
         self.workers(each=1)
@@ -366,7 +368,7 @@
         self.plan(0.0)
         self.cluster_state.remove_job(job)
         self.end_on("w11", job, EndKind.FAILED, 5.0)
-        self.assertEqual(self.cluster_state._fault_attribution._of_job, {})
+        self.assertEqual(self.cluster_state._fault_attribution._failures_by_job, {})
         self.assertEqual(self.worker("w11").strikes, 0)
 
     def test_forgotten_jobs_and_workers_leave_nothing(self) -> None:
@@ -376,8 +378,8 @@
         first, second = self.placed(job)
         self.end(job, EndKind.FAILED, 5.0)
         self.cluster_state.unlist_worker(first)
-        blame = self.cluster_state._fault_attribution
-        self.assertNotIn(first, blame._on_worker)
+        fault_attribution = self.cluster_state._fault_attribution
+        self.assertNotIn(first, fault_attribution._failures_by_worker)
         self.cluster_state.remove_job(job)
-        self.assertEqual(blame._of_job, {})
-        self.assertEqual(blame._on_worker, {second: {}})
+        self.assertEqual(fault_attribution._failures_by_job, {})
+        self.assertEqual(fault_attribution._failures_by_worker, {second: {}})
