--- a/benchmarks/crashing.py
+++ b/benchmarks/crashing.py
@@ -21,11 +21,11 @@
 
 from saddlestack.policy.cluster import crashes
 from saddlestack.policy.cluster.crash_rule import (
-    LATER_STARTS,
-    LEAST_CRASHES,
+    MAX_LATER_STARTS,
+    MIN_CRASHES,
+    CrashExposure,
     CrashOdds,
     CrashRule,
-    Exposure,
 )
 from saddlestack.policy.cluster.records import CrashRecord, FailureCause
 from saddlestack.work import JobState
@@ -41,17 +41,17 @@
 
     prior_log_odds = 0.0
 
-    def charge(self, exposed: Sequence[Exposure]) -> list[CrashRecord]:
-        """See :meth:`CrashRule.charge`."""
-        alone = len({id(each.gang) if each.gang else id(each) for each in exposed}) == 1
+    def update(self, exposures: Sequence[CrashExposure]) -> list[CrashRecord]:
+        """See :meth:`CrashRule.update`."""
+        alone = len({id(each.gang) if each.gang else id(each) for each in exposures}) == 1
         return [
             CrashRecord(
                 each.record.crashes + 1,
                 each.record.log_odds + alone,
-                max(each.record.span_s, each.lived.least_s + NOTICED_S),
+                max(each.record.span_s, each.lifetime.min_s + NOTICED_S),
                 each.record.later_starts,
             )
-            for each in exposed
+            for each in exposures
         ]
 
     def survived(self, record: CrashRecord, lived_s: float) -> CrashRecord:
@@ -72,7 +72,7 @@
 
     def is_culprit(self, record: CrashRecord) -> bool:
         """See :meth:`CrashRule.is_culprit`."""
-        return record.log_odds >= LEAST_CRASHES or record.later_starts >= LATER_STARTS
+        return record.log_odds >= MIN_CRASHES or record.later_starts >= MAX_LATER_STARTS
 
 
 RULES: dict[str, CrashRule] = {"odds": CrashOdds(), "counts": CountAlone()}
--- a/src/saddlestack/policy/cluster/crash_findings.py
+++ b/src/saddlestack/policy/cluster/crash_findings.py
@@ -1,4 +1,4 @@
-"""What is decided about tasks under which workers crash, as it is told to operators."""
+"""Findings about tasks under which workers crash, for operators."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 
 
 class CrashFindingKind(enum.StrEnum):
-    """What a task is taken for."""
+    """The classification of a task."""
 
     SUSPECT = "suspect"
-    """It may crash its workers."""
+    """The task may crash its workers."""
     CLEARED = "cleared"
-    """It is as sound as any other, as far as is known."""
+    """The task is no longer a suspect."""
     GIVEN_UP = "given_up"
-    """It crashes its workers: its job has failed."""
+    """The task crashes its workers, so its job has failed."""
 
 
 @dataclass(frozen=True, slots=True)
 class CrashFinding:
-    """What is decided about a task.
+    """A finding about one task.
 
-    :param worker_id: the life that crashed; empty where none did.
-    :param crashes: workers that crashed under it and count.
-    :param odds: how much likelier it crashes its workers than not.
-    :param beside: other runs that were lost with that worker.
+    :param worker_id: the incarnation that crashed; empty if the finding follows from no crash.
+    :param crashes: number of counted crashes of workers under the task.
+    :param odds: odds that the task crashes its workers.
+    :param beside: number of other runs that were lost with the worker.
     """
 
     kind: CrashFindingKind
--- a/src/saddlestack/policy/cluster/crash_rate.py
+++ b/src/saddlestack/policy/cluster/crash_rate.py
@@ -1,4 +1,4 @@
-"""How often workers of a service crash by themselves."""
+"""Estimates how often the workers of a service crash by themselves."""
 
 from __future__ import annotations
 
@@ -7,72 +7,73 @@
 
 from saddlestack.policy.cluster.workers import Worker
 
-COUNT_S = 2.0
-"""Workers are counted so often."""
+COUNT_INTERVAL_S = 2.0
+"""Interval at which the uptime of workers is counted."""
 HALF_LIFE_S = 600.0
-"""What was seen counts half after so long: racks that crash do so for a while."""
-USUAL_RATE = 0.0005
-"""Crashes a second of a worker where nothing is known, one in half an hour: rather too many, so
-that a task is suspected too little..."""
-KNOWN_S = 200.0
-"""...and what is seen of so many workers for a second weighs as much."""
-LEAST_RATE = 1e-6
-"""One in twelve days: no pool is held to be better, however large and quiet."""
+"""Half-life of the counts. It is short because a failing rack causes crashes for a while."""
+PRIOR_RATE = 0.0005
+"""Prior crashes per second of a worker: one in half an hour. The value is rather high, so that
+tasks are suspected too little rather than too much."""
+PRIOR_UPTIME_S = 200.0
+"""Weight of the prior rate, in seconds of worker uptime."""
+MIN_RATE = 1e-6
+"""Lower limit of the rate, one crash in twelve days, however large and stable a pool is."""
 
 
 @dataclass(slots=True)
-class _Rate:
-    """What was seen.
+class _CrashCounts:
+    """Decaying counts for one service.
 
-    :param worker_s: seconds for which workers were up, of all workers together.
+    :param crashes: crashes that no task caused.
+    :param uptime_s: total uptime of all workers in seconds.
     """
 
     crashes: float = 0.0
-    worker_s: float = 0.0
+    uptime_s: float = 0.0
 
-    def age(self, passed_s: float) -> None:
-        share = 0.5 ** (passed_s / HALF_LIFE_S)
+    def decay(self, elapsed_s: float) -> None:
+        share = 0.5 ** (elapsed_s / HALF_LIFE_S)
         self.crashes *= share
-        self.worker_s *= share
+        self.uptime_s *= share
 
 
 class CrashRates:
-    """Crashes that no task explains, by service, against the time for which workers are up."""
+    """Rates of crashes that no task caused, by service."""
 
     def __init__(self) -> None:
-        self._rates: dict[str, _Rate] = {}
-        self._counted_s: float | None = None
+        self._counts: dict[str, _CrashCounts] = {}
+        self._last_count_s: float | None = None
 
-    def usual(self, service: str, by_chance: int = 0) -> float:
-        """Crashes a second of a worker of a service.
+    def base_rate(self, service: str, extra_crashes: int = 0) -> float:
+        """Crashes per second of a worker of a service.
 
-        :param by_chance: crashes that would have to be counted besides, had a task not caused them:
-            little is known of a pool at first, and one where it met two crashes may see many.
+        :param extra_crashes: crashes to add, namely those that count toward a task. Little is known
+            of a new pool, and one with two crashes in a short time may have many more.
         """
-        rate = self._rates.get(service, _Rate())
-        crashes = rate.crashes + by_chance + USUAL_RATE * KNOWN_S
-        seen = crashes / (rate.worker_s + KNOWN_S)
-        return max(LEAST_RATE, seen)
+        counts = self._counts.get(service, _CrashCounts())
+        crashes = counts.crashes + extra_crashes + PRIOR_RATE * PRIOR_UPTIME_S
+        seen = crashes / (counts.uptime_s + PRIOR_UPTIME_S)
+        return max(MIN_RATE, seen)
 
-    def crashed(self, service: str, unexplained: float) -> None:
-        """A worker crashed.
+    def record_crash(self, service: str, probability: float) -> None:
+        """Record a crash of a worker.
 
-        :param unexplained: how likely it is that no task caused that; negative to take it back.
+        :param probability: the probability that no task caused it; negative to revert it.
         """
-        rate = self._rates.setdefault(service, _Rate())
-        rate.crashes = max(0.0, rate.crashes + unexplained)
+        counts = self._counts.setdefault(service, _CrashCounts())
+        counts.crashes = max(0.0, counts.crashes + probability)
 
     def tick(self, now: float, workers: Iterable[Worker]) -> None:
-        """Count the workers that are up, from time to time."""
-        if self._counted_s is None:
-            self._counted_s = now
-        passed_s = now - self._counted_s
-        if passed_s < COUNT_S:
+        """Add the uptime of the listed workers, at most once per :data:`COUNT_INTERVAL_S`."""
+        if self._last_count_s is None:
+            self._last_count_s = now
+        elapsed_s = now - self._last_count_s
+        if elapsed_s < COUNT_INTERVAL_S:
             return
-        self._counted_s = now
-        for rate in self._rates.values():
-            rate.age(passed_s)
+        self._last_count_s = now
+        for counts in self._counts.values():
+            counts.decay(elapsed_s)
         for worker in workers:
             if worker.listed:
                 service = worker.record.service
-                self._rates.setdefault(service, _Rate()).worker_s += passed_s
+                self._counts.setdefault(service, _CrashCounts()).uptime_s += elapsed_s
--- a/src/saddlestack/policy/cluster/crash_rule.py
+++ b/src/saddlestack/policy/cluster/crash_rule.py
@@ -1,10 +1,10 @@
-"""What crashes of its workers tell of a task, by a likelihood ratio.
+"""Evaluates the evidence that a task crashes its workers, by a likelihood ratio.
 
-A task may crash each worker that starts it, and all that runs there dies with it. Whoever ran
-beside it looks the same, and so does work on a worker that crashes by itself. What tells them apart
-is how soon after its start each one was lost, whether it was alone, and how often workers crash
-anyhow. As in :mod:`blame` a likelihood ratio weighs that, here for each task. Runs of the job's
-other tasks tell nothing of it: one task of a job may crash its workers and all others be sound.
+A task may crash every worker that starts it, and all other runs on the worker are lost with it.
+Tasks that ran next to it look the same, and so do tasks on a worker that crashes by itself. The
+evidence is how soon after its start each run was lost, whether it ran alone, and how often workers
+crash anyway. As in :mod:`fault_attribution`, a likelihood ratio weighs the evidence, but per task:
+runs of the job's other tasks are no evidence, since a single task of a job may crash its workers.
 """
 
 from __future__ import annotations
@@ -18,132 +18,134 @@
 
 from saddlestack.policy.cluster.records import CrashRecord, clamp_log_odds
 
-COUNTED_FROM = 3
-"""Once so many workers have crashed under a task its starts are counted..."""
-LATER_STARTS = 2
-"""...and it is started so often more: three times break a rule of the platform, also where a run
-ends otherwise than with a crash."""
-LEAST_CRASHES = 2
-"""One crash convicts nobody: a task may be given up once two workers have crashed under it."""
-DOUBT_S = 2.5
-"""The end of a worker is noticed so late at most: by the look that waits for an end there."""
+LIMIT_STARTS_FROM = 3
+"""Number of crashes under a task from which on its starts are limited."""
+MAX_LATER_STARTS = 2
+"""Maximum number of starts after that. Three would break a rule of the platform, even if their runs
+do not end with a crash."""
+MIN_CRASHES = 2
+"""Minimum number of crashes under a task before it may be given up; one crash is not enough."""
+MAX_NOTICE_DELAY_S = 2.5
+"""Maximum delay until the end of a worker is noticed, by the long poll that waits for run ends."""
 
 
 @dataclass(frozen=True, slots=True)
-class Lived:
-    """How long a run had been at its worker when that crashed, in seconds.
-
-    :param least_s: so long at least...
-    :param most_s: ...and so long at most.
-    :param window_s: for so long the worker was not heard; it may have crashed before the run came.
-    :param confirmed: the worker has answered the run's start, or has told of it.
+class RunLifetime:
+    """How long a run had been on its worker when the worker crashed, in seconds.
+
+    :param min_s: lower limit.
+    :param max_s: upper limit.
+    :param silent_window_s: how long the worker had not answered. It may have crashed before the run
+        arrived.
+    :param confirmed: whether the worker has confirmed or reported the run.
     """
 
-    least_s: float
-    most_s: float
-    window_s: float = 0.0
+    min_s: float
+    max_s: float
+    silent_window_s: float = 0.0
     confirmed: bool = True
 
 
 @dataclass(frozen=True, slots=True)
-class Exposure:
+class CrashExposure:
     """One task on a worker that crashed.
 
-    :param record: what earlier crashes tell of it.
-    :param rate: crashes a second by which the worker would have crashed without it or the others.
-    :param usual_rate: crashes a second of workers of the service at any time.
-    :param gang: the gang that it is of, or ``None``. Which member crashed the worker makes no
-        difference: none of them runs without the others.
+    :param record: evidence from earlier crashes.
+    :param rate: crashes per second of the worker that no task causes.
+    :param base_rate: base rate of crashes per second of a worker of the service.
+    :param gang: the gang of the task, or ``None``. It makes no difference which member crashed the
+        worker, since no member runs without the others.
     """
 
     record: CrashRecord
-    lived: Lived
+    lifetime: RunLifetime
     rate: float
-    usual_rate: float
+    base_rate: float
     gang: object = None
 
 
 class CrashRule(Protocol):
-    """Decides what crashes tell of tasks."""
+    """Evaluates crash evidence about tasks."""
 
     @property
     def prior_log_odds(self) -> float:
-        """What is held of a task of which nothing is known."""
+        """Log odds of a task without any evidence."""
         ...
 
-    def charge(self, exposed: Sequence[Exposure]) -> list[CrashRecord]:
-        """What is known of each task of a crashed worker after the crash."""
+    def update(self, exposures: Sequence[CrashExposure]) -> list[CrashRecord]:
+        """The records of all tasks on a crashed worker, updated with the crash."""
         ...
 
     def survived(self, record: CrashRecord, lived_s: float) -> CrashRecord:
-        """What is known of a task after its run has lived for some time without a crash."""
+        """The record of a task, updated with a run that survived for some time without a crash."""
         ...
 
     def is_suspect(self, record: CrashRecord) -> bool:
-        """Whether a task is to be kept from others."""
+        """Whether a task has to run alone."""
         ...
 
     def is_likely(self, record: CrashRecord) -> bool:
-        """Whether a task is a likelier culprit than not."""
+        """Whether a task is more likely than not to crash its workers."""
         ...
 
     def is_cleared(self, record: CrashRecord) -> bool:
-        """Whether crashes under a task need not be remembered any longer."""
+        """Whether the evidence about a task may be removed."""
         ...
 
     def is_culprit(self, record: CrashRecord) -> bool:
-        """Whether a task that waits to be started is to be given up."""
+        """Whether a task that waits to be started has to be given up."""
         ...
 
 
 class CrashOdds:
-    """Weighs how much likelier the crashes are if the task crashes all its workers.
+    """Odds that a task crashes all of its workers, updated with each crash and each survival.
 
-    A task that does so is held to do it some time after its start that is spread widely, and at
-    each later start within a few times as long. A worker crashes by itself at the usual rate.
+    The model: such a task first crashes a worker some time after its start, with a wide
+    distribution, and at each later start within a few times as long. Workers also crash by
+    themselves, at the base rate.
     """
 
-    PRIOR = 0.005
-    """Odds that a task of which nothing is known crashes its workers."""
-    CLEARED = 0.0005
-    """Below these odds crashes under a task are forgotten: a run has lived on meanwhile."""
-    SUSPECT = 0.02
-    """From these odds on a task is kept from others..."""
-    LIKELY = 1.0
-    """...is a likelier culprit than not..."""
-    CULPRIT = 1000.0
-    """...and is given up: of so many one is sound."""
-    FIRST_SPAN_S = 1.0
-    """Half of the tasks that crash their workers have done so by this age."""
-    LEAST_SPAN_S = 0.3
-    FIRST_POWER = 1.0
-    """How fast the chance of a crash shrinks with age: slowly at first, since a crash may come
-    after minutes..."""
-    LATER_POWER = 3.0
-    """...and fast once a crash has shown at which age it comes."""
+    PRIOR_ODDS = 0.005
+    """Prior odds that a task crashes its workers."""
+    CLEARED_ODDS = 0.0005
+    """Below these odds the evidence about a task is removed. A run must have survived by then."""
+    SUSPECT_ODDS = 0.02
+    """From these odds on a task has to run alone."""
+    LIKELY_ODDS = 1.0
+    """From these odds on a task is more likely than not to crash its workers."""
+    CULPRIT_ODDS = 1000.0
+    """From these odds on a task is given up. One in a thousand such tasks is not at fault."""
+    MEDIAN_CRASH_AGE_S = 1.0
+    """Age by which half of the tasks that crash their workers have done so."""
+    MIN_SPAN_S = 0.3
+    FIRST_CRASH_EXPONENT = 1.0
+    """How fast the probability of a first crash falls with age: slowly, since it may come after
+    minutes."""
+    LATER_CRASH_EXPONENT = 3.0
+    """The same for later crashes: fast, since the first crash has shown at which age they come."""
     UNCONFIRMED_SHARE = 0.1
-    """So many of such tasks crash their worker before it answers the start; mostly a start that is
-    not answered meets a worker that is gone already."""
-    LEAST_WIDTH_S = 0.05
-    """No time of a crash is known more precisely."""
+    """Share of such tasks that crash their worker before it confirms the start. Mostly an
+    unconfirmed start was sent to a worker that was already gone."""
+    MIN_WIDTH_S = 0.05
+    """Minimum width of the time interval of a crash; no crash time is known more precisely."""
 
     @property
     def prior_log_odds(self) -> float:
         """See :attr:`CrashRule.prior_log_odds`."""
-        return math.log(self.PRIOR)
+        return math.log(self.PRIOR_ODDS)
 
-    def charge(self, exposed: Sequence[Exposure]) -> list[CrashRecord]:
-        """See :meth:`CrashRule.charge`."""
-        shares = [self._odds(each.record) * self._density(each) for each in exposed]
+    def update(self, exposures: Sequence[CrashExposure]) -> list[CrashRecord]:
+        """See :meth:`CrashRule.update`."""
+        shares = [self._odds(each.record) * self._density(each) for each in exposures]
         total = sum(shares)
         gangs: dict[object, float] = {}
-        for each, share in zip(exposed, shares, strict=True):
+        for each, share in zip(exposures, shares, strict=True):
             gangs[each.gang] = gangs.get(each.gang, 0.0) + share
         return [
-            self._charged(
+            self._updated_record(
                 each, share, each.rate + total - (share if each.gang is None else gangs[each.gang])
             )
-            for each, share in zip(exposed, shares, strict=True)
+            for each, share in zip(exposures, shares, strict=True)
         ]
 
     def survived(self, record: CrashRecord, lived_s: float) -> CrashRecord:
@@ -151,59 +153,59 @@
         log_odds = clamp_log_odds(record.log_odds + math.log(self._survival(record, lived_s)))
         if lived_s <= record.span_s:
             return msgspec.structs.replace(record, log_odds=log_odds)
-        # It does not crash each worker that starts it: what counts begins anew.
+        # The task does not crash every worker that starts it, so the counts are reset.
         return CrashRecord(min(record.crashes, 1), log_odds, record.span_s)
 
     def is_suspect(self, record: CrashRecord) -> bool:
         """See :meth:`CrashRule.is_suspect`."""
-        return record.log_odds >= math.log(self.SUSPECT)
+        return record.log_odds >= math.log(self.SUSPECT_ODDS)
 
     def is_cleared(self, record: CrashRecord) -> bool:
         """See :meth:`CrashRule.is_cleared`."""
-        return record.log_odds < math.log(self.CLEARED)
+        return record.log_odds < math.log(self.CLEARED_ODDS)
 
     def is_likely(self, record: CrashRecord) -> bool:
         """See :meth:`CrashRule.is_likely`."""
-        return record.log_odds >= math.log(self.LIKELY)
+        return record.log_odds >= math.log(self.LIKELY_ODDS)
 
     def is_culprit(self, record: CrashRecord) -> bool:
         """See :meth:`CrashRule.is_culprit`."""
-        if record.later_starts >= LATER_STARTS:
+        if record.later_starts >= MAX_LATER_STARTS:
             return True
-        return record.crashes >= LEAST_CRASHES and record.log_odds >= math.log(self.CULPRIT)
+        return record.crashes >= MIN_CRASHES and record.log_odds >= math.log(self.CULPRIT_ODDS)
 
-    def _charged(self, exposure: Exposure, share: float, others: float) -> CrashRecord:
-        record, lived = exposure.record, exposure.lived
-        again = bool(record.crashes) and lived.least_s <= record.span_s
-        counts = again or self._density(exposure) >= exposure.usual_rate
+    def _updated_record(self, exposure: CrashExposure, share: float, others: float) -> CrashRecord:
+        record, lifetime = exposure.record, exposure.lifetime
+        repeats = bool(record.crashes) and lifetime.min_s <= record.span_s
+        counts = repeats or self._density(exposure) >= exposure.base_rate
         span_s = record.span_s
         if counts:
-            noticed_s = lived.least_s + min(lived.most_s - lived.least_s, DOUBT_S)
-            span_s = max(span_s, noticed_s, self.LEAST_SPAN_S)
+            noticed_s = lifetime.min_s + min(lifetime.max_s - lifetime.min_s, MAX_NOTICE_DELAY_S)
+            span_s = max(span_s, noticed_s, self.MIN_SPAN_S)
         log_odds = clamp_log_odds(math.log(max(share, math.ulp(0.0))) - math.log(others))
         return CrashRecord(record.crashes + counts, log_odds, span_s, record.later_starts)
 
     def _odds(self, record: CrashRecord) -> float:
         if not record.crashes:
-            return self.PRIOR
+            return self.PRIOR_ODDS
         return record.odds
 
     def _survival(self, record: CrashRecord, age_s: float) -> float:
-        """Chance that a task which crashes its workers has not done so by some age."""
+        """Probability that a task which crashes its workers has not done so by some age."""
         if not record.crashes:
-            return float((1 + age_s / self.FIRST_SPAN_S) ** -self.FIRST_POWER)
-        return float((1 + age_s / record.span_s) ** -self.LATER_POWER)
-
-    def _density(self, exposure: Exposure) -> float:
-        """Crashes a second of such a task over the time in which the worker may have crashed."""
-        lived = exposure.lived
-        most_s = max(lived.most_s, lived.least_s + self.LEAST_WIDTH_S)
-        before = self._survival(exposure.record, lived.least_s)
-        after = self._survival(exposure.record, most_s)
-        width_s = max(most_s - lived.least_s, lived.window_s)
-        share = 1.0 if lived.confirmed else self.UNCONFIRMED_SHARE
+            return float((1 + age_s / self.MEDIAN_CRASH_AGE_S) ** -self.FIRST_CRASH_EXPONENT)
+        return float((1 + age_s / record.span_s) ** -self.LATER_CRASH_EXPONENT)
+
+    def _density(self, exposure: CrashExposure) -> float:
+        """Crashes per second of such a task over the interval in which its worker crashed."""
+        lifetime = exposure.lifetime
+        max_s = max(lifetime.max_s, lifetime.min_s + self.MIN_WIDTH_S)
+        before = self._survival(exposure.record, lifetime.min_s)
+        after = self._survival(exposure.record, max_s)
+        width_s = max(max_s - lifetime.min_s, lifetime.silent_window_s)
+        share = 1.0 if lifetime.confirmed else self.UNCONFIRMED_SHARE
         return share * (before - after) / width_s
 
 
 CRASH_RULE: CrashRule = CrashOdds()
-"""The one in use."""
+"""The rule in use."""
--- a/src/saddlestack/policy/cluster/crashes.py
+++ b/src/saddlestack/policy/cluster/crashes.py
@@ -1,7 +1,7 @@
-"""Who crashed a worker: a task that ran there, or nothing but the worker itself.
+"""Tracks which tasks may have crashed their workers.
 
-What is known of a task is kept in its step's record, which is written before the task's next start:
-no loss of leaders lets it begin anew. :mod:`crashrule` weighs it.
+The evidence about a task is kept in the record of its step. That record is written before the
+task's next start, so the evidence survives any failover. :mod:`crash_rule` evaluates it.
 """
 
 from __future__ import annotations
@@ -17,48 +17,51 @@
 from saddlestack.policy.cluster.crash_findings import CrashFinding, CrashFindingKind
 from saddlestack.policy.cluster.crash_rate import CrashRates
 from saddlestack.policy.cluster.crash_rule import (
-    COUNTED_FROM,
     CRASH_RULE,
+    LIMIT_STARTS_FROM,
+    CrashExposure,
     CrashRule,
-    Exposure,
 )
 from saddlestack.policy.cluster.incarnation_end import (
     IncarnationEnd,
     is_announced,
-    lived,
-    may_have_begun,
-    overlap,
+    lifetime_of,
+    may_coincide,
+    may_have_started,
 )
 from saddlestack.policy.cluster.jobs import Job, Run, StepState, Task
 from saddlestack.policy.cluster.records import CrashRecord, TaskStatus, clamp_log_odds
 from saddlestack.policy.cluster.workers import Worker
 
-CRASHES_KEPT = 64
-"""Crashes whose charges are remembered, so that they can be taken back, the latest."""
-LEAVING_RATE = 0.2
-"""Ends a second of workers whose record is gone while they answer: they serve on for seconds."""
-UNHEARD_RATE = 0.1
-"""Ends a second that only a lapsed lease tells of: more often the way to the worker is cut."""
-NEVER_HEARD_RATE = 0.1
-"""Ends a second of workers that were not heard in this term: an earlier leader may have known of an
-announced end, or have seen them go."""
-TOGETHER_RATE = 0.5
-"""Ends a second for each other worker of a rack that fell silent at the same time..."""
-TOGETHER_SHARE = 0.75
-"""...where so many of those of the rack that run something did..."""
-LEAST_TOGETHER = 3
-"""...and so many workers: what ended them is no task, unless the same job ran on all of them."""
-AGAIN_RATE = 0.1
-"""Ends a second of a worker on a machine that crashed under the same task before: the machine may
-crash by itself again and again. A suspect goes to other machines, where there are."""
-KIN_CRASHED = 2
-"""Once so many tasks of a step are likelier culprits than not, all of its tasks count as suspects:
-tasks of one step run the same program."""
+MAX_CRASHES = 64
+"""Maximum number of crashes, the latest ones, whose evidence can still be reverted."""
+OUTLIVED_RECORD_RATE = 0.2
+"""Expected ends per second of a worker that still answers after its record was removed. Such a
+worker serves for a few more seconds."""
+LEASE_EXPIRED_RATE = 0.1
+"""Expected ends per second of a worker whose end is only known from its expired lease. More often
+the network path to the worker is cut."""
+NEVER_ANSWERED_RATE = 0.1
+"""Expected ends per second of a worker that has not answered in this term. Its end may have been
+announced to an earlier leader, or have come before this term."""
+CORRELATED_LOSS_RATE = 0.5
+"""Expected ends per second for each other worker of the rack that was lost at the same time, unless
+it ran the same job. A correlated loss is not caused by a task."""
+CORRELATED_LOSS_SHARE = 0.75
+"""Minimum share of the busy workers of a rack in a correlated loss."""
+MIN_CORRELATED_LOSSES = 3
+"""Minimum number of workers in a correlated loss."""
+SAME_MACHINE_RATE = 0.1
+"""Expected ends per second of a worker on a machine that has crashed under the same task before.
+The machine itself may crash repeatedly; a suspect goes to other machines if there are any."""
+MIN_LIKELY_TASKS = 2
+"""Once this many tasks of a step are likely to crash their workers, all tasks of the step are
+suspects, since they run the same program."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Charge:
-    """What a crash added for one task."""
+class _Evidence:
+    """The evidence that a crash added to one task."""
 
     task: Task
     crashes: int
@@ -67,9 +70,11 @@
 
 @dataclass(slots=True)
 class _Crash:
-    """One crash, as far as it may have to be taken back.
+    """One crash, with what is needed to revert it.
 
-    :param unexplained: how likely it was held to be that no task caused it.
+    :param jobs: ids of the jobs that ran on the worker.
+    :param runs: number of runs on the worker.
+    :param unexplained: the probability that no task caused it.
     """
 
     worker_id: str
@@ -78,246 +83,253 @@
     end: IncarnationEnd
     jobs: frozenset[str]
     runs: int
-    charges: list[_Charge] = field(default_factory=list)
+    evidence: list[_Evidence] = field(default_factory=list)
     unexplained: float = 0.0
 
 
 @dataclass(slots=True)
 class CrashAssessment:
-    """What follows from a crash.
+    """The consequences of an event for the tasks involved.
 
-    :param touched: tasks whose records have changed.
-    :param culprits: tasks to be given up.
+    :param findings: to be logged.
+    :param changed_tasks: tasks whose records have changed.
+    :param culprits: tasks whose jobs fail, since they crash their workers.
     """
 
     findings: list[CrashFinding] = field(default_factory=list)
-    touched: list[Task] = field(default_factory=list)
+    changed_tasks: list[Task] = field(default_factory=list)
     culprits: list[Task] = field(default_factory=list)
 
 
 class CrashTracker:
-    """Keeps for each task what crashes tell of it, in its step's record, where leaders find it.
+    """Keeps the crash evidence of each task in its step's record, where the next leader reads it.
 
-    :param rule: decides for each task.
+    :param rule: evaluates the evidence of each task.
     """
 
     def __init__(self, workers: dict[str, Worker], rule: CrashRule | None = None) -> None:
         self._workers = workers
         self._rule = rule or CRASH_RULE
         self._rates = CrashRates()
-        self._latest: deque[_Crash] = deque(maxlen=CRASHES_KEPT)
-        self._judged: set[str] = set()
-        self._unsure: dict[str, tuple[list[Run], IncarnationEnd]] = {}
-        self._likely: defaultdict[tuple[str, int], set[Task]] = defaultdict(set)
-
-    # What the planner asks
+        self._latest_crashes: deque[_Crash] = deque(maxlen=MAX_CRASHES)
+        self._crashed_workers: set[str] = set()
+        self._unconfirmed_ends: dict[str, tuple[list[Run], IncarnationEnd]] = {}
+        self._likely_tasks: defaultdict[tuple[str, int], set[Task]] = defaultdict(set)
 
     def is_suspect(self, task: Task) -> bool:
-        """Whether a task that is to be started has to be kept from others."""
+        """Whether a task that is to be started has to run alone."""
         record = _record(task)
         if record is not None and self._rule.is_suspect(record):
             return True
-        return self._is_kin(task.step)
+        return self._is_suspect_step(task.step)
 
     def is_likely(self, task: Task) -> bool:
-        """Whether a task is a likelier culprit than not."""
+        """Whether a task is more likely than not to crash its workers."""
         record = _record(task)
-        return (record is not None and self._rule.is_likely(record)) or self._is_kin(task.step)
+        return (record is not None and self._rule.is_likely(record)) or self._is_suspect_step(
+            task.step
+        )
 
     def may_crash(self, run: Run, now: float) -> bool:
-        """Whether a run that is present still has to be kept from others."""
+        """Whether an assigned run still has to run alone, given how long it has survived."""
         record = _record(run.task)
         if record is None:
-            return self._is_kin(run.task.step)
-        return self._rule.is_suspect(self._rule.survived(record, _age_s(run, now)))
+            return self._is_suspect_step(run.task.step)
+        return self._rule.is_suspect(self._rule.survived(record, _survived_s(run, now)))
 
     def may_have_suspects(self, step: StepState) -> bool:
-        """Whether any task of a step may be a suspect."""
-        return bool(step.record.crashes) or (bool(self._likely) and self._is_kin(step))
+        """Whether any task of a step may be a suspect; a cheap check."""
+        return bool(step.record.crashes) or (
+            bool(self._likely_tasks) and self._is_suspect_step(step)
+        )
 
-    def _is_kin(self, step: StepState) -> bool:
+    def _is_suspect_step(self, step: StepState) -> bool:
         key = (step.occurrence.job.job_id, step.number)
-        return len(self._likely.get(key, ())) >= KIN_CRASHED
-
-    # Events
+        return len(self._likely_tasks.get(key, ())) >= MIN_LIKELY_TASKS
 
     def tick(self, now: float) -> None:
-        """Time passes: workers that do not crash tell how rare that is."""
+        """Update the base rates of crashes with the uptime of all workers."""
         self._rates.tick(now, self._workers.values())
 
     def incarnation_ended(self, worker: Worker, end: IncarnationEnd) -> CrashAssessment:
-        """A worker's life has ended, or seems to have.
+        """Record that an incarnation of a worker has ended, or seems to have.
 
-        An announced end tells of no task. A worker that is still in the platform's
-        list and only unheard of is probably alive: it is judged once its record goes.
+        An announced end is no evidence against a task. A worker that is still listed and only
+        unreachable is probably alive; it counts as crashed once its record is removed.
         """
-        runs = [run for run in worker.runs.values() if may_have_begun(run)]
+        runs = [run for run in worker.runs.values() if may_have_started(run)]
         if not runs or is_announced(worker, end):
             return CrashAssessment()
         if end.unheard and worker.listed:
-            self._unsure[worker.worker_id] = (runs, end)
+            self._unconfirmed_ends[worker.worker_id] = (runs, end)
             return CrashAssessment()
-        return self._judge(worker, runs, end)
+        return self._record_crash(worker, runs, end)
 
-    def unlisted(self, worker: Worker) -> CrashAssessment:
-        """A worker's record is gone: one that was unheard of before is taken as crashed."""
-        unsure = self._unsure.pop(worker.worker_id, None)
-        if unsure is None:
+    def record_removed(self, worker: Worker) -> CrashAssessment:
+        """Record that a worker's record was removed; if it was unreachable, it has crashed."""
+        unconfirmed = self._unconfirmed_ends.pop(worker.worker_id, None)
+        if unconfirmed is None:
             return CrashAssessment()
-        return self._judge(worker, *unsure)
-
-    def heard(self, worker_id: str) -> CrashAssessment:
-        """A life answers: it has not crashed."""
-        self._unsure.pop(worker_id, None)
-        judgement = CrashAssessment()
-        if worker_id not in self._judged:
-            return judgement
-        self._judged.discard(worker_id)
-        for crash in [each for each in self._latest if each.worker_id == worker_id]:
-            self._latest.remove(crash)
-            self._explain(crash)
-            for charge in crash.charges:
-                self._take_back(charge, judgement, counted=True)
-        return judgement
-
-    def survived(self, run: Run, how: EndKind, now: float) -> CrashAssessment:
-        """A run has ended, and its worker goes on; also where a gang ended with another member."""
+        return self._record_crash(worker, *unconfirmed)
+
+    def record_answer(self, worker_id: str) -> CrashAssessment:
+        """Record that an incarnation answers, which reverts any crash of it."""
+        self._unconfirmed_ends.pop(worker_id, None)
+        assessment = CrashAssessment()
+        if worker_id not in self._crashed_workers:
+            return assessment
+        self._crashed_workers.discard(worker_id)
+        for crash in [each for each in self._latest_crashes if each.worker_id == worker_id]:
+            self._latest_crashes.remove(crash)
+            self._remove_from_rate(crash)
+            for item in crash.evidence:
+                self._revert(item, assessment, uncount=True)
+        return assessment
+
+    def run_ended(self, run: Run, how: EndKind, now: float) -> CrashAssessment:
+        """Record that a run ended without a crash of its worker.
+
+        This includes runs of a gang that ended because of another member.
+        """
         record = _record(run.task)
-        judgement = CrashAssessment()
+        assessment = CrashAssessment()
         if record is None:
-            return judgement
+            return assessment
         if how is EndKind.DONE and not run.task.step.step.long_running:
-            self._keep(run.task, CrashRecord(), judgement)
+            self._store(run.task, CrashRecord(), assessment)
         else:
-            self._keep(run.task, self._rule.survived(record, _age_s(run, now)), judgement)
-        return judgement
+            self._store(run.task, self._rule.survived(record, _survived_s(run, now)), assessment)
+        return assessment
 
-    def started(self, task: Task, count: int) -> None:
-        """A task is to be started, or after all is not.
+    def count_start(self, task: Task, count: int) -> None:
+        """Count a start of a task that has crashed several workers.
 
-        :param count: 1, or -1 where the order never leaves.
+        :param count: 1, or -1 if the start was never sent.
         """
         record = _record(task)
-        if record is not None and record.crashes >= COUNTED_FROM:
+        if record is not None and record.crashes >= LIMIT_STARTS_FROM:
             record.later_starts += count
 
-    def is_counted(self, task: Task) -> bool:
-        """Whether the starts of a task are counted: none is to be wasted."""
+    def has_limited_starts(self, task: Task) -> bool:
+        """Whether the remaining starts of a task are limited, so that none should be wasted."""
         record = _record(task)
-        return record is not None and record.crashes >= COUNTED_FROM
+        return record is not None and record.crashes >= LIMIT_STARTS_FROM
 
     def is_out_of_starts(self, task: Task) -> bool:
-        """Whether a task that would have to be started again is given up instead."""
+        """Whether a task that would have to be started again fails its job instead."""
         record = _record(task)
         return record is not None and self._rule.is_culprit(record)
 
-    def verdict(self, task: Task) -> CrashFinding:
-        """What is told of a task that is given up."""
+    def give_up_finding(self, task: Task) -> CrashFinding:
+        """The finding for a task that is given up."""
         record = _record(task) or CrashRecord()
         return CrashFinding(
             CrashFindingKind.GIVEN_UP, task.name, crashes=record.crashes, odds=record.odds
         )
 
     def forget_job(self, job_id: str) -> None:
-        """A job that is over, or known no longer."""
-        for key in [key for key in self._likely if key[0] == job_id]:
-            del self._likely[key]
+        """Remove a job that is over."""
+        for key in [key for key in self._likely_tasks if key[0] == job_id]:
+            del self._likely_tasks[key]
 
     def clear(self, job: Job) -> CrashAssessment:
-        """An operator holds the tasks of a job to be sound."""
-        judgement = CrashAssessment()
+        """Reset the odds of all tasks of a job, at an operator's request; crashes still count."""
+        assessment = CrashAssessment()
         for occurrence in job.occurrences:
             for step in occurrence.steps:
                 for index, record in list(step.record.crashes.items()):
                     prior = self._rule.prior_log_odds
                     cleared = msgspec.structs.replace(record, log_odds=prior)
-                    self._keep(step.tasks[index], cleared, judgement)
-        return judgement
+                    self._store(step.tasks[index], cleared, assessment)
+        return assessment
 
     def inherit(self, task: Task) -> None:
-        """A task with what earlier leaders have kept of it."""
+        """Take over the evidence about a task from the records of earlier leaders."""
         record = _record(task)
         if record is not None and self._rule.is_likely(record):
             self._note_likely(task, likely=True)
 
-    # Judging
-
-    def _judge(self, worker: Worker, runs: Sequence[Run], end: IncarnationEnd) -> CrashAssessment:
+    def _record_crash(
+        self, worker: Worker, runs: Sequence[Run], end: IncarnationEnd
+    ) -> CrashAssessment:
         service = worker.record.service or runs[0].task.step.occurrence.job.accepted.service
-        usual_rate = self._rates.usual(service)
-        more_rate = self._more_rate(worker, end)
-        together = self._fell_together(worker, end)
-        exposed = []
+        base_rate = self._rates.base_rate(service)
+        extra_rate = self._extra_rate(worker, end)
+        lost_together = self._lost_together(worker, end)
+        exposures = []
         for run in runs:
             record = _record(run.task) or CrashRecord()
-            rate = self._rates.usual(service, record.crashes) + more_rate
-            rate += TOGETHER_RATE * _without(together, run.task)
-            rate += AGAIN_RATE * (worker.machine in run.task.crashed_on)
+            rate = self._rates.base_rate(service, record.crashes) + extra_rate
+            rate += CORRELATED_LOSS_RATE * _count_without(lost_together, run.task)
+            rate += SAME_MACHINE_RATE * (worker.machine in run.task.crashed_on)
             gang = run.task.step if run.task.step.step.gang else None
-            exposed.append(Exposure(record, lived(run, end), rate, usual_rate, gang))
-        charged = self._rule.charge(exposed)
-        judgement = CrashAssessment()
+            exposures.append(CrashExposure(record, lifetime_of(run, end), rate, base_rate, gang))
+        updated = self._rule.update(exposures)
+        assessment = CrashAssessment()
         crash = _Crash(
             worker.worker_id,
             service,
             worker.record.rack,
             end,
-            _jobs(runs),
+            _job_ids(runs),
             len(runs),
         )
-        for run, before, after in zip(runs, exposed, charged, strict=True):
-            charge = _Charge(
+        for run, before, after in zip(runs, exposures, updated, strict=True):
+            item = _Evidence(
                 run.task,
                 after.crashes - before.record.crashes,
                 after.log_odds - self._log_odds(before.record),
             )
-            crash.charges.append(charge)
+            crash.evidence.append(item)
             run.task.crashed_on.add(worker.machine)
-            self._keep(run.task, after, judgement, lost=True)
-            self._sentence(run.task, crash, judgement)
-        self._latest.append(crash)
-        self._judged = {each.worker_id for each in self._latest}
-        crash.unexplained = _unexplained(charged)
-        self._rates.crashed(service, crash.unexplained)
-        for task in judgement.culprits:
-            self._clear_others(task, judgement)
-        return judgement
-
-    def _sentence(self, task: Task, crash: _Crash, judgement: CrashAssessment) -> None:
-        """Tell what a task is taken for after a crash."""
+            self._store(run.task, after, assessment, lost=True)
+            self._classify(run.task, crash, assessment)
+        self._latest_crashes.append(crash)
+        self._crashed_workers = {each.worker_id for each in self._latest_crashes}
+        crash.unexplained = _unexplained(updated)
+        self._rates.record_crash(service, crash.unexplained)
+        for task in assessment.culprits:
+            self._clear_others(task, assessment)
+        return assessment
+
+    def _classify(self, task: Task, crash: _Crash, assessment: CrashAssessment) -> None:
+        """Classify a task after a crash as a suspect or a culprit, if it is one."""
         record = _record(task)
         if record is None or not self._rule.is_suspect(record):
             return
         kind = CrashFindingKind.SUSPECT
         if self._rule.is_culprit(record):
             kind = CrashFindingKind.GIVEN_UP
-            judgement.culprits.append(task)
+            assessment.culprits.append(task)
         beside = crash.runs - 1
-        judgement.findings.append(
+        assessment.findings.append(
             CrashFinding(kind, task.name, crash.worker_id, record.crashes, record.odds, beside)
         )
 
     def _log_odds(self, record: CrashRecord) -> float:
         return record.log_odds if record.crashes else self._rule.prior_log_odds
 
-    def _more_rate(self, worker: Worker, end: IncarnationEnd) -> float:
-        """Ends a second of a worker, beyond the usual, by what is known of it and of its end."""
+    def _extra_rate(self, worker: Worker, end: IncarnationEnd) -> float:
+        """Expected ends per second beyond the base rate, given how the worker ended."""
         rate = 0.0
         if not worker.listed and worker.outlived_record:
-            rate += LEAVING_RATE
+            rate += OUTLIVED_RECORD_RATE
         if end.unheard:
-            rate += UNHEARD_RATE
+            rate += LEASE_EXPIRED_RATE
         if end.last_answer_s == -math.inf:
-            rate += NEVER_HEARD_RATE
+            rate += NEVER_ANSWERED_RATE
         return rate
 
-    def _fell_together(self, worker: Worker, end: IncarnationEnd) -> list[frozenset[str]]:
-        """The jobs of each other worker of a rack that fell silent with one; empty if few did."""
+    def _lost_together(self, worker: Worker, end: IncarnationEnd) -> list[frozenset[str]]:
+        """The jobs of each other worker of the rack that was lost at the same time.
+
+        Empty if the loss is not large enough to count as correlated.
+        """
         rack = worker.record.rack
-        fell = {
+        lost_workers = {
             crash.worker_id: crash.jobs
-            for crash in self._latest
-            if crash.rack == rack and overlap(crash.end, end)
+            for crash in self._latest_crashes
+            if crash.rack == rack and may_coincide(crash.end, end)
         }
         others = [
             other
@@ -327,81 +339,82 @@
         for other in others:
             if other.unreachable_since_s is None:
                 continue
-            if overlap(IncarnationEnd(other.last_answer_s, other.unreachable_since_s), end):
-                fell[other.worker_id] = _jobs(other.runs.values())
-        busy = len(fell) + sum(1 for other in others if other.worker_id not in fell)
-        least = max(LEAST_TOGETHER, TOGETHER_SHARE * (busy + 1))
-        return list(fell.values()) if len(fell) + 1 >= least else []
+            if may_coincide(IncarnationEnd(other.last_answer_s, other.unreachable_since_s), end):
+                lost_workers[other.worker_id] = _job_ids(other.runs.values())
+        busy = len(lost_workers) + sum(1 for other in others if other.worker_id not in lost_workers)
+        least = max(MIN_CORRELATED_LOSSES, CORRELATED_LOSS_SHARE * (busy + 1))
+        return list(lost_workers.values()) if len(lost_workers) + 1 >= least else []
 
-    def _clear_others(self, culprit: Task, judgement: CrashAssessment) -> None:
-        """A task is given up: crashes under it speak against no other any more.
+    def _clear_others(self, culprit: Task, assessment: CrashAssessment) -> None:
+        """Revert the odds that other tasks owe to crashes of a task that is given up.
 
-        They still count for the others until a run of theirs has lived on: that bounds their starts
-        whatever is held of them.
+        The crashes still count toward the other tasks' limits of starts until a run of theirs has
+        survived, whatever their odds are.
         """
-        for crash in self._latest:
-            if all(charge.task is not culprit for charge in crash.charges):
+        for crash in self._latest_crashes:
+            if all(item.task is not culprit for item in crash.evidence):
                 continue
-            self._explain(crash)
-            for charge in crash.charges:
-                if charge.task is not culprit:
-                    self._take_back(charge, judgement, counted=False)
-            crash.charges = [charge for charge in crash.charges if charge.task is culprit]
-
-    def _explain(self, crash: _Crash) -> None:
-        """A crash does not count among those that no task explains."""
-        self._rates.crashed(crash.service, -crash.unexplained)
+            self._remove_from_rate(crash)
+            for item in crash.evidence:
+                if item.task is not culprit:
+                    self._revert(item, assessment, uncount=False)
+            crash.evidence = [item for item in crash.evidence if item.task is culprit]
+
+    def _remove_from_rate(self, crash: _Crash) -> None:
+        """Remove a crash from the base rate, since a task caused it or it did not happen."""
+        self._rates.record_crash(crash.service, -crash.unexplained)
         crash.unexplained = 0.0
 
-    def _take_back(self, charge: _Charge, judgement: CrashAssessment, *, counted: bool) -> None:
-        """Take back what a crash added for a task.
+    def _revert(self, item: _Evidence, assessment: CrashAssessment, *, uncount: bool) -> None:
+        """Revert the evidence that a crash added to a task.
 
-        :param counted: it was none, and does not count either.
+        :param uncount: the worker did not crash, so that the crash is not counted either.
         """
-        record = _record(charge.task)
+        record = _record(item.task)
         if record is None:
             return
-        crashes = max(0, record.crashes - charge.crashes) if counted else record.crashes
-        # What spoke for a task is not taken back: its record may have begun anew since.
-        log_odds = clamp_log_odds(record.log_odds - max(0.0, charge.log_odds))
+        crashes = max(0, record.crashes - item.crashes) if uncount else record.crashes
+        # Exonerating evidence is not reverted: the record may have been reset since.
+        log_odds = clamp_log_odds(record.log_odds - max(0.0, item.log_odds))
         rest = msgspec.structs.replace(record, crashes=crashes, log_odds=log_odds)
-        self._keep(charge.task, rest, judgement, lost=not counted)
+        self._store(item.task, rest, assessment, lost=not uncount)
 
-    def _keep(
-        self, task: Task, record: CrashRecord, judgement: CrashAssessment, *, lost: bool = False
+    def _store(
+        self, task: Task, record: CrashRecord, assessment: CrashAssessment, *, lost: bool = False
     ) -> None:
-        """Keep what is known of a task.
+        """Store the evidence about a task.
 
-        It is forgotten once a run has lived on for long, or the task is done; never with a crash.
+        The record is removed once a run has survived for long enough or the task is done, but never
+        because of a crash.
 
-        :param lost: its run was lost with its worker, or is held to have been.
+        :param lost: its run was lost with its worker, or may have been.
         """
         crashes = task.step.record.crashes
         index = task.name.index
         known = index in crashes
         cleared = self._rule.is_cleared(record) and not lost
-        if _is_open(task) and record.crashes and not cleared:
+        if _is_unfinished(task) and record.crashes and not cleared:
             crashes[index] = record
         else:
             crashes.pop(index, None)
         if known and index not in crashes:
-            judgement.findings.append(CrashFinding(CrashFindingKind.CLEARED, task.name))
+            assessment.findings.append(CrashFinding(CrashFindingKind.CLEARED, task.name))
         if known or index in crashes:
-            judgement.touched.append(task)
+            assessment.changed_tasks.append(task)
         self._note_likely(task, likely=index in crashes and self._rule.is_likely(record))
 
     def _note_likely(self, task: Task, *, likely: bool) -> None:
         key = (task.name.job_id, task.step.number)
         if likely:
-            self._likely[key].add(task)
-        elif key in self._likely:
-            self._likely[key].discard(task)
-            if not self._likely[key]:
-                del self._likely[key]
+            self._likely_tasks[key].add(task)
+        elif key in self._likely_tasks:
+            self._likely_tasks[key].discard(task)
+            if not self._likely_tasks[key]:
+                del self._likely_tasks[key]
 
 
-def _without(jobs: Iterable[frozenset[str]], task: Task) -> int:
-    """How many of some workers ran nothing of a task's job."""
+def _count_without(jobs: Iterable[frozenset[str]], task: Task) -> int:
+    """The number of workers that ran no task of a task's job."""
     return sum(1 for each in jobs if task.name.job_id not in each)
 
 
@@ -409,21 +422,21 @@
     return task.step.record.crashes.get(task.name.index)
 
 
-def _is_open(task: Task) -> bool:
-    """Whether a task is still to be done."""
+def _is_unfinished(task: Task) -> bool:
+    """Whether a task is not done yet."""
     return task.step.occurrence.open and task.status is not TaskStatus.DONE
 
 
-def _jobs(runs: Iterable[Run]) -> frozenset[str]:
+def _job_ids(runs: Iterable[Run]) -> frozenset[str]:
     return frozenset(run.task.name.job_id for run in runs)
 
 
-def _age_s(run: Run, now: float) -> float:
-    """For how long a run is known to have been at its worker."""
+def _survived_s(run: Run, now: float) -> float:
+    """How long a run is known to have been on its worker."""
     return 0.0 if run.started_s is None else max(0.0, now - run.started_s)
 
 
-def _unexplained(charged: Sequence[CrashRecord]) -> float:
-    """How likely it is that no task caused a crash, by the odds of each that was there."""
-    explained = sum(record.odds / (1 + record.odds) for record in charged)
+def _unexplained(updated: Sequence[CrashRecord]) -> float:
+    """The probability that no task caused a crash, given the odds of each task on the worker."""
+    explained = sum(record.odds / (1 + record.odds) for record in updated)
     return max(0.0, 1.0 - explained)
--- a/src/saddlestack/policy/cluster/incarnation_end.py
+++ b/src/saddlestack/policy/cluster/incarnation_end.py
@@ -1,26 +1,27 @@
-"""The end of a worker's life: when it may have been, and for how long its runs had been there."""
+"""The end of a worker's incarnation: when it may have come, and how long its runs had lived."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from saddlestack.policy.cluster.crash_rule import Lived
+from saddlestack.policy.cluster.crash_rule import RunLifetime
 from saddlestack.policy.cluster.jobs import Run
 from saddlestack.policy.cluster.workers import Worker
 
-UNKNOWN_AGE_S = 10.0
-"""A run that an earlier leader started may be older than this leader knows by so much."""
-EARLY_S = 1.0
-"""An announced end comes no earlier than so long before the time that was announced."""
+MAX_UNKNOWN_AGE_S = 10.0
+"""A run that an earlier leader started may be this much older than the current leader knows."""
+ANNOUNCED_SLACK_S = 1.0
+"""An end that comes earlier than this before the announced time does not count as announced."""
 
 
 @dataclass(frozen=True, slots=True)
 class IncarnationEnd:
-    """What is known of the end of a worker's life that its worker had not announced.
+    """The time of the end of an incarnation, in seconds on the scheduler's clock.
 
-    :param last_answer_s: when it last answered; ``-inf`` for never in this term.
-    :param noticed_s: when it was first noticed that it does not answer.
-    :param unheard: only its silence tells of the end, for longer than any lease of it lasts.
+    :param last_answer_s: when the worker last answered; ``-inf`` for never in this term.
+    :param noticed_s: when it was first found unreachable.
+    :param unheard: whether the end is only known from its being unreachable for longer than any of
+        its leases lasts.
     """
 
     last_answer_s: float
@@ -29,31 +30,31 @@
 
 
 def is_announced(worker: Worker, end: IncarnationEnd) -> bool:
-    """Whether a life ended as it had been told that it would."""
+    """Whether an incarnation ended as announced by its drain notice or by upkeep."""
     if worker.closing:
         return True
-    return worker.leaves_s is not None and end.noticed_s >= worker.leaves_s - EARLY_S
+    return worker.leaves_s is not None and end.noticed_s >= worker.leaves_s - ANNOUNCED_SLACK_S
 
 
-def overlap(first: IncarnationEnd, second: IncarnationEnd) -> bool:
-    """Whether two lives may have ended at the same moment."""
+def may_coincide(first: IncarnationEnd, second: IncarnationEnd) -> bool:
+    """Whether two incarnations may have ended at the same time."""
     return max(first.last_answer_s, second.last_answer_s) <= min(first.noticed_s, second.noticed_s)
 
 
-def may_have_begun(run: Run) -> bool:
-    """Whether the worker may have carried out a run's start; one that is being stopped counts."""
+def may_have_started(run: Run) -> bool:
+    """Whether a worker may have started a run; a run that is being stopped counts as well."""
     return run.inherited or run.ordered_s is not None or run.started_s is not None
 
 
-def lived(run: Run, end: IncarnationEnd) -> Lived:
-    """How long a run was at its worker when that crashed, as far as is known."""
+def lifetime_of(run: Run, end: IncarnationEnd) -> RunLifetime:
+    """How long a run had been on its worker when the worker crashed, as far as is known."""
     ordered_s = run.ordered_s if run.ordered_s is not None else run.started_s
     if ordered_s is None:
-        return Lived(0.0, UNKNOWN_AGE_S)
+        return RunLifetime(0.0, MAX_UNKNOWN_AGE_S)
     known_s = ordered_s if run.started_s is None else run.started_s
-    least_s = max(0.0, end.last_answer_s - known_s)
-    most_s = max(least_s, end.noticed_s - ordered_s)
+    min_s = max(0.0, end.last_answer_s - known_s)
+    max_s = max(min_s, end.noticed_s - ordered_s)
     if run.inherited:
-        return Lived(least_s, most_s + UNKNOWN_AGE_S)
-    window_s = end.noticed_s - max(end.last_answer_s, ordered_s - UNKNOWN_AGE_S)
-    return Lived(least_s, most_s, window_s, confirmed=run.started_s is not None)
+        return RunLifetime(min_s, max_s + MAX_UNKNOWN_AGE_S)
+    silent_window_s = end.noticed_s - max(end.last_answer_s, ordered_s - MAX_UNKNOWN_AGE_S)
+    return RunLifetime(min_s, max_s, silent_window_s, confirmed=run.started_s is not None)
--- a/src/saddlestack/policy/cluster/isolation.py
+++ b/src/saddlestack/policy/cluster/isolation.py
@@ -1,8 +1,10 @@
-"""Tasks that may crash their workers are started alone, so that one run tells and harms no other.
+"""Runs suspects, tasks that may crash their workers, alone: a crash then harms no other run.
 
-A worker that is taken for one is closed to other work until the run has shown to be sound, which
-takes a few times as long as it had lived before the crash, or has ended. A bounded share of a
-service's workers serves so at a time; where none is empty the one that empties soonest is kept.
+A crash of a worker with a single run is also the strongest evidence about its task.
+
+The worker of an isolated run takes no other work until the run has ended, or has survived for a few
+times as long as it did before the crash. Only a bounded share of a service's workers is used for
+isolated runs at a time. If no worker is empty, the one that will be empty soonest is kept free.
 """
 
 from __future__ import annotations
@@ -20,25 +22,25 @@
 from saddlestack.work import Resources
 
 ISOLATION_SHARE = 8
-"""One of so many workers of a service may serve for isolated runs at a time, and at least one;
-those that such a run fills keep no room from others, and do not count..."""
-IDLE_SHARE = 3
-"""...and one of so many while the pool is mostly free."""
+"""One in this many workers of a service, and at least one, may be used for isolated runs at a time.
+Workers that an isolated run fills do not count, since they withhold no capacity from others."""
+IDLE_POOL_ISOLATION_SHARE = 3
+"""The same while the pool is mostly free."""
 MAX_WAIT_S = 8.0
-"""So long a suspect waits for an empty worker..."""
+"""Maximum wait of a suspect for an empty worker."""
 IDLE_POOL_MAX_WAIT_S = 2.0
-"""...and so long while the pool is mostly free, where no accepted work may stand for 3 s."""
-KEPT_S = 10.0
-"""A worker is kept for so long until it is empty."""
+"""The same while the pool is mostly free, since no accepted work may stall for 3 s then."""
+KEEP_TIMEOUT_S = 10.0
+"""Maximum time for which a worker is kept until it is empty."""
 
 
 @dataclass(frozen=True, slots=True)
 class IsolatedPlacement:
-    """What is to be started alone.
+    """Where tasks are started alone.
 
-    :param places: a worker for each of the tasks; empty where there is none yet.
-    :param alone: nothing may join them there.
-    :param keeps: whether the tasks are to wait; else they go where others do.
+    :param places: a worker for each of the tasks; empty if there is none yet.
+    :param alone: whether other work is kept from these workers.
+    :param must_wait: whether the tasks have to wait; otherwise they are placed like any others.
     """
 
     places: Sequence[Worker] = ()
@@ -48,12 +50,12 @@
 
 @dataclass(frozen=True, slots=True)
 class IsolationPool:
-    """The workers of a service, as far as they matter here.
+    """Properties of a service's pool that decide about isolation.
 
-    :param workers: so many.
-    :param idle: they are mostly free.
-    :param keeps: one may be kept for a suspect until it is empty; not where a start needs leave,
-        which is given for single workers.
+    :param workers: number of workers.
+    :param idle: whether the pool is mostly free.
+    :param may_reserve: whether a worker may be kept for a suspect until it is empty. Not if starts
+        need approval, which is given for single workers.
     """
 
     service: str
@@ -63,70 +65,76 @@
 
 
 class Isolation:
-    """Workers that serve, or are kept, for isolated runs.
+    """Keeps the workers that are used, or kept, for isolated runs.
 
-    :param crashes: tells which tasks may crash their workers.
+    :param crashes: decides which tasks may crash their workers.
     """
 
     def __init__(self, crashes: CrashTracker) -> None:
         self._crashes = crashes
-        self._serving: dict[Worker, float] = {}
-        self._waits_since: dict[Task, float] = {}
+        self._closed_workers: dict[Worker, float] = {}
+        self._waiting_since: dict[Task, float] = {}
 
     def refresh(self, now: float) -> None:
-        """Open the workers whose runs have shown to be sound, or that were kept in vain."""
-        for worker, since_s in list(self._serving.items()):
-            if not self._is_needed(worker, since_s, now):
-                self._open(worker)
-        for task in [each for each in self._waits_since if not _is_waiting(each)]:
-            del self._waits_since[task]
-
-    def _is_needed(self, worker: Worker, since_s: float, now: float) -> bool:
+        """Reopen the workers that are no longer needed for isolated runs."""
+        for worker, began_s in list(self._closed_workers.items()):
+            if not self._is_needed(worker, began_s, now):
+                self._reopen(worker)
+        for task in [each for each in self._waiting_since if not _is_waiting(each)]:
+            del self._waiting_since[task]
+
+    def _is_needed(self, worker: Worker, began_s: float, now: float) -> bool:
         isolated = [run for run in worker.runs.values() if run.isolated]
         if isolated:
             return any(self._crashes.may_crash(run, now) for run in isolated)
-        return bool(self._waits_since) and worker.is_available and now - since_s < KEPT_S
+        return bool(self._waiting_since) and worker.is_available and now - began_s < KEEP_TIMEOUT_S
 
-    def _open(self, worker: Worker) -> None:
+    def _reopen(self, worker: Worker) -> None:
         worker.isolating = False
         for run in worker.runs.values():
             run.isolated = False
-        del self._serving[worker]
+        del self._closed_workers[worker]
 
     def suspects(self, step: StepState) -> list[Task]:
-        """The tasks of a step that are to be started alone; of a gang all."""
+        """The tasks of a step that have to be started alone; all tasks for a gang."""
         if not self._crashes.may_have_suspects(step):
             return []
         if step.step.gang:
             return step.tasks if any(map(self._crashes.is_suspect, step.tasks)) else []
         return [task for task in step.tasks if is_waiting(task) and self._crashes.is_suspect(task)]
 
-    def is_counted(self, run: Run) -> bool:
-        """Whether a run is of a task that may be started few times more."""
-        return self._crashes.may_have_suspects(run.task.step) and self._crashes.is_counted(run.task)
+    def has_limited_starts(self, run: Run) -> bool:
+        """Whether the task of a run may be started only a few more times."""
+        return self._crashes.may_have_suspects(run.task.step) and self._crashes.has_limited_starts(
+            run.task
+        )
 
-    def is_waited_for(self, step: StepState) -> bool:
+    def has_waiting_tasks(self, step: StepState) -> bool:
         """Whether a step has tasks that wait to be started alone."""
-        return any(task.step is step for task in self._waits_since)
+        return any(task.step is step for task in self._waiting_since)
 
     def find(
         self, tasks: Sequence[Task], eligible: Sequence[Worker], pool: IsolationPool, now: float
     ) -> IsolatedPlacement:
-        """Where a task, or a whole gang, may be started alone.
+        """Find workers on which a task, or a whole gang, can be started alone.
 
-        :param eligible: workers that take the step's work; those that are kept are added, and those
-            with room that is reserved for others are left out.
+        :param eligible: workers that accept the step's work. Workers that are kept for isolated
+            runs are added, and workers with reserved resources are ignored.
         """
         first = tasks[0]
         step = first.step
-        since_s = self._waits_since.setdefault(first, now)
-        serving = [worker for worker in self._serving if worker.record.service == pool.service]
+        began_s = self._waiting_since.setdefault(first, now)
+        closed = [
+            worker for worker in self._closed_workers if worker.record.service == pool.service
+        ]
         kept = [
-            worker for worker in serving if pool.may_reserve and self._may_use(worker, step, now)
+            worker for worker in closed if pool.may_reserve and self._may_use(worker, step, now)
         ]
         kept = _on_other_machines(tasks, kept)
-        most = math.ceil(pool.workers / (IDLE_SHARE if pool.idle else ISOLATION_SHARE))
-        left = most - sum(1 for worker in serving if not _is_filled(worker))
+        most = math.ceil(
+            pool.workers / (IDLE_POOL_ISOLATION_SHARE if pool.idle else ISOLATION_SHARE)
+        )
+        left = most - sum(1 for worker in closed if not _is_filled(worker))
         eligible = _on_other_machines(
             tasks, [each for each in eligible if each.reserved == Resources()]
         )
@@ -134,19 +142,19 @@
         likely = any(map(self._crashes.is_likely, tasks))
         if likely and self._is_running(step):
             return IsolatedPlacement()
-        found = self._places(tasks, [*kept, *empty], len(kept) + max(0, left))
+        found = self._choose_workers(tasks, [*kept, *empty], len(kept) + max(0, left))
         if found:
-            return self._take(first, found, now)
-        if now - since_s > (IDLE_POOL_MAX_WAIT_S if pool.idle else MAX_WAIT_S):
-            found = self._least_at_stake(tasks, eligible, now)
+            return self._isolate(first, found, now)
+        if now - began_s > (IDLE_POOL_MAX_WAIT_S if pool.idle else MAX_WAIT_S):
+            found = self._least_work_at_risk(tasks, eligible, now)
             if found and left > 0:
-                return self._take(first, found, now)
+                return self._isolate(first, found, now)
             if found and not likely:
-                self._waits_since.pop(first, None)
+                self._waiting_since.pop(first, None)
                 return IsolatedPlacement(found, alone=False)
             return IsolatedPlacement(must_wait=likely)
         if left > 0 and not kept and pool.may_reserve:
-            self._keep(step, eligible, now)
+            self._keep_soonest_empty(step, eligible, now)
         return IsolatedPlacement()
 
     def _may_use(self, worker: Worker, step: StepState, now: float) -> bool:
@@ -155,11 +163,13 @@
         return empty and proven and worker.matches(step.step)
 
     def _is_running(self, step: StepState) -> bool:
-        """Whether a run of the step's job is isolated: of likely culprits one is at a time."""
+        """Whether a run of the step's job is isolated. Likely culprits run one at a time."""
         return any(run.isolated for run in step.occurrence.job.runs())
 
-    def _places(self, tasks: Sequence[Task], workers: Sequence[Worker], most: int) -> list[Worker]:
-        """A place for each task on no more workers than that."""
+    def _choose_workers(
+        self, tasks: Sequence[Task], workers: Sequence[Worker], most: int
+    ) -> list[Worker]:
+        """A worker for each task, on a limited number of workers; empty if there is none."""
         step = tasks[0].step
         if not step.step.gang:
             fitting = [worker for worker in workers if worker.copies(step, worker.free) > 0]
@@ -167,16 +177,16 @@
         found = ListedPlaces(step, workers).choose_gang() or []
         return found if len(set(found)) <= max(most, _least_workers(step, workers)) else []
 
-    def _least_at_stake(
+    def _least_work_at_risk(
         self, tasks: Sequence[Task], eligible: Sequence[Worker], now: float
     ) -> list[Worker]:
-        """Where the least work of others would be lost, apart from other suspects."""
+        """Workers where a crash would lose the least work of others, without other suspects."""
         step = tasks[0].step
         eligible = [worker for worker in eligible if not self._has_suspect(worker, now)]
         if step.step.gang:
             return ListedPlaces(step, eligible).choose_gang() or []
         fitting = [worker for worker in eligible if worker.copies(step, worker.free) > 0]
-        return sorted(fitting, key=lambda worker: _at_stake_s(worker, now))[:1]
+        return sorted(fitting, key=lambda worker: _work_at_risk(worker, now))[:1]
 
     def _has_suspect(self, worker: Worker, now: float) -> bool:
         return any(
@@ -184,23 +194,23 @@
             for run in worker.runs.values()
         )
 
-    def _take(self, first: Task, places: Sequence[Worker], now: float) -> IsolatedPlacement:
-        self._waits_since.pop(first, None)
+    def _isolate(self, first: Task, places: Sequence[Worker], now: float) -> IsolatedPlacement:
+        self._waiting_since.pop(first, None)
         for worker in places:
             worker.isolating = True
-            self._serving[worker] = now
+            self._closed_workers[worker] = now
         return IsolatedPlacement(places)
 
-    def _keep(self, step: StepState, eligible: Sequence[Worker], now: float) -> None:
-        """Close the worker that is empty soonest to other work."""
-        soonest = min(
+    def _keep_soonest_empty(self, step: StepState, eligible: Sequence[Worker], now: float) -> None:
+        """Keep other work from the worker that will be empty soonest."""
+        soonest_empty = min(
             (worker for worker in eligible if worker.max_copies(step.step) > 0),
-            key=lambda worker: _empties_s(worker, now),
+            key=lambda worker: _until_empty_s(worker, now),
             default=None,
         )
-        if soonest is not None and _empties_s(soonest, now) < KEPT_S:
-            soonest.isolating = True
-            self._serving[soonest] = now
+        if soonest_empty is not None and _until_empty_s(soonest_empty, now) < KEEP_TIMEOUT_S:
+            soonest_empty.isolating = True
+            self._closed_workers[soonest_empty] = now
 
 
 def _is_waiting(task: Task) -> bool:
@@ -208,9 +218,9 @@
 
 
 def _on_other_machines(tasks: Sequence[Task], workers: Sequence[Worker]) -> list[Worker]:
-    """Workers on machines that did not crash under some tasks; all where there are no others.
+    """Workers on machines that have not crashed under some tasks; all workers if there are none.
 
-    A crash on another machine tells more of a task.
+    A crash on another machine is stronger evidence about a task.
     """
     others = [
         worker for worker in workers if not any(worker.machine in task.crashed_on for task in tasks)
@@ -219,13 +229,13 @@
 
 
 def _least_workers(step: StepState, workers: Sequence[Worker]) -> int:
-    """Workers that a gang needs at least: its isolation takes no fewer."""
+    """The minimum number of workers that a gang needs, and so its isolation."""
     most = max((worker.max_copies(step.step) for worker in workers), default=0)
     return math.ceil(step.step.count / most) if most else 0
 
 
 def _fills(step: StepState, worker: Worker) -> bool:
-    """Whether a task of a step leaves nothing of a worker to others of its kind."""
+    """Whether a task of a step takes all accelerators, or else all CPUs, of a worker."""
     capacity = worker.record.capacity
     wanted = step.step.room
     if capacity.accelerators:
@@ -237,17 +247,17 @@
     return any(run.isolated and _fills(run.task.step, worker) for run in worker.runs.values())
 
 
-def _empties_s(worker: Worker, now: float) -> float:
-    """When a worker is empty if nothing is added, as far as estimates tell."""
-    return max((_left_s(run, now) for run in worker.runs.values()), default=0.0)
+def _until_empty_s(worker: Worker, now: float) -> float:
+    """Estimated seconds until a worker is empty if nothing else starts there."""
+    return max((_remaining_s(run, now) for run in worker.runs.values()), default=0.0)
 
 
-def _left_s(run: Run, now: float) -> float:
+def _remaining_s(run: Run, now: float) -> float:
     return math.inf if run.task.step.step.long_running else remaining_s(run, now)
 
 
-def _at_stake_s(worker: Worker, now: float) -> float:
-    """Seconds of work, times accelerators, that would be lost with a worker."""
+def _work_at_risk(worker: Worker, now: float) -> float:
+    """Accelerator-seconds of work that would be lost with a worker."""
     return sum(
         max(0.0, now - run.assigned_s) * max(1, run.allocation.accelerators)
         for run in worker.runs.values()
--- a/src/saddlestack/policy/cluster/planner.py
+++ b/src/saddlestack/policy/cluster/planner.py
@@ -234,7 +234,7 @@
 
     def awaits_isolation(self, step: StepState) -> bool:
         """Whether tasks of a step wait to be started alone."""
-        return self._isolation.is_waited_for(step)
+        return self._isolation.has_waiting_tasks(step)
 
     def _keep_for(self, step: StepState, shape: int | None, now: float) -> None:
         """Keep the workers where a gang fits soonest; once for those of a shape."""
@@ -386,7 +386,7 @@
             other = run.task.step.occurrence.job
             if other is job or is_overdue(run, now) or _lost_if_stopped(run):
                 return False
-            if run.isolated or self._isolation.is_counted(run):
+            if run.isolated or self._isolation.has_limited_starts(run):
                 return False
             if run.stopping or gives_back(run) or other.priority > job.priority:
                 return True
--- a/src/saddlestack/policy/cluster/state.py
+++ b/src/saddlestack/policy/cluster/state.py
@@ -208,7 +208,7 @@
         worker.update_record(record, now)
         worker.evacuated = record.data_hall in self._evacuated
         if worker.is_cold(now):
-            self._worker_preferences.note_cold(worker)
+            self._worker_preferences.add_cold(worker)
         if not worker.listed:
             worker.listed = True
             worker.reachable = True
@@ -221,7 +221,7 @@
         if worker is None:
             return
         if worker.listed:
-            self._follow(self._crashes.unlisted(worker))
+            self._follow(self._crashes.record_removed(worker))
         worker.listed = False
         if not worker.runs:
             self._lose(worker)
@@ -234,13 +234,13 @@
         worker = self.workers.get(worker_id)
         if worker is None:
             return
-        judgement = (
+        assessment = (
             CrashAssessment() if end is None else self._crashes.incarnation_ended(worker, end)
         )
         lost = list(worker.runs.values())
         for run in lost:
             worker.remove(run.task.name, run.number)
-        self._follow(judgement)
+        self._follow(assessment)
         for run in lost:
             self._run_over(run, EndKind.LAPSED, run.saved)
         if not worker.listed:
@@ -251,7 +251,7 @@
         worker.last_answer_s = now
         worker.unreachable_since_s = None
         worker.outlived_record = not worker.listed
-        self._follow(self._crashes.heard(worker.worker_id))
+        self._follow(self._crashes.record_answer(worker.worker_id))
 
     def clear_suspects(self, job_id: str) -> int:
         """Start the tasks of a job as any others, though workers crashed under them.
@@ -263,17 +263,17 @@
         job = self.jobs.get(job_id)
         if job is None or job.over:
             return 0
-        judgement = self._crashes.clear(job)
-        self._follow(judgement)
-        return len(judgement.touched)
+        assessment = self._crashes.clear(job)
+        self._follow(assessment)
+        return len(assessment.changed_tasks)
 
-    def _follow(self, judgement: CrashAssessment) -> None:
+    def _follow(self, assessment: CrashAssessment) -> None:
         """Keep what a crash tells, and give up the jobs of those that caused it."""
-        self._findings += judgement.findings
-        for task in judgement.touched:
+        self._findings += assessment.findings
+        for task in assessment.changed_tasks:
             if task.step.occurrence.open:
                 self._mark(task.step.occurrence)
-        for task in judgement.culprits:
+        for task in assessment.culprits:
             self._give_up(task.step.occurrence, FailureCause.CRASHES)
 
     def evacuate(self, halls: frozenset[str]) -> None:
@@ -313,7 +313,7 @@
             worker.remove(run.task.name, run.number)
         run.never_began = True
         if run.ordered_s is None and not run.inherited:
-            self._crashes.started(run.task, -1)
+            self._crashes.count_start(run.task, -1)
         self._run_over(run, EndKind.STOPPED, "")
 
     def worker_reported(self, worker_id: str, running: Iterable[RunningTask], now: float) -> None:
@@ -359,7 +359,7 @@
         elif end.how is EndKind.FAILED:
             self._note_failure(worker, run, now)
         self._planner.run_ended(run, end.how, now)
-        self._follow(self._crashes.survived(run, end.how, now))
+        self._follow(self._crashes.run_ended(run, end.how, now))
         self._run_over(run, end.how, end.saved or run.saved)
 
     def _note_failure(self, worker: Worker, run: Run, now: float) -> None:
@@ -373,7 +373,7 @@
             return
         at_fault = self._fault_attribution.record_failure(worker, run, kind, now)
         if at_fault and kind is not FailureKind.LATE:
-            self._worker_preferences.note_faulty(worker, now)
+            self._worker_preferences.add_faulty(worker, now)
 
     def _run_over(self, run: Run, how: EndKind, saved: str) -> None:
         task = run.task
@@ -405,7 +405,7 @@
     def _spent(self, task: Task) -> None:
         """A task that may crash its workers has been started as often as it may be."""
         if task.step.occurrence.open:
-            self._findings.append(self._crashes.verdict(task))
+            self._findings.append(self._crashes.give_up_finding(task))
             self._give_up(task.step.occurrence, FailureCause.CRASHES)
 
     def _save(self, task: Task, saved: str) -> None:
@@ -516,7 +516,7 @@
         task.record.run = number
         task.record.worker = worker.worker_id
         worker.add(run)
-        self._crashes.started(task, 1)
+        self._crashes.count_start(task, 1)
         occurrence = task.step.occurrence
         self._mark(occurrence)
         saved = task.record.saved if task.step.step.checkpoint else ""
--- a/src/saddlestack/policy/cluster/worker_preferences.py
+++ b/src/saddlestack/policy/cluster/worker_preferences.py
@@ -1,8 +1,8 @@
-"""When work had better go only to workers that have shown to be healthy, or that are warm.
+"""Which steps prefer workers that are known to be healthy, or warm.
 
-Workers that fail all that they start, or on which work stands still, are noticed one by one; until
-then they look like any other. Once several were noticed, others may be as faulty, and only a worker
-whose runs have made progress since is known to be healthy.
+Workers that fail every run, or on which runs get stuck, are detected one by one and look healthy
+until then. Once several were detected, others may be faulty as well, and only a worker whose runs
+have made progress since is known to be healthy.
 """
 
 from __future__ import annotations
@@ -13,71 +13,73 @@
 from saddlestack.policy.cluster.workers import Worker
 
 FAULTY_WORKERS = 2
-"""So many workers noticed as faulty within :data:`FAULTY_S` are no coincidence."""
-FAULTY_S = 6.0
-"""For so long after the latest of them others may be as faulty that were not noticed yet."""
-HEALTHY_S = 6.0
-"""A run that made progress within this time speaks for its worker while none are noticed..."""
-NOTICED_S = 1.0
-"""...and otherwise one that did so no longer than this before the first of them was: to notice one
-takes two looks of 0.3 s at least, and 0.6 s without progress."""
+"""Number of workers detected as faulty, within :data:`FAULTY_WINDOW_S`, that is no coincidence."""
+FAULTY_WINDOW_S = 6.0
+"""How long after the latest detection other workers may be faulty that are not detected yet."""
+HEALTHY_WINDOW_S = 6.0
+"""A worker is healthy if a run made progress there within this time."""
+DETECTION_TIME_S = 1.0
+"""While several workers are faulty, a worker is healthy only if a run made progress there after the
+first detection, or at most this long before it. It takes at least two polls of 0.3 s, and 0.6 s
+without progress, to detect a faulty worker."""
 
 
 Preference = Callable[[Worker], bool]
-"""Whether a step would rather go to a worker."""
+"""Whether a step prefers a worker."""
 
 
 class WorkerPreferences:
-    """Workers that were noticed as faulty in the last seconds, and those that are cold."""
+    """Keeps the workers that were recently detected as faulty, and those that are cold."""
 
     def __init__(self) -> None:
-        self._faulty_s: dict[str, float] = {}
+        self._faulty_since: dict[str, float] = {}
         self._cold: dict[Worker, None] = {}
 
     def preferences(self, step: StepState, now: float) -> Iterator[Preference]:
-        """Which workers a step should go to if it fits there, the best first; none for any."""
-        if self.is_due(step, now):
+        """Yield the preferences of a step, the strongest first; none if it prefers no worker."""
+        if self.prefers_healthy(step, now):
             yield lambda worker: self.is_healthy(worker, now)
-        if step.occurrence.job.priority == TOP_PRIORITY and self._any_cold(now):
+        if step.occurrence.job.priority == TOP_PRIORITY and self._has_cold(now):
             yield lambda worker: not worker.is_cold(now)
 
-    def note_cold(self, worker: Worker) -> None:
-        """A worker is slow since it has just begun, or was given back."""
+    def add_cold(self, worker: Worker) -> None:
+        """Add a worker that is slow because it has just started or returned."""
         self._cold[worker] = None
 
-    def note_faulty(self, worker: Worker, now: float) -> None:
-        """A run failed on a worker before it can have done any work, or stands still there."""
-        self._forget(now)
-        self._faulty_s.setdefault(worker.worker_id, now)
+    def add_faulty(self, worker: Worker, now: float) -> None:
+        """Add a worker where a run failed before it can have done any work, or is stuck."""
+        self._expire(now)
+        self._faulty_since.setdefault(worker.worker_id, now)
 
-    def is_due(self, step: StepState, now: float) -> bool:
-        """Whether a step should go to healthy workers, if it fits there.
+    def prefers_healthy(self, step: StepState, now: float) -> bool:
+        """Whether a step prefers healthy workers.
 
-        Urgent work while faulty workers are noticed; any work whose next failure is its last.
+        Urgent work does while several workers are faulty; work whose next failure is its last
+        always does, unless it is long-running.
         """
         if step.step.long_running:
             return False
         if step.on_last_attempt:
             return True
-        return step.occurrence.job.priority == TOP_PRIORITY and self._several_faulty(now)
+        return step.occurrence.job.priority == TOP_PRIORITY and self._has_several_faulty(now)
 
     def is_healthy(self, worker: Worker, now: float) -> bool:
-        """Whether a run has made progress, or ended well, on a worker lately."""
-        since_s = now - HEALTHY_S
-        if self._several_faulty(now):
-            since_s = max(since_s, min(self._faulty_s.values()) - NOTICED_S)
+        """Whether a run has recently made progress or succeeded on a worker."""
+        since_s = now - HEALTHY_WINDOW_S
+        if self._has_several_faulty(now):
+            since_s = max(since_s, min(self._faulty_since.values()) - DETECTION_TIME_S)
         return worker.last_healthy_s is not None and worker.last_healthy_s > since_s
 
-    def _any_cold(self, now: float) -> bool:
+    def _has_cold(self, now: float) -> bool:
         for worker in [worker for worker in self._cold if not worker.is_cold(now)]:
             del self._cold[worker]
         return bool(self._cold)
 
-    def _several_faulty(self, now: float) -> bool:
-        self._forget(now)
-        return len(self._faulty_s) >= FAULTY_WORKERS
+    def _has_several_faulty(self, now: float) -> bool:
+        self._expire(now)
+        return len(self._faulty_since) >= FAULTY_WORKERS
 
-    def _forget(self, now: float) -> None:
-        """Forget all once none was noticed for a while."""
-        if self._faulty_s and now - max(self._faulty_s.values()) > FAULTY_S:
-            self._faulty_s.clear()
+    def _expire(self, now: float) -> None:
+        """Clear the faulty workers once none was detected for a while."""
+        if self._faulty_since and now - max(self._faulty_since.values()) > FAULTY_WINDOW_S:
+            self._faulty_since.clear()
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -16,11 +16,11 @@
 from saddlestack.policy.cluster.changes import StopReason
 from saddlestack.policy.cluster.crash_findings import CrashFindingKind
 from saddlestack.policy.cluster.crash_rule import (
-    COUNTED_FROM,
-    LATER_STARTS,
+    LIMIT_STARTS_FROM,
+    MAX_LATER_STARTS,
+    CrashExposure,
     CrashOdds,
-    Exposure,
-    Lived,
+    RunLifetime,
 )
 from saddlestack.policy.cluster.incarnation_end import IncarnationEnd
 from saddlestack.policy.cluster.isolation import ISOLATION_SHARE
@@ -182,8 +182,8 @@
         job = self.add(step(1, 8))
         step_record = self.task(job).step.record
         prior = CrashOdds().prior_log_odds
-        step_record.crashes[0] = CrashRecord(COUNTED_FROM, prior, 100.0)
-        for time in range(LATER_STARTS):
+        step_record.crashes[0] = CrashRecord(LIMIT_STARTS_FROM, prior, 100.0)
+        for time in range(MAX_LATER_STARTS):
             self.assertIs(self.state(job), JobState.QUEUED if not time else JobState.RUNNING)
             self.assertEqual(len(self.plan(float(time)).starts), 1)
             self.cluster_state.stop_run(self.run_of(job), StopReason.WORKER_LEAVES)
@@ -194,8 +194,8 @@
     def test_a_run_that_outlives_all_that_crashed_begins_the_count_anew(self) -> None:
         self.workers(racks=1, each=4)
         job = self.add(step(1, 8))
-        self.task(job).step.record.crashes[0] = CrashRecord(COUNTED_FROM, 0.0, 2.0)
-        for time in range(LATER_STARTS + 1):
+        self.task(job).step.record.crashes[0] = CrashRecord(LIMIT_STARTS_FROM, 0.0, 2.0)
+        for time in range(MAX_LATER_STARTS + 1):
             self.plan(10.0 * time)
             self.cluster_state.stop_run(self.run_of(job), StopReason.WORKER_LEAVES)
             self.end(job, EndKind.STOPPED, 10.0 * time + 2.5)
@@ -205,11 +205,11 @@
         self.workers(racks=1, each=4)
         job = self.add(step(1, 8))
         prior = CrashOdds().prior_log_odds
-        self.task(job).step.record.crashes[0] = CrashRecord(COUNTED_FROM, prior, 100.0)
-        for time in range(LATER_STARTS + 2):
+        self.task(job).step.record.crashes[0] = CrashRecord(LIMIT_STARTS_FROM, prior, 100.0)
+        for time in range(MAX_LATER_STARTS + 2):
             self.cluster_state.plan(float(time), 0.0)
             self.cluster_state.run_not_started(self.run_of(job))
-        self.assertEqual(self.known(job), CrashRecord(COUNTED_FROM, prior, 100.0))
+        self.assertEqual(self.known(job), CrashRecord(LIMIT_STARTS_FROM, prior, 100.0))
 
     def test_one_crash_convicts_nobody(self) -> None:
         self.assertFalse(CrashOdds().is_culprit(CrashRecord(1, math.log(1e9), 0.3)))
@@ -476,7 +476,7 @@
         kept.isolating = True
         self.plan(PAUSE_S)
         kept.isolating = True
-        self.cluster_state.planner._isolation._serving[kept] = PAUSE_S
+        self.cluster_state.planner._isolation._closed_workers[kept] = PAUSE_S
         self.plan(PAUSE_S + 0.1)
 
     def test_a_worker_that_is_kept_is_used(self) -> None:
@@ -570,7 +570,9 @@
     def test_a_crash_that_is_known_more_precisely_speaks_no_less(self) -> None:
         before = CrashRecord(2, 0.3, 0.78)
         charged = [
-            CrashOdds().charge([Exposure(before, Lived(1.81, 1.81 + width_s), 0.019, 0.019)])[0]
+            CrashOdds().update(
+                [CrashExposure(before, RunLifetime(1.81, 1.81 + width_s), 0.019, 0.019)]
+            )[0]
             for width_s in (0.001, 0.027, 0.05)
         ]
         self.assertEqual([record.crashes for record in charged], [3, 3, 3])
@@ -620,8 +622,8 @@
         record = CrashRecord()
         for what, first_s, more_s, rate in events:
             if what == "charge":
-                lived = Lived(first_s, first_s + more_s, more_s)
-                (record,) = rule.charge([Exposure(record, lived, rate, rate)])
+                lifetime = RunLifetime(first_s, first_s + more_s, more_s)
+                (record,) = rule.update([CrashExposure(record, lifetime, rate, rate)])
             elif record.crashes:
                 record = rule.survived(record, first_s)
             self.assertTrue(math.isfinite(record.odds))
--- a/tests/test_progress.py
+++ b/tests/test_progress.py
@@ -12,7 +12,7 @@
     RESUMING_S,
     needs_progress_polls,
 )
-from saddlestack.policy.cluster.worker_preferences import FAULTY_S
+from saddlestack.policy.cluster.worker_preferences import FAULTY_WINDOW_S
 from saddlestack.work import Step
 from tests.test_board import BULK, URGENT, ClusterCase, step
 
@@ -218,7 +218,7 @@
     def test_some_time_after_them_it_goes_where_it_fits_best(self) -> None:
         self.wave()
         self.prove("w16", 5.0)
-        self.assertNotEqual(self.place(0.1 + FAULTY_S + 0.1)[1], "w16")
+        self.assertNotEqual(self.place(0.1 + FAULTY_WINDOW_S + 0.1)[1], "w16")
 
     def test_a_gang_of_one_rack_is_not_spread_over_racks_for_it(self) -> None:
         self.workers(racks=2, each=3)
