--- a/src/saddlestack/policy/cluster/draining.py
+++ b/src/saddlestack/policy/cluster/draining.py
@@ -1,7 +1,8 @@
-"""Workers that leave: which of their runs are stopped before they do.
+"""Decides which runs on draining workers are stopped before the workers leave.
 
-That one has left is known from nothing that it announced, nor from its record: it may serve on for
-seconds after either. What is still there is over with its lease, 6.6 s where leases last 6 s.
+Neither the announced time nor the removal of its record proves that a worker has left, since it may
+serve for seconds after either. Runs that are still there end with the worker's lease, after 6.6 s
+if leases last 6 s.
 """
 
 from __future__ import annotations
@@ -13,41 +14,43 @@
 from saddlestack.policy.cluster.workers import Worker
 
 SAVE_MARGIN_S = 1.2
-"""A run that saves its progress works on until this long before the worker leaves: the stop, on
-which it saves, and its answer have to fit in."""
+"""A run with a checkpoint is stopped this long before its worker leaves. The stop, at which the run
+saves its progress, and the answer to it have to fit into that time."""
 END_MARGIN_S = 0.5
-"""A run that has nothing to save is left alone if it ends this long before the worker may leave, or
-within this time from now. A notice is heard up to 0.3 s late, an end after 0.01 s."""
+"""A run without a checkpoint is not stopped if it is expected to end this long before the worker
+may leave, or within this time from now. A notice arrives up to 0.3 s late, and an end is reported
+after 0.01 s."""
 
-Members = Callable[[Run], Sequence[Run]]
-"""All runs that work together with a run, itself among them. A gang ends with its last member: one
-that has done its own part waits, and looks as if it were about to end."""
+GangMembers = Callable[[Run], Sequence[Run]]
+"""Returns all runs that work together with a run, including itself. A gang ends with its last
+member: one that has finished its own part waits, although it seems to be about to end."""
 
 
-def runs_to_stop(workers: Iterable[Worker], members: Members, now: float) -> list[Run]:
-    """Runs to be stopped since their worker leaves before they end.
+def runs_to_stop(workers: Iterable[Worker], members: GangMembers, now: float) -> list[Run]:
+    """Runs that have to be stopped since their worker leaves before they end.
 
-    One that saves nothing is stopped as soon as that is clear, so that it begins again elsewhere;
-    one that saves its progress uses the time that is left.
+    A run without a checkpoint is stopped as soon as that is clear, so that it can start again
+    elsewhere. A run with a checkpoint uses the time that is left.
 
-    :param members: all runs that work, and end, together with a run.
+    :param workers: the workers to check; those that do not leave are skipped.
+    :param members: returns all runs that work, and end, together with a run.
     """
     found: list[Run] = []
     for worker in workers:
         if worker.leaves_s is None:
             continue
-        left = worker.leaves_s - now
-        found += [run for run in worker.runs.values() if _is_to_stop(run, members, left, now)]
+        left_s = worker.leaves_s - now
+        found += [run for run in worker.runs.values() if _has_to_stop(run, members, left_s, now)]
     return found
 
 
-def _is_to_stop(run: Run, members: Members, left: float, now: float) -> bool:
+def _has_to_stop(run: Run, members: GangMembers, left_s: float, now: float) -> bool:
     if run.stopping:
         return False
     step = run.task.step.step
     if step.long_running:
-        return left < SAVE_MARGIN_S
-    remaining = max(remaining_s(member, now) for member in members(run))
-    if remaining <= max(left - END_MARGIN_S, END_MARGIN_S):
+        return left_s < SAVE_MARGIN_S
+    remaining_run_s = max(remaining_s(member, now) for member in members(run))
+    if remaining_run_s <= max(left_s - END_MARGIN_S, END_MARGIN_S):
         return False
-    return not step.checkpoint or left < SAVE_MARGIN_S
+    return not step.checkpoint or left_s < SAVE_MARGIN_S
--- a/src/saddlestack/policy/cluster/progress.py
+++ b/src/saddlestack/policy/cluster/progress.py
@@ -1,8 +1,8 @@
-"""How long runs still take, and which urgent ones stand still and had better begin anew.
+"""Estimates the remaining time of runs, and detects urgent runs that are stuck.
 
-A worker may answer every call while what runs on it does not move; only the progress that it
-reports tells. How fast a run should be is not judged: estimates are off by up to ten times, and to
-go by them stopped sound urgent work on a calm day.
+A worker may answer every call although a run on it makes no progress, so only reported progress
+counts. The expected speed of a run is not used: estimates are off by a factor of up to ten, and a
+check against them stopped healthy urgent work on a day without faults.
 """
 
 from __future__ import annotations
@@ -12,26 +12,30 @@
 from saddlestack.policy.cluster.jobs import TOP_PRIORITY, Run
 from saddlestack.policy.cluster.workers import Worker
 
-LEAST_PERCENT = 3
-"""Progress below this says nothing about how long a run still takes."""
+MIN_PERCENT = 3
+"""Progress below this is not used to estimate the remaining time of a run."""
 MIN_STALL_S = 0.6
-"""Reports at least this far apart have to agree: three looks of :data:`PROGRESS_POLL_S`..."""
-STILL_SHARE = 0.15
-"""...or this share of the estimate apart, in which a sound worker does several percent."""
-RESUMING_S = 1.0
-"""A run that resumes from a checkpoint takes up to this long before it moves."""
+"""Minimum time without progress after which a run counts as stuck: three polls, one every
+:data:`PROGRESS_POLL_S`, have to agree."""
+STALL_SHARE = 0.15
+"""The same as a share of the estimate, if that is longer. A healthy worker makes several percent of
+progress in that time."""
+RESUME_GRACE_S = 1.0
+"""A run that resumes from a checkpoint takes up to this long before it makes progress."""
 NEARLY_DONE_PERCENT = 99
-"""Members of a gang end together: one that is done with its own part waits there."""
+"""From this percentage on a run never counts as stuck. Members of a gang end together, so one that
+has finished its own part waits for the others at this percentage."""
 MAX_MOVES = 2
-"""So often a step is begun again for this: an estimate may be wrong, and then each move is lost."""
+"""Maximum number of times that a step is restarted because it was stuck. An estimate may be wrong,
+and then each restart only loses work."""
 PROGRESS_POLL_S = 0.3
-"""How often a worker is looked at on which urgent work runs."""
+"""Interval at which a worker with urgent work is polled."""
 
 
 def remaining_s(run: Run, now: float) -> float:
-    """Seconds that a run still takes, as far as its progress and its estimate tell."""
+    """Remaining seconds of a run, estimated from its progress, or else from the step's estimate."""
     since = run.started_s if run.started_s is not None else run.assigned_s
-    if run.percent >= LEAST_PERCENT:
+    if run.percent >= MIN_PERCENT:
         done_s = max(0.0, run.reported_s - since)
         left_s = done_s * (100 - run.percent) / run.percent
         return max(0.0, left_s - (now - run.reported_s))
@@ -39,30 +43,31 @@
 
 
 def needs_progress_polls(worker: Worker) -> bool:
-    """Whether urgent work runs on a worker, so that its progress is asked for often."""
+    """Whether urgent work runs on a worker, so that its progress has to be polled often."""
     held = worker.held.get(TOP_PRIORITY)
     return held is not None and any(_is_urgent(run) for run in worker.runs.values())
 
 
 def is_stuck(run: Run, members: Sequence[Run], now: float) -> bool:
-    """Whether an urgent run had better be stopped and begun again elsewhere.
+    """Whether an urgent run should be stopped and restarted elsewhere.
 
-    It has not moved for as long as the work is worth that a stop would lose: to wait that long
-    loses at most twice what the better of the two choices would have lost.
+    This is the case once it has made no progress for as long as the work took that a stop would
+    lose. Waiting that long loses at most twice as much as the better of the two choices, to stop at
+    once or not at all, would have lost.
 
-    :param members: all runs that work together, this one among them.
+    :param members: all runs that work together with the run, including itself.
     """
     step = run.task.step
     if not _is_urgent(run) or run.stopping or run.percent >= NEARLY_DONE_PERCENT:
         return False
-    begun_s = _begun_s(members)
-    if begun_s is None or run.progressed_s is None or step.moves >= MAX_MOVES:
+    gang_started_s = _gang_started_s(members)
+    if gang_started_s is None or run.progressed_s is None or step.moves >= MAX_MOVES:
         return False
-    since_s = max(begun_s, run.progressed_s)
-    patience_s = max(MIN_STALL_S, STILL_SHARE * step.step.estimate_ms / 1000)
+    since_s = max(gang_started_s, run.progressed_s)
+    limit_s = max(MIN_STALL_S, STALL_SHARE * step.step.estimate_ms / 1000)
     if run.task.record.saved:
-        patience_s += RESUMING_S
-    return now - since_s >= max(patience_s, since_s - begun_s)
+        limit_s += RESUME_GRACE_S
+    return now - since_s >= max(limit_s, since_s - gang_started_s)
 
 
 def _is_urgent(run: Run) -> bool:
@@ -70,11 +75,11 @@
     return step.occurrence.job.priority == TOP_PRIORITY and not step.step.long_running
 
 
-def _begun_s(members: Sequence[Run]) -> float | None:
-    """When the last member was there, so that all could work; ``None`` before that."""
-    begun_s = 0.0
+def _gang_started_s(members: Sequence[Run]) -> float | None:
+    """When the last member was started, so that all could work; ``None`` before that."""
+    gang_started_s = 0.0
     for member in members:
         if member.started_s is None:
             return None
-        begun_s = max(begun_s, member.started_s)
-    return begun_s
+        gang_started_s = max(gang_started_s, member.started_s)
+    return gang_started_s
--- a/tests/test_progress.py
+++ b/tests/test_progress.py
@@ -9,7 +9,7 @@
 from saddlestack.policy.cluster.progress import (
     MAX_MOVES,
     MIN_STALL_S,
-    RESUMING_S,
+    RESUME_GRACE_S,
     needs_progress_polls,
 )
 from saddlestack.policy.cluster.worker_preferences import FAULTY_WINDOW_S
@@ -107,9 +107,9 @@
         self.cluster_state.jobs[job].occurrences[0].steps[0].tasks[0].record.saved = "saved"
         (worker,) = self.placed(job)
         self.assertEqual(self.report(0.3, {worker: 0}).stops, [])
-        patience_s = 0.3 + MIN_STALL_S + RESUMING_S
-        self.assertEqual(self.report(patience_s - 0.1, {worker: 0}).stops, [])
-        self.assertEqual(len(self.report(patience_s + 0.1, {worker: 0}).stops), 1)
+        limit_s = 0.3 + MIN_STALL_S + RESUME_GRACE_S
+        self.assertEqual(self.report(limit_s - 0.1, {worker: 0}).stops, [])
+        self.assertEqual(len(self.report(limit_s + 0.1, {worker: 0}).stops), 1)
 
     def test_lasting_work_makes_no_progress_to_be_judged(self) -> None:
         job = self.begin(step(1, 8, long_running=True))
