--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -1,4 +1,4 @@
-"""What a crash of a worker tells of the tasks that ran there, and what follows for them."""
+"""Evidence from crashes of workers about their tasks, and the isolation of suspects."""
 
 from __future__ import annotations
 
@@ -38,16 +38,16 @@
 from tests.test_board import BULK, ClusterCase, record, step
 
 SOON_S = 0.2
-"""So soon after its start a task crashes its worker..."""
+"""Time from the start of a task to the crash of its worker."""
 NOTICED_S = 0.5
-"""...and its worker's silence is noticed."""
+"""Time from the crash until the worker is found unreachable."""
 QUIET_S = 600.0
 PAUSE_S = 4.0
-"""From one crash to the next."""
+"""Time from one crash to the next."""
 
 
 class CrashCase(ClusterCase):
-    """Crashes one by one, in a pool that has been quiet for a while."""
+    """Helpers for single crashes, in a pool without crashes for :data:`QUIET_S`."""
 
     def workers(self, racks: int = 1, each: int = 2, **more: int) -> None:
         super().workers(racks, each, **more)
@@ -66,7 +66,7 @@
         return self.task(job_id, index).step.record.crashes.get(index)
 
     def crash(self, worker_id: str, at_s: float, *, unheard: bool = False) -> None:
-        """A worker crashes; it was heard right before, and another life takes its place."""
+        """Crash a worker that has just answered, and replace it by a new incarnation."""
         worker = self.cluster_state.workers[worker_id]
         address, rack = worker.record.address, worker.record.rack
         self.cluster_state.record_answer(worker, at_s - 0.001)
@@ -79,13 +79,13 @@
         self.cluster_state.set_worker(life, at_s + 1.0)
 
     def crash_under(self, job_id: str, now: float, index: int = 0) -> str:
-        """The worker of a task crashes soon after the task has started."""
+        """Crash the worker of a task soon after the start of the task; returns the worker."""
         worker_id = self.run_of(job_id, index).worker_id
         self.crash(worker_id, now + SOON_S)
         return worker_id
 
     def suspects(self, count: int) -> list[str]:
-        """Jobs of one task each, all of which were on a worker that crashed."""
+        """Add jobs of one task each, and crash the worker that they all run on."""
         jobs = [self.add(step(1, 1)) for _ in range(count)]
         self.plan(0.0)
         self.crash_under(jobs[0], 0.0)
@@ -93,7 +93,7 @@
 
 
 class CulpritTest(CrashCase):
-    def test_two_crashes_soon_after_its_start_give_a_task_up(self) -> None:
+    def test_a_task_is_given_up_after_two_crashes_soon_after_its_start(self) -> None:
         self.workers(racks=2, each=4)
         job = self.add(step(1, 8))
         for number in range(2):
@@ -108,8 +108,8 @@
         self.assertEqual(changes.findings[0].crashes, 2)
         self.assertEqual(self.plan(2 * PAUSE_S).starts, [])
 
-    def test_in_a_pool_of_which_little_is_known_it_takes_a_third(self) -> None:
-        """One that met two crashes within seconds may see many."""
+    def test_in_a_new_pool_a_third_crash_is_needed(self) -> None:
+        """A new pool with two crashes within seconds may have many more."""
         ClusterCase.workers(self, racks=2, each=4)
         job = self.add(step(1, 8))
         for number in range(3):
@@ -118,7 +118,7 @@
             self.crash_under(job, number * PAUSE_S)
         self.assertIs(self.state(job), JobState.FAILED)
 
-    def test_lasting_work_is_given_up_as_well(self) -> None:
+    def test_long_running_work_is_given_up_as_well(self) -> None:
         self.workers(racks=2, each=4)
         job = self.add(step(1, 8, long_running=True))
         for number in range(2):
@@ -126,12 +126,12 @@
             self.crash_under(job, number * PAUSE_S)
         self.assertIs(self.state(job), JobState.FAILED)
 
-    def test_those_beside_it_are_cleared_once_it_is_found(self) -> None:
+    def test_other_tasks_are_cleared_once_the_culprit_is_found(self) -> None:
         self.workers(racks=2, each=ISOLATION_SHARE)
         culprit = self.add(step(1, 4))
         other = self.add(step(1, 4))
         self.plan(0.0)
-        self.assertEqual(self.crash_under(culprit, 0.0), self.run_of_past(other))
+        self.assertEqual(self.crash_under(culprit, 0.0), self.last_worker(other))
         self.assertIsNotNone(self.known(other))
         self.plan(PAUSE_S)
         self.assertNotEqual(self.run_of(culprit).worker_id, self.run_of(other).worker_id)
@@ -143,11 +143,11 @@
         self.assertFalse(self.cluster_state._crashes.is_suspect(self.task(other)))
         self.assertIs(self.state(other), JobState.RUNNING)
 
-    def run_of_past(self, job_id: str) -> str:
-        """The worker that a task was last given to."""
+    def last_worker(self, job_id: str) -> str:
+        """The worker that a task was last assigned to."""
         return self.task(job_id).record.worker
 
-    def test_what_is_known_outlives_a_leader(self) -> None:
+    def test_evidence_survives_a_failover(self) -> None:
         self.workers(racks=1, each=4)
         job = self.add(step(1, 8))
         self.plan(0.0)
@@ -163,7 +163,7 @@
         self.assertIs(self.state(job), JobState.FAILED)
 
     def test_a_run_of_an_earlier_leader_counts(self) -> None:
-        """Nobody knows for how long it had been there: that counts, and the next start waits."""
+        """The age of the run is unknown, but the crash counts, and the next start waits."""
         self.workers(racks=1, each=4)
         job = self.add(step(1, 4))
         self.plan(0.0)
@@ -171,8 +171,8 @@
         before = self.cluster_state.jobs[job].accepted
         self.cluster_state = ClusterState()
         self.cluster_state.add_job(before, {0: kept})
-        (ghost,) = self.cluster_state.workers
-        self.cluster_state.worker_ended(ghost, IncarnationEnd(-math.inf, 5.0, unheard=True))
+        (worker_id,) = self.cluster_state.workers
+        self.cluster_state.worker_ended(worker_id, IncarnationEnd(-math.inf, 5.0, unheard=True))
         known = self.known(job)
         assert known is not None
         self.assertEqual(known.crashes, 1)
@@ -191,7 +191,7 @@
         self.assertIs(self.state(job), JobState.FAILED)
         self.assertEqual(self.plan(9.0).starts, [])
 
-    def test_a_run_that_outlives_all_that_crashed_begins_the_count_anew(self) -> None:
+    def test_a_run_that_survives_longer_resets_the_count(self) -> None:
         self.workers(racks=1, each=4)
         job = self.add(step(1, 8))
         self.task(job).step.record.crashes[0] = CrashRecord(LIMIT_STARTS_FROM, 0.0, 2.0)
@@ -201,7 +201,7 @@
             self.end(job, EndKind.STOPPED, 10.0 * time + 2.5)
         self.assertIs(self.state(job), JobState.RUNNING)
 
-    def test_an_order_that_never_left_is_no_such_start(self) -> None:
+    def test_a_start_that_was_never_sent_is_not_counted(self) -> None:
         self.workers(racks=1, each=4)
         job = self.add(step(1, 8))
         prior = CrashOdds().prior_log_odds
@@ -211,14 +211,14 @@
             self.cluster_state.run_not_started(self.run_of(job))
         self.assertEqual(self.known(job), CrashRecord(LIMIT_STARTS_FROM, prior, 100.0))
 
-    def test_one_crash_convicts_nobody(self) -> None:
+    def test_one_crash_is_not_enough(self) -> None:
         self.assertFalse(CrashOdds().is_culprit(CrashRecord(1, math.log(1e9), 0.3)))
 
 
-class SoundTest(CrashCase):
-    """What is no crash under a task, or none that it caused."""
+class NoCulpritTest(CrashCase):
+    """Ends of workers that are no crashes, or crashes that no task caused."""
 
-    def test_an_announced_end_is_none(self) -> None:
+    def test_an_announced_end_is_no_crash(self) -> None:
         self.workers(racks=1, each=2)
         job = self.add(step(1, 8))
         self.plan(0.0)
@@ -227,7 +227,7 @@
         self.crash(worker_id, 0.7)
         self.assertIsNone(self.known(job))
 
-    def test_a_crash_long_before_an_announced_end_is_one(self) -> None:
+    def test_an_end_long_before_the_announced_time_is_a_crash(self) -> None:
         self.workers(racks=1, each=2)
         job = self.add(step(1, 8))
         self.plan(0.0)
@@ -236,14 +236,14 @@
         self.crash(worker_id, 0.2)
         self.assertIsNotNone(self.known(job))
 
-    def test_an_order_that_never_left_is_none(self) -> None:
+    def test_a_crash_before_the_start_was_sent_does_not_count(self) -> None:
         self.workers(racks=1, each=2)
         job = self.add(step(1, 8))
         self.cluster_state.plan(0.0, 0.0)
         self.crash_under(job, 0.0)
         self.assertIsNone(self.known(job))
 
-    def test_an_order_that_was_not_answered_is_one(self) -> None:
+    def test_a_crash_before_the_start_was_confirmed_counts(self) -> None:
         self.workers(racks=1, each=2)
         job = self.add(step(1, 8))
         self.cluster_state.plan(0.0, 0.0)
@@ -251,8 +251,10 @@
         self.crash_under(job, 0.0)
         self.assertIsNotNone(self.known(job))
 
-    def test_orders_to_workers_that_were_gone_before_give_no_task_up(self) -> None:
-        """Seen in a soak: a new leader's orders went to lives that others had already replaced."""
+    def test_starts_on_workers_that_were_already_gone_give_no_task_up(self) -> None:
+        """Guards against blaming a task for workers that were gone before its start was sent. In a
+        soak test, a new leader sent starts to incarnations that had already been replaced.
+        """
         self.workers(racks=2, each=4)
         job = self.add(step(1, 4))
         for time in range(2):
@@ -274,7 +276,7 @@
         self.crash_under(job, 0.0)
         self.assertIsNotNone(self.known(job))
 
-    def test_a_listed_worker_that_is_unheard_of_is_judged_once_its_record_goes(self) -> None:
+    def test_an_unreachable_worker_counts_as_crashed_once_its_record_is_removed(self) -> None:
         self.workers(racks=1, each=2)
         job = self.add(step(1, 8))
         self.plan(0.0)
@@ -284,7 +286,7 @@
         self.cluster_state.unlist_worker(worker_id)
         self.assertIsNotNone(self.known(job))
 
-    def test_a_listed_worker_that_answers_again_was_none(self) -> None:
+    def test_a_listed_worker_that_answers_again_has_not_crashed(self) -> None:
         self.workers(racks=1, each=2)
         job = self.add(step(1, 8))
         self.plan(0.0)
@@ -294,7 +296,7 @@
         self.cluster_state.unlist_worker(worker.worker_id)
         self.assertIsNone(self.known(job))
 
-    def test_a_life_that_is_heard_after_all_takes_the_charge_back(self) -> None:
+    def test_an_answer_of_a_crashed_incarnation_reverts_the_crash(self) -> None:
         self.workers(racks=1, each=2)
         job = self.add(step(1, 8))
         self.plan(0.0)
@@ -338,7 +340,7 @@
             self.plan(now + lived_s + NOTICED_S)
         self.assertNotIn(JobState.FAILED, {self.state(job) for job in jobs})
 
-    def test_a_gang_with_crashes_under_one_member_and_another_is_sound(self) -> None:
+    def test_a_gang_with_crashes_under_different_members_is_not_given_up(self) -> None:
         self.workers(racks=2, each=4)
         job = self.add(step(4, 8, gang=True))
         for index in range(4):
@@ -350,7 +352,7 @@
         self.assertIs(self.state(job), JobState.RUNNING)
 
     def break_gang(self, job: str, lost: str, now: float) -> None:
-        """The workers of the other members tell that the gang is broken."""
+        """Report the runs of the other members as broken."""
         for worker in list(self.cluster_state.workers.values()):
             for name, number in list(worker.runs):
                 if name.job_id == job and worker.worker_id != lost:
@@ -368,7 +370,7 @@
             self.break_gang(job, lost, now + 1.0)
         self.assertIs(self.state(job), JobState.FAILED)
 
-    def test_a_machine_that_crashes_again_and_again_tells_little_of_the_task_there(self) -> None:
+    def test_repeated_crashes_of_one_machine_are_weak_evidence(self) -> None:
         self.workers(racks=1, each=1)
         job = self.add(step(1, 1))
         for time in range(3):
@@ -392,20 +394,20 @@
 
 
 class IsolationTest(CrashCase):
-    def neighbours(self, job: str) -> set[str]:
+    def other_jobs(self, job: str) -> set[str]:
         runs = self.cluster_state.workers[self.run_of(job).worker_id].runs
         return {name.job_id for name, _ in runs if name.job_id != job}
 
-    def test_a_suspect_gets_an_empty_worker_that_nothing_joins(self) -> None:
+    def test_a_suspect_runs_alone_on_an_empty_worker(self) -> None:
         self.workers(racks=1, each=2)
         (job,) = self.suspects(1)
         self.plan(PAUSE_S)
         others = self.add(step(20, 1))
         self.plan(PAUSE_S + 0.1)
-        self.assertEqual(self.neighbours(job), set())
+        self.assertEqual(self.other_jobs(job), set())
         self.assertEqual(self.cluster_state.jobs[others].state, JobState.RUNNING)
 
-    def test_its_worker_is_open_again_once_it_has_outlived_the_crash(self) -> None:
+    def test_its_worker_reopens_once_the_run_has_survived_long_enough(self) -> None:
         self.workers(racks=1, each=1)
         (job,) = self.suspects(1)
         self.plan(PAUSE_S)
@@ -413,10 +415,10 @@
         self.plan(PAUSE_S + 0.1)
         self.assertIsNone(self.task(other).run)
         self.plan(PAUSE_S + 20.0)
-        self.assertEqual(self.neighbours(job), {other})
+        self.assertEqual(self.other_jobs(job), {other})
         self.assertFalse(self.run_of(job).isolated)
 
-    def test_an_end_of_it_opens_its_worker(self) -> None:
+    def test_its_worker_reopens_when_the_run_ends(self) -> None:
         self.workers(racks=1, each=1)
         (job,) = self.suspects(1)
         self.plan(PAUSE_S)
@@ -425,14 +427,14 @@
         self.plan(PAUSE_S + 0.3)
         self.assertIsNotNone(self.task(other).run)
 
-    def alone(self, jobs: list[str]) -> int:
-        """So many of some jobs run alone, each on a worker of its own."""
+    def count_isolated(self, jobs: list[str]) -> int:
+        """Check that all started jobs run alone, each on its own worker; returns their number."""
         started = [job for job in jobs if self.task(job).run is not None]
         self.assertEqual(len({self.run_of(job).worker_id for job in started}), len(started))
-        self.assertEqual({name for job in started for name in self.neighbours(job)}, set())
+        self.assertEqual({name for job in started for name in self.other_jobs(job)}, set())
         return len(started)
 
-    def test_a_share_of_the_pool_serves_suspects_at_a_time(self) -> None:
+    def test_suspects_use_a_share_of_the_pool(self) -> None:
         self.workers(racks=2, each=ISOLATION_SHARE)
         jobs = self.suspects(8)
         for job in jobs:
@@ -441,22 +443,22 @@
             worker.reserved = worker.record.capacity
             worker.used = worker.record.capacity
         self.plan(SOON_S)
-        self.assertEqual(self.alone(jobs), 2)
+        self.assertEqual(self.count_isolated(jobs), 2)
 
-    def test_a_larger_one_does_while_most_of_the_pool_is_free(self) -> None:
+    def test_suspects_use_a_larger_share_of_an_idle_pool(self) -> None:
         self.workers(racks=2, each=ISOLATION_SHARE)
         jobs = self.suspects(8)
         self.plan(SOON_S)
-        self.assertEqual(self.alone(jobs), 6)
+        self.assertEqual(self.count_isolated(jobs), 6)
 
-    def test_none_of_many_suspects_stands_beside_a_free_pool(self) -> None:
+    def test_none_of_many_suspects_stalls_in_a_free_pool(self) -> None:
         self.workers(racks=2, each=ISOLATION_SHARE)
         jobs = self.suspects(8)
         for tenth in range(30):
             self.plan(PAUSE_S + tenth / 10)
         self.assertTrue(all(self.task(job).run is not None for job in jobs))
 
-    def test_where_no_worker_is_empty_the_one_is_kept_that_soonest_will_be(self) -> None:
+    def test_the_worker_that_is_empty_soonest_is_kept(self) -> None:
         self.workers(racks=1, each=3)
         (job,) = self.suspects(1)
         filling = [self.add(step(1, 4), priority=BULK) for _ in range(6)]
@@ -467,8 +469,8 @@
         self.plan(PAUSE_S)
         self.assertTrue(any(each.isolating for each in self.cluster_state.workers.values()))
 
-    def kept(self, worker_id: str) -> None:
-        """Suspects wait while all others are busy, and a worker is kept for them."""
+    def keep_worker(self, worker_id: str) -> None:
+        """Keep a worker for suspects while all other workers are busy."""
         for worker in self.cluster_state.workers.values():
             if worker.worker_id != worker_id:
                 worker.busy_s = 100.0
@@ -482,24 +484,24 @@
     def test_a_worker_that_is_kept_is_used(self) -> None:
         self.workers(racks=1, each=3)
         (job,) = self.suspects(1)
-        self.kept("w13")
+        self.keep_worker("w13")
         self.assertEqual(self.run_of(job).worker_id, "w13")
 
-    def test_it_serves_no_other_service(self) -> None:
+    def test_a_kept_worker_of_another_service_is_not_used(self) -> None:
         self.workers(racks=1, each=3)
         (job,) = self.suspects(1)
         self.cluster_state.set_worker(replace(record("other", rack="r9"), service="another"), 0.0)
-        self.kept("other")
+        self.keep_worker("other")
         self.assertIsNone(self.task(job).run)
 
-    def test_where_a_start_needs_leave_none_is_kept(self) -> None:
+    def test_no_worker_is_kept_if_starts_need_approval(self) -> None:
         self.workers(racks=1, each=3)
         (job,) = self.suspects(1)
         self.cluster_state.configure({}, {}, ["q"])
-        self.kept("w13")
+        self.keep_worker("w13")
         self.assertIsNone(self.task(job).run)
 
-    def test_once_two_tasks_of_a_step_are_likely_all_of_it_is_started_alone(self) -> None:
+    def test_once_two_tasks_of_a_step_are_likely_culprits_all_its_tasks_are_suspects(self) -> None:
         self.workers(racks=2, each=8)
         job = self.add(step(12, 8))
         self.plan(0.0)
@@ -517,7 +519,7 @@
         self.assertIsNone(self.known(job))
         self.assertIs(self.state(job), JobState.COMPLETED)
 
-    def test_a_run_is_told_with_what_died_beside_it(self) -> None:
+    def test_a_finding_counts_the_other_lost_runs(self) -> None:
         self.workers(racks=1, each=2)
         jobs = [self.add(step(1, 2)) for _ in range(3)]
         self.plan(0.0)
@@ -528,7 +530,7 @@
 
 
 class RecordTest(unittest.TestCase):
-    """Another writer may have got at what is kept of crashes."""
+    """Validation of stored crash records, which another writer may have changed."""
 
     def accepted(self) -> AcceptedJob:
         return AcceptedJob(
@@ -546,10 +548,10 @@
         tasks = StepRecord([TaskRecord(), TaskRecord()], crashes=crashes)
         check_progress(self.accepted(), {0: OccurrenceRecord(OccurrenceStatus.OPEN, [tasks])})
 
-    def test_what_holds_together_is_read(self) -> None:
+    def test_valid_records_are_accepted(self) -> None:
         self.check({1: CrashRecord(2, 1.0, 0.5, 1)})
 
-    def test_what_does_not_is_refused(self) -> None:
+    def test_invalid_records_are_rejected(self) -> None:
         sound = CrashRecord(2, 1.0, 0.5)
         for bad in (
             {2: sound},
@@ -564,10 +566,12 @@
                 self.check(bad)
 
 
-class WidthTest(unittest.TestCase):
-    """A crash whose time was known to 27 ms spoke half as strongly as one known to 50 ms."""
+class IntervalWidthTest(unittest.TestCase):
+    """Guards against weaker evidence from a more precise crash time: a crash known to 27 ms once
+    counted half as much as one known to 50 ms.
+    """
 
-    def test_a_crash_that_is_known_more_precisely_speaks_no_less(self) -> None:
+    def test_a_more_precise_crash_time_is_no_weaker_evidence(self) -> None:
         before = CrashRecord(2, 0.3, 0.78)
         charged = [
             CrashOdds().update(
@@ -580,12 +584,13 @@
 
 
 class RandomCrashesTest(CrashCase):
-    """Seen on a simulated day: a judgement failed with an overflow, and a run was waited for on a
-    worker that was gone for as long as the day lasted. What a crash said for a task had been taken
-    back from a record that had begun anew meanwhile.
+    """Guards against an overflow of the odds, which was seen on a simulated day.
+
+    Exonerating evidence was reverted from a record that had been reset meanwhile. The evaluation
+    failed with an overflow, and the leader waited for a run on a lost worker to the end of the day.
     """
 
-    def test_what_spoke_for_a_task_is_not_taken_back(self) -> None:
+    def test_exonerating_evidence_is_not_reverted(self) -> None:
         self.workers(racks=2, each=ISOLATION_SHARE)
         old, culprit = self.add(step(1, 4)), self.add(step(1, 4))
         self.plan(0.0)
--- a/tests/test_departure.py
+++ b/tests/test_departure.py
@@ -1,4 +1,4 @@
-"""Workers that leave as they announced: what they still run is over with its lease, not before."""
+"""Workers that leave as announced: their remaining runs end with the lease, not before."""
 
 from __future__ import annotations
 
@@ -19,25 +19,26 @@
 
 A = "00000000000000aa"
 NOTICE_S = 2.0
-LOOKED_S = 1.5
-"""Three looks of 0.3 s and more."""
+POLLED_S = 1.5
+"""Time for three polls, one every 0.3 s, and a margin."""
 WAIT_S = 2.0
-"""A look waits so long for an end, and the last lease is up to so much older than its answer; the
-stand-in answers one that waits already, and the next one grants a last lease."""
+"""A long poll waits this long for the end of a run, and the last lease may be this much older than
+the answer to it. The stand-in answers a poll that is already waiting, and the next poll grants a
+last lease."""
 READING_S = 1.0
 
 
 class UnlistedTest(SessionCase):
-    """A worker that announced its end removes its record."""
+    """A draining worker removes its record."""
 
     def run_on_leaving(self, scene: Scene) -> None:
-        """The task runs on a worker that leaves in two seconds."""
+        """Start the task on a worker that leaves in two seconds."""
         scene.assign()
         scene.is_there()
         leaving = record("w11", draining=True, remaining_ms=2000)
         scene.cluster_state.set_worker(leaving, asyncio.get_running_loop().time())
 
-    def test_its_work_waits_again_once_its_lease_has_lapsed(self) -> None:
+    def test_its_task_waits_again_once_the_lease_has_expired(self) -> None:
         async def body(scene: Scene) -> None:
             self.run_on_leaving(scene)
             await asyncio.sleep(NOTICE_S)
@@ -50,7 +51,7 @@
 
         self.play(body)
 
-    def test_one_that_answers_keeps_its_work(self) -> None:
+    def test_a_worker_that_answers_keeps_its_run(self) -> None:
         async def body(scene: Scene) -> None:
             self.run_on_leaving(scene)
             await asyncio.sleep(NOTICE_S)
@@ -60,13 +61,13 @@
 
         self.play(body)
 
-    def test_what_it_still_tells_of_counts(self) -> None:
+    def test_its_reports_still_count(self) -> None:
         async def body(scene: Scene) -> None:
             self.run_on_leaving(scene)
             await asyncio.sleep(NOTICE_S)
             scene.orders.running = (RunningTask(TASK, 1, "", 90),)
             scene.cluster_state.unlist_worker("w11")
-            await asyncio.sleep(LOOKED_S)
+            await asyncio.sleep(POLLED_S)
             self.assertEqual(
                 scene.session.worker.runs[next(iter(scene.session.worker.runs))].percent, 90
             )
@@ -74,13 +75,14 @@
         self.play(body)
 
 
-class PoolDepartureTest(PoolTest):
-    def test_work_that_left_with_its_worker_starts_again_when_its_lease_has_lapsed(self) -> None:
-        """The stop that was to save its work did not reach it any more.
+class PoolDrainTest(PoolTest):
+    def test_a_task_lost_with_its_worker_starts_again_when_the_lease_has_expired(self) -> None:
+        """The stop that should have saved the run's progress no longer reached the worker.
 
-        To start it at once, since its worker had announced its end, removed its record and answered
-        none of three looks, cannot be told from a worker that serves on, and was worth nothing: on
-        five days of troubles with 41 VMs and 176 workers 0.708 of what is owed with and without it.
+        The task must not start again at once, even though the worker had announced its end, removed
+        its record and answered none of three polls: a worker that is still serving looks the same.
+        An earlier start had no benefit either: on five days with faults, 41 VMs and 176 workers,
+        0.708 of the owed work was done both with and without it.
         """
 
         async def body(cluster: PoolCluster) -> None:
--- a/tests/test_diagnosis.py
+++ b/tests/test_diagnosis.py
@@ -1,4 +1,4 @@
-"""Why jobs wait: each reason brought about on a board, and told."""
+"""The reasons for which jobs wait: each one is produced in a cluster state and diagnosed."""
 
 from __future__ import annotations
 
@@ -55,13 +55,13 @@
         super().setUp()
         self.diagnosis = Diagnosis(self.cluster_state)
 
-    def look(self, now: float = 0.0, **more: object) -> dict[str, Wait]:
-        looked = self.diagnosis.scan(circumstances(now, **more))  # type: ignore[arg-type]
-        self.left_out = looked.left_out
-        return {wait.job_id: wait for wait in looked.waits}
+    def scan(self, now: float = 0.0, **more: object) -> dict[str, Wait]:
+        report = self.diagnosis.scan(circumstances(now, **more))  # type: ignore[arg-type]
+        self.left_out = report.left_out
+        return {wait.job_id: wait for wait in report.waits}
 
     def why(self, job_id: str, now: float = 0.0, **more: object) -> WaitReason:
-        return self.look(now, **more)[job_id].reason
+        return self.scan(now, **more)[job_id].reason
 
     def add_timed(self, due_s: float) -> str:
         self.jobs += 1
@@ -83,26 +83,26 @@
         return job_id
 
     def plan_unconfirmed(self, now: float = 0.0) -> None:
-        """A round whose starts no worker has answered yet."""
+        """Run a scheduling round whose starts are not confirmed."""
         self.cluster_state.plan(now, 0.0)
         self.cluster_state.take_changes()
 
     def fail(self, name: str, now: float) -> None:
-        """A run fails on a worker, early: the worker is blamed."""
+        """Record an early failure that is attributed to a worker."""
         self.cluster_state.workers[name].record_failure(now, early=True)
 
 
 class RunsTest(DiagnosisCase):
-    def test_a_job_of_which_something_runs_does_not_wait(self) -> None:
+    def test_a_job_with_a_running_task_does_not_wait(self) -> None:
         self.workers()
         self.add(step(40, 1))
         self.plan()
-        self.assertEqual(self.look(), {})
+        self.assertEqual(self.scan(), {})
 
     def test_a_job_that_is_over_does_not_wait(self) -> None:
         job = self.add(step(1))
         self.cluster_state.cancel(job)
-        self.assertEqual(self.look(), {})
+        self.assertEqual(self.scan(), {})
 
     def test_a_start_that_is_not_in_the_store(self) -> None:
         self.workers()
@@ -114,7 +114,7 @@
         self.workers()
         job = self.add(step(2, gang=True))
         self.plan_unconfirmed()
-        wait = self.look()[job]
+        wait = self.scan()[job]
         self.assertEqual((wait.reason, wait.tasks), (WaitReason.STARTING, 2))
 
     def test_a_run_that_is_being_stopped(self) -> None:
@@ -127,48 +127,48 @@
         self.assertTrue(other.stopping)
         self.assertEqual(self.why(job, 5.0), WaitReason.STOPPING)
 
-    def test_a_run_on_a_silent_worker_waits_for_its_lease(self) -> None:
+    def test_a_run_on_an_unreachable_worker_waits_for_its_lease(self) -> None:
         self.workers()
         job = self.add(step(1))
         [start] = self.plan().starts
         self.cluster_state.workers[start.run.worker_id].reachable = False
-        wait = self.look(1.0)[job]
+        wait = self.scan(1.0)[job]
         self.assertEqual((wait.reason, wait.until_s, wait.tasks), (WaitReason.LEASE, LEASE_S, 1))
         self.assertTrue(wait.could_start)
 
-    def test_a_gang_on_a_silent_worker_waits_for_its_lease_as_a_whole(self) -> None:
+    def test_a_gang_on_an_unreachable_worker_waits_for_its_lease_as_a_whole(self) -> None:
         self.workers(each=4)
         job = self.add(step(2, 8, gang=True))
         starts = self.plan().starts
         for start in starts:
             self.cluster_state.workers[start.run.worker_id].reachable = False
-        self.assertEqual(self.look(1.0)[job].tasks, 2)
+        self.assertEqual(self.scan(1.0)[job].tasks, 2)
 
     def test_a_job_that_is_not_due(self) -> None:
         job = self.add_timed(DUE_S)
-        wait = self.look(10.0, wall_ms=15_000.0)[job]
+        wait = self.scan(10.0, wall_ms=15_000.0)[job]
         self.assertEqual((wait.reason, wait.tasks), (WaitReason.NOT_DUE, 2))
         self.assertEqual(wait.until_s, 10.0 + DUE_S - 15.0)
         self.assertFalse(wait.could_start)
 
-    def test_tasks_that_wait_for_an_earlier_step_are_counted_apart(self) -> None:
+    def test_tasks_that_wait_for_an_earlier_step_are_counted_separately(self) -> None:
         job = self.add(step(3), step(4, after=(0,)), step(5, after=(1,)))
-        wait = self.look()[job]
+        wait = self.scan()[job]
         self.assertEqual((wait.tasks, wait.later_tasks), (3, 9))
 
-    def test_the_wait_begins_with_the_look_that_first_finds_it(self) -> None:
+    def test_the_wait_begins_with_the_scan_that_first_finds_it(self) -> None:
         job = self.add(step(1, 9))
         for now in (1.0, 2.0, 3.0):
-            self.assertEqual(self.look(now)[job].since_s, 1.0)
+            self.assertEqual(self.scan(now)[job].since_s, 1.0)
 
-    def test_a_wait_that_comes_back_begins_anew(self) -> None:
+    def test_a_new_wait_has_a_new_start_time(self) -> None:
         self.workers()
         job = self.add(step(1))
-        self.look(1.0)
+        self.scan(1.0)
         [start] = self.plan(1.5).starts
-        self.look(2.0)
+        self.scan(2.0)
         self.cluster_state.workers[start.run.worker_id].reachable = False
-        self.assertEqual(self.look(3.0)[job].since_s, 3.0)
+        self.assertEqual(self.scan(3.0)[job].since_s, 3.0)
 
 
 class RoundTest(DiagnosisCase):
@@ -195,13 +195,13 @@
         self.assertEqual(self.why(job, 5.0, planned_s=4.0), WaitReason.NEXT_ROUND)
 
 
-class RoomTest(DiagnosisCase):
+class CapacityTest(DiagnosisCase):
     def test_no_room(self) -> None:
         self.workers()
         self.add(step(2, 8))
         job = self.add(step(3, 1))
         self.plan()
-        wait = self.look()[job]
+        wait = self.scan()[job]
         self.assertEqual((wait.reason, wait.tasks), (WaitReason.NO_ROOM, 3))
 
     def test_wider_than_the_pool(self) -> None:
@@ -252,14 +252,14 @@
         self.assertEqual(self.why(job), WaitReason.LEAVING)
 
 
-class HeldBackTest(DiagnosisCase):
+class ConstraintTest(DiagnosisCase):
     def test_quarantine_and_when_enough_of_it_ends(self) -> None:
         self.workers(each=3)
         for name, at in (("w11", 0.0), ("w12", 0.5), ("w13", 0.7)):
             self.fail(name, at)
         job = self.add(step(2, 8), priority=BULK)
         self.assertEqual(self.plan(1.0).starts, [])
-        wait = self.look(1.0)[job]
+        wait = self.scan(1.0)[job]
         self.assertEqual((wait.reason, wait.until_s), (WaitReason.QUARANTINE, 2.0))
         self.assertTrue(wait.could_start)
 
@@ -269,11 +269,11 @@
             self.fail(name, at)
             self.cluster_state.workers[name].probation_s = 0.0
         job = self.add(step(2, 8, gang=True), priority=BULK)
-        wait = self.look(1.0)[job]
+        wait = self.scan(1.0)[job]
         self.assertEqual((wait.reason, wait.until_s), (WaitReason.QUARANTINE, 2.5))
 
     def test_probation_keeps_gangs_and_urgent_work_out_for_longer(self) -> None:
-        """In a pool that is mostly free until patience ends, in one that is in use to its end."""
+        """In a mostly free pool up to the wait limit, in a busy one to the end of the probation."""
         for accelerators, until_s in ((1, 5.0 + IDLE_POOL_WAIT_S), (8, 16.0)):
             with self.subTest(accelerators=accelerators):
                 self.setUp()
@@ -284,7 +284,7 @@
                 bulk = self.add(step(1, accelerators), priority=BULK)
                 starts = self.plan(5.0).starts
                 self.assertEqual([start.run.task.name.job_id for start in starts], [bulk])
-                wait = self.look(5.0)[urgent]
+                wait = self.scan(5.0)[urgent]
                 self.assertEqual((wait.reason, wait.until_s), (WaitReason.PROBATION, until_s))
 
     def test_one_task_at_a_time_after_a_failure(self) -> None:
@@ -297,7 +297,7 @@
         self.assertEqual(self.why(job, PATIENT), WaitReason.TRIAL)
 
     def test_workers_that_are_kept_for_a_task_that_may_crash_them(self) -> None:
-        """It was told that the next round would place it, for as long as that task ran."""
+        """Guards against the reason ``next_round``, which was given while that task ran."""
         self.workers(each=1)
         self.cluster_state.workers["w11"].isolating = True
         job = self.add(step(1, 1))
@@ -310,7 +310,7 @@
         self.cluster_state.workers["w12"].suspected = True
         job = self.add(step(1))
         self.assertEqual(self.plan().starts, [])
-        wait = self.look()[job]
+        wait = self.scan()[job]
         self.assertEqual((wait.reason, wait.could_start), (WaitReason.SILENT, False))
 
     def test_near_its_data(self) -> None:
@@ -319,7 +319,7 @@
         self.plan()
         job = self.add(step(1, 1, data_rack="r2"), priority=NORMAL)
         self.assertEqual(self.plan(1.0).starts, [])
-        wait = self.look(1.0)[job]
+        wait = self.scan(1.0)[job]
         self.assertEqual(
             (wait.reason, wait.until_s), (WaitReason.NEAR_DATA, 1.0 + NEAR_DATA_WAIT_S)
         )
@@ -355,11 +355,11 @@
         state.advice.record_answer(["w11"], [Leave("w11", "ticket", 10.0)], 0.0)
         self.assertEqual(self.why(job), WaitReason.NEXT_ROUND)
 
-    def test_a_diagnosis_asks_no_adviser(self) -> None:
+    def test_a_diagnosis_sends_no_request_to_the_adviser(self) -> None:
         self.workers()
         self.cluster_state.configure({}, {}, advised=("q",))
         self.add(step(1))
-        self.look()
+        self.scan()
         self.assertFalse(self.cluster_state.has_changes)
 
     def test_workers_that_are_kept_for_a_gang(self) -> None:
@@ -373,7 +373,7 @@
         self.assertEqual(self.why(gang, PATIENT), WaitReason.NO_ROOM)
         self.assertEqual(self.why(bulk, PATIENT), WaitReason.BACKFILL)
 
-    def test_room_that_is_made_and_room_that_is_reserved(self) -> None:
+    def test_preemption_and_reserved_resources(self) -> None:
         self.workers(each=2)
         self.add(step(1, 8), priority=BULK)
         self.add(step(1, 4), priority=BULK)
@@ -383,10 +383,10 @@
         self.assertTrue(self.plan(PATIENT).stops)
         bulk = self.add(step(1, 1), priority=BULK)
         self.assertEqual(self.plan(PATIENT).starts, [])
-        looked = self.look(PATIENT)
-        self.assertEqual(looked[urgent].reason, WaitReason.MAKING_ROOM)
-        self.assertEqual(looked[urgent].until_s, PATIENT + RESERVATION_TIMEOUT_S)
-        self.assertEqual(looked[bulk].reason, WaitReason.RESERVED)
+        waits_by_job = self.scan(PATIENT)
+        self.assertEqual(waits_by_job[urgent].reason, WaitReason.MAKING_ROOM)
+        self.assertEqual(waits_by_job[urgent].until_s, PATIENT + RESERVATION_TIMEOUT_S)
+        self.assertEqual(waits_by_job[bulk].reason, WaitReason.RESERVED)
 
     def test_the_headroom(self) -> None:
         self.workers(each=2)
@@ -394,15 +394,15 @@
         self.plan()
         job = self.add(step(1, 8), priority=BULK)
         self.assertEqual(self.plan(1.0).starts, [])
-        wait = self.look(1.0)[job]
+        wait = self.scan(1.0)[job]
         self.assertEqual((wait.reason, wait.until_s), (WaitReason.HEADROOM, 1.0 + HEADROOM_WAIT_S))
         self.assertFalse(wait.could_start)
 
 
-class BesideRoomTest(DiagnosisCase):
-    """Which waits count as standing still beside a free pool."""
+class StallTest(DiagnosisCase):
+    """Which waits count as a stall in a free pool."""
 
-    def test_a_planted_standstill_is_found_once(self) -> None:
+    def test_a_provoked_stall_is_found_once(self) -> None:
         self.workers(racks=2, each=4)
         for worker in self.cluster_state.workers.values():
             worker.quarantine_s = PATIENT
@@ -411,32 +411,32 @@
         found = []
         for number in range(20):
             now = number * 0.5
-            waits = self.look(now).values()
+            waits = self.scan(now).values()
             found += watch.look([wait.job_id for wait in waits if wait.could_start], now)
         self.assertEqual([(each.job_id, each.since_s) for each in found], [(job, 0.0)])
 
-    def test_none_is_found_in_a_pool_that_is_half_used(self) -> None:
+    def test_no_stall_is_found_in_a_half_used_pool(self) -> None:
         self.workers(each=2)
         self.add(step(1, 8))
         self.plan()
         self.add(step(1, 1), priority=BULK)
-        self.assertFalse(any(wait.could_start for wait in self.look(STILL_S).values()))
+        self.assertFalse(any(wait.could_start for wait in self.scan(STILL_S).values()))
 
-    def test_a_gang_of_one_rack_has_room_where_whole_gangs_fit(self) -> None:
+    def test_a_gang_of_one_rack_could_start_where_whole_gangs_fit(self) -> None:
         self.workers(racks=2, each=3)
         for worker in self.cluster_state.workers.values():
             worker.quarantine_s = PATIENT
         fits_twice = self.add(step(3, 8, gang=True, same_rack=True), priority=BULK)
-        looked = self.look()
-        self.assertTrue(looked[fits_twice].could_start)
+        waits_by_job = self.scan()
+        self.assertTrue(waits_by_job[fits_twice].could_start)
         self.cluster_state.unlist_worker("w21")
-        self.assertFalse(self.look()[fits_twice].could_start)
+        self.assertFalse(self.scan()[fits_twice].could_start)
 
-    def test_room_in_an_evacuated_hall_is_none(self) -> None:
+    def test_resources_in_an_evacuated_hall_do_not_count(self) -> None:
         self.workers(each=4)
         self.cluster_state.evacuate(frozenset({"hall"}))
         job = self.add(step(1))
-        self.assertFalse(self.look()[job].could_start)
+        self.assertFalse(self.scan()[job].could_start)
 
 
 class BoundsTest(DiagnosisCase):
@@ -445,36 +445,38 @@
         setattr(diagnosis, name, value)
         self.addCleanup(setattr, diagnosis, name, before)
 
-    def test_the_jobs_that_have_waited_longest_are_looked_at(self) -> None:
+    def test_the_jobs_that_have_waited_longest_are_examined(self) -> None:
         self.bounded("MAX_JOBS_PER_SCAN", 2)
         first = [self.add(step(1, 9)) for _ in range(2)]
-        self.look(0.0)
+        self.scan(0.0)
         self.add(step(1, 9))
-        looked = self.look(1.0)
-        self.assertEqual(sorted(looked), first)
-        self.assertEqual({looked[job].reason for job in first}, {WaitReason.TOO_WIDE})
+        waits_by_job = self.scan(1.0)
+        self.assertEqual(sorted(waits_by_job), first)
+        self.assertEqual({waits_by_job[job].reason for job in first}, {WaitReason.TOO_WIDE})
         self.assertEqual(self.left_out, 1)
 
-    def test_as_many_workers_are_looked_at_as_may_be_and_kinds_once(self) -> None:
+    def test_examined_workers_are_limited_and_kinds_cached(self) -> None:
         self.workers(each=4)
         self.bounded("MAX_WORKERS_PER_SCAN", 4)
         one = self.add(step(1, 9))
         same = self.add(step(7, 9))
         other = self.add(step(1, 10))
-        looked = self.look()
-        self.assertEqual(looked[one].reason, WaitReason.TOO_WIDE)
-        self.assertEqual(looked[same].reason, WaitReason.TOO_WIDE)
-        self.assertEqual((looked[other].reason, looked[other].tasks), (WaitReason.LEFT_OUT, 1))
+        waits_by_job = self.scan()
+        self.assertEqual(waits_by_job[one].reason, WaitReason.TOO_WIDE)
+        self.assertEqual(waits_by_job[same].reason, WaitReason.TOO_WIDE)
+        self.assertEqual(
+            (waits_by_job[other].reason, waits_by_job[other].tasks), (WaitReason.LEFT_OUT, 1)
+        )
 
 
-Look = Callable[[ClusterState, float, bool], None]
-"""Told of a board, the time, and whether a round was just decided."""
+ScanCallback = Callable[[ClusterState, float, bool], None]
+"""Called with a cluster state, the time, and whether a round was just decided."""
 
 
 class DecisionsTest(ClusterCase):
-    """A diagnosis changes no decision, and what it calls fitting is placed."""
+    """The diagnosis changes no decision, and steps that fit according to it are placed."""
 
-    def play(self, look: Look, seed: int) -> list[str]:
+    def play(self, callback: ScanCallback, seed: int) -> list[str]:
         self.setUp()
         rng = random.Random(seed)
         decided = []
@@ -485,11 +487,11 @@
             now = number * 0.25
             for _ in range(rng.choice((0, 1, 2))):
                 self.add(_some_step(rng), priority=rng.choice((URGENT, NORMAL, BULK)))
-            look(self.cluster_state, now, False)
+            callback(self.cluster_state, now, False)
             changes = self.plan(now)
             decided += [f"{s.run.task.name} {s.run.worker_id}" for s in changes.starts]
             decided += [f"{s.task} {s.worker_id} {s.reason}" for s in changes.stops]
-            look(self.cluster_state, now, True)
+            callback(self.cluster_state, now, True)
             self.some_ends(rng, now)
         return decided
 
@@ -503,27 +505,27 @@
                     end = EndedTask(1, str(key[0]), run.number, how, "")
                     self.cluster_state.run_ended(worker.worker_id, end, now + 0.1)
 
-    def test_the_same_is_decided_with_and_without(self) -> None:
+    def test_decisions_are_the_same_with_and_without_a_diagnosis(self) -> None:
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                looks = Looks()
+                scans = Scans()
                 without = self.play(lambda cluster_state, now, planned: None, seed)
-                self.assertEqual(self.play(looks.look, seed), without)
-                self.assertGreater(len(looks.reasons), 8)
+                self.assertEqual(self.play(scans.scan, seed), without)
+                self.assertGreater(len(scans.reasons), 8)
 
-    def test_what_fits_is_not_left_by_round_after_round(self) -> None:
-        """A round may open a worker after it has passed others by; the next one uses it."""
+    def test_steps_that_fit_are_placed_within_a_few_rounds(self) -> None:
+        """A round may open a worker after it has skipped other steps; the next round uses it."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
-                looks = Looks()
-                self.play(looks.look, seed)
-                self.assertLess(looks.most_left, 3)
+                scans = Scans()
+                self.play(scans.scan, seed)
+                self.assertLess(scans.most_left, 3)
 
 
-class Looks:
-    """Looks at a board, and counts rounds that left what fits.
+class Scans:
+    """Scans a cluster state, and counts the rounds that did not place a job that fits.
 
-    :ivar most_left: so many rounds one after another left the same job.
+    :ivar most_left: the largest number of consecutive rounds that did not place the same job.
     """
 
     def __init__(self) -> None:
@@ -532,7 +534,7 @@
         self._diagnosis: Diagnosis | None = None
         self._left: dict[str, int] = {}
 
-    def look(self, cluster_state: ClusterState, now: float, planned: bool) -> None:
+    def scan(self, cluster_state: ClusterState, now: float, planned: bool) -> None:
         if self._diagnosis is None:
             self._diagnosis = Diagnosis(cluster_state)
         waits = self._diagnosis.scan(circumstances(now)).waits
@@ -558,12 +560,12 @@
 
 
 class ReasonTest(unittest.TestCase):
-    def test_each_reason_tells_what_is_waited_for_and_what_ends_it(self) -> None:
+    def test_each_reason_has_its_two_sentences(self) -> None:
         for reason in WaitReason:
             self.assertTrue(reason.awaited)
             self.assertTrue(reason.ends)
 
-    def test_the_operators_page_tells_of_each_as_the_table_does(self) -> None:
+    def test_the_operators_page_lists_each_reason(self) -> None:
         page = OPERATIONS.read_text()
         for reason in WaitReason:
             self.assertIn(f"| `{reason}` | {reason.awaited} | {reason.ends} |", page)
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -1,4 +1,4 @@
-"""Data halls that operators evacuate, and workers that are cold once they come back."""
+"""Evacuation of data halls, and workers that are cold after they return."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 A = "00000000000000aa"
 B = "00000000000000bb"
 NEAR, FAR = "hall-1", "hall-2"
-HEARD_S = 0.2
-"""A watch tells of a change at once, in 4 ms; a round of decisions follows."""
+UPDATE_S = 0.2
+"""A watch reports a change within 4 ms, and a scheduling round follows."""
 
 
-class BoardEvacuationTest(ClusterCase):
+class ClusterEvacuationTest(ClusterCase):
     def setUp(self) -> None:
         super().setUp()
         for hall, rack in ((NEAR, "r1"), (FAR, "r2")):
@@ -32,13 +32,13 @@
                 self.cluster_state.set_worker(made, 0.0)
 
     def halls(self, now: float = 0.0) -> set[str]:
-        """The halls in which something is started now."""
+        """The data halls in which tasks start now."""
         starts = self.plan(now).starts
         return {
             self.cluster_state.workers[start.run.worker_id].record.data_hall for start in starts
         }
 
-    def test_nothing_starts_there_from_then_on_and_what_runs_goes_on(self) -> None:
+    def test_nothing_starts_there_and_present_runs_continue(self) -> None:
         running = self.add(step(32, 1))
         self.assertEqual(self.halls(), {NEAR, FAR})
         self.cluster_state.evacuate(frozenset({FAR}))
@@ -47,25 +47,25 @@
         self.cluster_state.evacuate(frozenset())
         self.cluster_state.cancel(running)
 
-    def test_work_goes_to_what_is_left(self) -> None:
+    def test_work_goes_to_the_remaining_halls(self) -> None:
         self.cluster_state.evacuate(frozenset({FAR}))
         self.add(step(20, 1))
         self.assertEqual(self.halls(), {NEAR})
 
-    def test_all_halls_are_evacuated_and_one_is_taken_back(self) -> None:
+    def test_all_halls_are_evacuated_and_one_is_reopened(self) -> None:
         self.cluster_state.evacuate(frozenset({NEAR, FAR}))
         self.add(step(2, 8, gang=True))
         self.assertEqual(self.halls(), set())
         self.cluster_state.evacuate(frozenset({NEAR}))
         self.assertEqual(self.halls(1.0), {FAR})
 
-    def test_a_worker_that_comes_meanwhile_gets_nothing(self) -> None:
+    def test_a_new_worker_in_an_evacuated_hall_gets_no_work(self) -> None:
         self.cluster_state.evacuate(frozenset({NEAR, FAR, "hall-3"}))
         self.cluster_state.set_worker(record("new", rack="r3", hall="hall-3"), 1.0)
         self.add(step(1, 1))
         self.assertEqual(self.halls(1.0), set())
 
-    def test_room_that_is_being_made_there_is_given_up_and_made_elsewhere(self) -> None:
+    def test_a_reservation_there_is_released_and_made_elsewhere(self) -> None:
         self.add(step(32, 1), priority=BULK)
         self.plan(PATIENT)
         self.add(step(2, 8, gang=True))
@@ -79,8 +79,10 @@
         held = [w for w in self.cluster_state.workers.values() if w.reserved.accelerators]
         self.assertEqual({w.record.data_hall for w in held}, second)
 
-    def test_the_headroom_is_a_share_of_what_is_left(self) -> None:
-        """Of two workers one may be opened: a quarter of six would have to stay empty."""
+    def test_the_headroom_is_a_share_of_the_remaining_workers(self) -> None:
+        """Of the two remaining workers one may be used: a quarter of two has to stay empty, not a
+        quarter of all six.
+        """
         for number in (1, 2):
             self.cluster_state.set_worker(record(f"r3-{number}", rack="r3", hall="hall-3"), 0.0)
         self.cluster_state.evacuate(frozenset({NEAR}))
@@ -92,7 +94,7 @@
             self.assertEqual(len(self.plan(1.0).starts), starts)
 
     def test_nothing_waits_for_the_headroom_while_most_of_the_service_is_idle(self) -> None:
-        """Half of the four workers that are left is in use, a third of all six."""
+        """Half of the four remaining workers are in use, but only a third of all six."""
         for name in ("r1-3", "r1-4"):
             self.cluster_state.set_worker(record(name, rack="r1", hall=NEAR), 0.0)
         self.cluster_state.evacuate(frozenset({FAR}))
@@ -102,7 +104,7 @@
         self.assertEqual(self.plan(1.0).starts, [])
         self.assertEqual(len(self.plan(1.5 + IDLE_POOL_WAIT_S).starts), 1)
 
-    def test_the_headroom_stays_shut_while_half_of_the_whole_service_is_in_use(self) -> None:
+    def test_the_headroom_is_kept_while_half_of_the_whole_service_is_in_use(self) -> None:
         for name in ("r1-3", "r1-4"):
             self.cluster_state.set_worker(record(name, rack="r1", hall=NEAR), 0.0)
         self.cluster_state.evacuate(frozenset({NEAR}))
@@ -115,7 +117,7 @@
         self.assertEqual(self.plan(2.0).starts, [])
         self.assertEqual(self.plan(2.5 + IDLE_POOL_WAIT_S).starts, [])
 
-    def test_a_gang_of_one_rack_uses_a_rack_that_is_left(self) -> None:
+    def test_a_gang_of_one_rack_uses_a_remaining_rack(self) -> None:
         self.cluster_state.evacuate(frozenset({FAR}))
         self.add(step(2, 8, gang=True, same_rack=True))
         self.assertEqual(self.halls(), {NEAR})
@@ -130,13 +132,13 @@
         self.add(step(1, 8))
         self.assertEqual(len(self.plan(1.1).starts), 1)
 
-    def test_a_record_that_is_read_again_makes_nobody_cold_again(self) -> None:
+    def test_a_record_that_is_read_again_makes_no_worker_cold(self) -> None:
         cold = record("r1-1", rack="r1", hall=NEAR, cold_ms=4000)
         self.cluster_state.set_worker(cold, 1.0)
         worker = self.cluster_state.set_worker(cold, 4.0)
         self.assertFalse(worker.is_cold(5.1))
 
-    def test_no_run_is_called_stuck_while_its_worker_is_cold(self) -> None:
+    def test_no_run_is_stuck_while_its_worker_is_cold(self) -> None:
         for worker in list(self.cluster_state.workers.values()):
             cold = record(worker.worker_id, rack=worker.record.rack, cold_ms=30_000)
             self.cluster_state.set_worker(cold, 0.0)
@@ -149,7 +151,7 @@
 
 
 class OrderEvacuationTest(SessionCase):
-    def test_a_start_that_was_not_answered_is_stopped_in_place_of_repeated(self) -> None:
+    def test_an_unconfirmed_start_is_stopped_instead_of_repeated(self) -> None:
         async def body(scene: Scene) -> None:
             scene.orders.start_faults = [WorkerUnreachable]
             scene.assign()
@@ -162,7 +164,7 @@
 
         self.play(body)
 
-    def test_a_start_that_has_not_left_yet_never_does(self) -> None:
+    def test_a_start_that_is_not_sent_yet_is_never_sent(self) -> None:
         async def body(scene: Scene) -> None:
             scene.assign()
             scene.cluster_state.evacuate(frozenset({"hall"}))
@@ -175,44 +177,46 @@
 
 class PoolEvacuationTest(PoolTest):
     def starts_in(self, cluster: PoolCluster, hall: str) -> int:
-        """Runs that were begun in a hall."""
+        """The number of runs that were started in a data hall."""
         workers = cluster.floor.workers
         return sum(1 for run in cluster.floor.history if workers[run.worker].data_hall == hall)
 
     def evacuated(self, trouble: Callable[[PoolCluster], Awaitable[None]]) -> None:
-        """Nothing starts in an evacuated hall, whatever else happens; then it does again."""
+        """Check that no task starts in an evacuated data hall during a fault, and that tasks start
+        there again after the evacuation.
+        """
 
         async def body(cluster: PoolCluster) -> None:
             cluster.evacuate(FAR)
             await trouble(cluster)
-            await asyncio.sleep(HEARD_S)
+            await asyncio.sleep(UPDATE_S)
             for number in range(4):
                 await cluster.submit(f"{number:016x}", job(8, work_s=0.5), queue="urgent")
                 await asyncio.sleep(0.5)
             await cluster.until_state(f"{3:016x}", JobState.COMPLETED)
             self.assertEqual(self.starts_in(cluster, FAR), 0)
             cluster.take_back(FAR)
-            await asyncio.sleep(HEARD_S)
+            await asyncio.sleep(UPDATE_S)
             await cluster.submit(A, job(4, accelerators=8), queue="urgent")
             await cluster.until_state(A, JobState.COMPLETED)
             self.assertGreater(self.starts_in(cluster, FAR), 0)
 
         self.play(body)
 
-    def test_with_no_other_trouble(self) -> None:
+    def test_without_other_faults(self) -> None:
         async def trouble(cluster: PoolCluster) -> None:
             await asyncio.sleep(0.0)
 
         self.evacuated(trouble)
 
-    def test_the_leader_dies_right_after_it(self) -> None:
+    def test_the_leader_is_lost_right_afterwards(self) -> None:
         async def trouble(cluster: PoolCluster) -> None:
             await cluster.kill(cluster.leader_name)
             await cluster.until(lambda: cluster.leader is not None)
 
         self.evacuated(trouble)
 
-    def test_a_new_leader_reads_of_it_before_it_decides(self) -> None:
+    def test_a_new_leader_reads_the_evacuation_before_it_decides(self) -> None:
         async def trouble(cluster: PoolCluster) -> None:
             for member in cluster.members.values():
                 member.view.faults.slow_lists["op/evacuate/"] = 0.9
@@ -223,14 +227,14 @@
 
         self.evacuated(trouble)
 
-    def test_the_store_forgets_its_history(self) -> None:
+    def test_the_store_loses_its_history(self) -> None:
         async def trouble(cluster: PoolCluster) -> None:
             cluster.store.forget_history()
             await asyncio.sleep(0.3)
 
         self.evacuated(trouble)
 
-    def test_the_leader_cannot_hear_of_it_for_a_while(self) -> None:
+    def test_the_watch_of_the_leader_is_silent_for_a_while(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             views = [member.view for member in cluster.members.values()]
             for view in views:
@@ -246,7 +250,7 @@
 
         self.play(body)
 
-    def test_taken_back_and_asked_again_within_a_second(self) -> None:
+    def test_canceled_and_requested_again_within_a_second(self) -> None:
         async def trouble(cluster: PoolCluster) -> None:
             await asyncio.sleep(0.4)
             cluster.take_back(FAR)
@@ -255,7 +259,7 @@
 
         self.evacuated(trouble)
 
-    def test_asked_before_any_vm_leads(self) -> None:
+    def test_requested_before_any_vm_leads(self) -> None:
         async def main() -> None:
             cluster = PoolCluster()
             cluster.evacuate(FAR)
@@ -269,8 +273,8 @@
 
         run(main())
 
-    def test_what_was_decided_and_not_ordered_starts_elsewhere(self) -> None:
-        """The record of a start is on its way to a slow store when the hall is evacuated."""
+    def test_starts_that_are_decided_and_not_sent_go_elsewhere(self) -> None:
+        """The record of a start is being written to a slow store when the evacuation begins."""
 
         async def body(cluster: PoolCluster) -> None:
             leader = cluster.member(cluster.leader_name)
@@ -287,10 +291,10 @@
 
         self.play(body)
 
-    def test_it_is_shown_in_figures(self) -> None:
+    def test_the_evacuation_is_shown_in_metrics(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             cluster.evacuate(FAR)
-            await asyncio.sleep(HEARD_S)
+            await asyncio.sleep(UPDATE_S)
             leader = cluster.leader
             assert leader is not None
             self.assertEqual(leader.metrics.view().counters["evacuated_halls"], 1)
--- a/tests/test_waits_board.py
+++ b/tests/test_waits_board.py
@@ -1,7 +1,7 @@
-"""On the board: what waits for an event that nobody brings about any more, or for a wrong reason.
+"""Jobs that wait for an event that never comes, or for a wrong reason, in the cluster state.
 
-Seen by users: a job stands still for 3 s and more though a task of it could run, room is there
-twice over, and others start beside it.
+Users see such a job stall for 3 s or more although a task of it could run, twice the resources that
+it needs are free, and other jobs start.
 """
 
 from __future__ import annotations
@@ -50,10 +50,12 @@
 
 
 class RestoredTest(ClusterCase):
-    """A leader was lost after it had written an end, and before its stops of what goes on left.
+    """Guards against broken gangs that are not stopped after a failover.
 
-    The next one read from the record that some members of a gang wait and others run, and ordered
-    nothing: the gang waited until its members gave up by themselves, or their worker's lease ended.
+    A leader was lost after it had written the end of a run, and before it had sent the stops that
+    follow from it. The next leader read from the record that some members of the gang wait and
+    others run, and stopped none of them. The gang waited until its members gave up by themselves or
+    their worker's lease ended.
     """
 
     def restore(self, step: Step, records: dict[int, OccurrenceRecord], times: int = 0) -> None:
@@ -84,7 +86,7 @@
         )
         self.assertEqual(self.stopped(), [("w11", StopReason.GANG_BROKEN)] * 2)
 
-    def test_members_of_a_whole_gang_go_on_and_so_do_tasks_of_no_gang(self) -> None:
+    def test_members_of_a_whole_gang_and_single_tasks_continue(self) -> None:
         self.workers(each=2)
         for gang, tasks in ((True, [assigned(), assigned()]), (False, [assigned(), waiting()])):
             self.cluster_state.jobs.clear()
@@ -94,8 +96,8 @@
             )
             self.assertEqual(self.stopped(), [])
 
-    def test_what_is_left_of_a_failed_job_is_stopped(self) -> None:
-        """It held its room to its end."""
+    def test_remaining_runs_of_a_failed_job_are_stopped(self) -> None:
+        """Without the stop it holds its resources until it ends."""
         self.workers(each=2)
         going_on = OccurrenceRecord(OccurrenceStatus.OPEN, [StepRecord([assigned()])], {})
         self.restore(
@@ -105,10 +107,11 @@
 
 
 class AvoidedWorkerTest(ClusterCase):
-    """A task has failed on the one worker that can hold it.
+    """Guards against tasks that never start again after a failure on the only worker that fits.
 
-    It goes elsewhere where there is another, and any other of its service counted as such, also one
-    that could never hold it: the task never started again, with the worker free beside it.
+    A task that has failed on a worker waits for another one. Every other worker of the service
+    counted as such, also one that could never hold the task, so the task never started again while
+    the worker where it had failed was free.
     """
 
     def start_again(self, needs: Step) -> list[str]:
@@ -119,13 +122,13 @@
         self.end(job, EndKind.FAILED)
         return [start.run.worker_id for start in self.plan(PATIENT).starts]
 
-    def test_a_worker_that_is_too_small_is_no_other(self) -> None:
+    def test_a_worker_that_is_too_small_does_not_count(self) -> None:
         self.assertEqual(self.start_again(step(1, 8)), ["w11"])
 
-    def test_nor_is_it_where_each_worker_is_looked_at(self) -> None:
+    def test_it_does_not_count_if_each_worker_is_examined(self) -> None:
         self.assertEqual(self.start_again(step(1, 8, per_worker=1)), ["w11"])
 
-    def test_one_that_is_large_enough_is_waited_for(self) -> None:
+    def test_the_task_waits_for_a_worker_that_is_large_enough(self) -> None:
         self.workers(each=2)
         first = self.add(step(1, 8), attempts=5)
         self.plan()
@@ -137,14 +140,15 @@
         self.assertEqual(len(self.plan(PATIENT).starts), 1)
 
 
-class ShutTest(ClusterCase):
-    """The headroom is closed to a step, and with it to others of its shape in that round.
+class HeadroomTest(ClusterCase):
+    """Guards against steps that a newer step of the same shape keeps out of the headroom.
 
-    It opens with the time that a step has waited, which differs between steps of one shape: one
-    that has just come, and goes first, kept it closed to another that had waited long enough.
+    A step that may not use the headroom excludes other steps of its shape for that round. Whether a
+    step may use it depends on how long it has waited, so a new step that was tried first excluded
+    another one that had waited long enough.
     """
 
-    def test_a_step_that_has_waited_is_not_held_up_by_one_that_has_not(self) -> None:
+    def test_a_new_step_does_not_exclude_one_that_has_waited(self) -> None:
         self.workers(racks=1, each=4)
         for number in range(1, 5):
             self.cluster_state.set_worker(record(f"gone{number}", rack="r2", hall="evacuated"), 0.0)
@@ -159,13 +163,14 @@
         self.assertEqual(starts, [old])
 
 
-class FullTest(ClusterCase):
-    """A shape finds no room since workers are kept for a gang; lasting work may take those.
+class LongRunningTest(ClusterCase):
+    """Guards against long-running work that waits because workers are kept for a gang.
 
-    It has the same shape as work that may not, and was held up by it in each round.
+    Long-running work may use kept workers. It was excluded in every round by other work of the same
+    shape that may not use them.
     """
 
-    def test_lasting_work_starts_behind_work_of_its_shape_that_waits_for_a_gang(self) -> None:
+    def test_long_running_work_starts_although_other_work_of_its_shape_waits(self) -> None:
         self.workers(racks=1, each=2)
         self.add(step(8, 1), priority=BULK)
         self.plan()
@@ -177,13 +182,14 @@
 
 
 class AdvisedGangTest(ClusterCase):
-    """Workers with the adviser's leave have room enough for a gang, in no one rack.
+    """Guards against a one-rack gang that is spread over racks because of missing approvals.
 
-    No more were asked about, since their sum was enough. The gang was spread over racks, as if no
-    rack could ever hold it.
+    The approved workers had enough free resources for the gang in total, but not in one rack. No
+    further approvals were requested, and the gang was spread over racks as if no rack could ever
+    hold it.
     """
 
-    def test_more_workers_are_asked_about_until_the_gang_fits(self) -> None:
+    def test_more_approvals_are_requested_until_the_gang_fits(self) -> None:
         self.workers(racks=20, each=2)
         self.cluster_state.configure({}, {"q": SERVICE}, ["q"])
         self.add(step(2, 8, gang=True, same_rack=True), priority=NORMAL)
@@ -192,7 +198,7 @@
             if changes.starts:
                 break
             for question in changes.advice_requests:
-                # The first of each rack is good, and the second of the last alone.
+                # Approve the first worker of each rack, and the second one only in the last rack.
                 good = [w for w in question.workers if w.endswith("1") or w == "w202"]
                 leaves = [Leave(worker, "ticket", 60.0) for worker in good]
                 question.step.advice.record_answer(question.workers, leaves, float(round_s))
@@ -201,13 +207,13 @@
 
 
 class ReservationTest(ClusterCase):
-    """Urgent work waits for the room of a run that is to stop, and does not end.
+    """Guards against urgent work that waits forever for a run that was stopped and does not end.
 
-    A run that is stopping costs nothing more to stop, so it was chosen again each time that the
-    reservation of its room had run out, and no other ever.
+    Stopping a run that is already stopping costs nothing, so the same run was chosen again whenever
+    the reservation of its resources expired, and no other run was ever stopped.
     """
 
-    def test_room_that_does_not_come_free_is_looked_for_elsewhere(self) -> None:
+    def test_another_run_is_stopped_if_the_first_does_not_end(self) -> None:
         self.workers(each=2)
         for _ in range(2):
             self.add(step(1, 8), priority=BULK)
@@ -223,7 +229,7 @@
         self.assertEqual(len(others), 1)
         self.assertNotEqual(others[0].worker_id, stops[0].worker_id)
 
-    def test_room_that_comes_free_later_is_taken_all_the_same(self) -> None:
+    def test_resources_that_become_free_late_are_used(self) -> None:
         self.workers(each=1)
         bulk = self.add(step(1, 8), priority=BULK)
         self.plan(PATIENT)
@@ -238,12 +244,12 @@
 
 
 class AnyEventsTest(unittest.TestCase):
-    """After any events what may start is tried, and where there is room for all of it it ends."""
+    """After any events, steps that may start are tried, and all jobs end once there is capacity."""
 
     EVENTS = test_board.RandomEventsTest("test_invariants")
 
     def happen(self, cluster_state: ClusterState, seed: int) -> float:
-        """Let 60 things happen; when the last of them did."""
+        """Apply 60 random events; returns the time of the last one."""
         rng = random.Random(seed)
         cluster_state.configure({"depots": 8}, {"q": SERVICE})
         now = 0.0
@@ -256,7 +262,7 @@
         return now
 
     def forgotten(self, cluster_state: ClusterState) -> list[str]:
-        """Steps that may start, and that no round would try."""
+        """Steps that may start and that no scheduling round would try."""
         tried = cluster_state._planner._waiting._known
         steps = [
             step
@@ -268,12 +274,12 @@
 
     @settings(max_examples=100, deadline=None)
     @given(st.integers(0, 2**32))
-    def test_what_may_start_is_in_the_list(self, seed: int) -> None:
+    def test_steps_that_may_start_are_tried(self, seed: int) -> None:
         self.happen(ClusterState(), seed)
 
     @settings(max_examples=100, deadline=None)
     @given(st.integers(0, 2**32))
-    def test_all_ends_once_there_is_room(self, seed: int) -> None:
+    def test_all_jobs_end_once_there_is_capacity(self, seed: int) -> None:
         cluster_state = ClusterState()
         now = self.happen(cluster_state, seed) + PATIENT
         for number in range(16):
--- a/tests/test_waits_reviewed.py
+++ b/tests/test_waits_reviewed.py
@@ -133,7 +133,7 @@
                 worker.record_failure(0.0, early=False)
         job = self.add(step(1, 1), priority=NORMAL)
         self.plan(5.0)
-        self.assertEqual(self.look(5.0)[job].until_s, 5.0 + IDLE_POOL_WAIT_S)
+        self.assertEqual(self.scan(5.0)[job].until_s, 5.0 + IDLE_POOL_WAIT_S)
         self.assertEqual(len(self.plan(5.0 + IDLE_POOL_WAIT_S + 0.1).starts), 1)
 
 
