--- a/src/saddlestack/policy/cluster/diagnosis.py
+++ b/src/saddlestack/policy/cluster/diagnosis.py
@@ -26,7 +26,7 @@
     NEAR_DATA_WAIT_S,
 )
 from saddlestack.policy.cluster.waiting import may_start
-from saddlestack.policy.standstill import has_room
+from saddlestack.policy.stall import has_free_capacity
 from saddlestack.work import FINAL_STATES, Resources
 
 MAX_JOBS_PER_SCAN = 128
@@ -113,7 +113,7 @@
     """Properties of a step that decide the result of its feasibility check."""
 
     service: str
-    room: Resources
+    allocation: Resources
     count: int
     gang: bool
     same_rack: bool
@@ -324,7 +324,7 @@
 
     def _has_capacity(self, step: StepState, feasibility: Feasibility) -> bool:
         required = step.step.count if step.step.gang else 1
-        return has_room(self._pool(step).use, feasibility.copies, required)
+        return has_free_capacity(self._pool(step).use, feasibility.copies, required)
 
     def _feasibility(self, step: StepState) -> Feasibility | None:
         """The feasibility of a step in its pool, cached by kind of step.
@@ -368,7 +368,7 @@
         )
         return _StepKind(
             service=self._cluster_state.service_of(job),
-            room=needs.room,
+            allocation=needs.allocation,
             count=needs.count if needs.gang else 1,
             gang=needs.gang,
             same_rack=needs.same_rack,
--- a/src/saddlestack/policy/cluster/stalled.py
+++ b/src/saddlestack/policy/cluster/stalled.py
@@ -36,7 +36,7 @@
     """
 
     service: str
-    room: Resources
+    allocation: Resources
     count: int
     label: str
     next_failure_is_final: bool
@@ -127,7 +127,7 @@
             return None
         return _Kind(
             self._cluster_state.service_of(step.occurrence.job),
-            step.step.room,
+            step.step.allocation,
             step.at_once,
             step.step.label,
             step.next_failure_is_final,
--- a/src/saddlestack/policy/cluster/workers.py
+++ b/src/saddlestack/policy/cluster/workers.py
@@ -237,7 +237,7 @@
 
     def max_copies(self, step: Step) -> int:
         """Tasks of a step that it could hold if it were empty and healthy."""
-        copies = step.room.copies_in(self.record.capacity)
+        copies = step.allocation.copies_in(self.record.capacity)
         return min(copies, step.per_worker) if step.per_worker else copies
 
     def count_fitting(self, needs: Resources, resources: Resources) -> int:
@@ -267,12 +267,12 @@
         return (
             0
             if self.is_overcommitted
-            else self._within_worker_limit(step, step.step.room.copies_in(resources))
+            else self._within_worker_limit(step, step.step.allocation.copies_in(resources))
         )
 
     def copies(self, step: StepState, resources: Resources) -> int:
         """Tasks of a step that fit into some of its resources."""
-        return self._within_worker_limit(step, self.count_fitting(step.step.room, resources))
+        return self._within_worker_limit(step, self.count_fitting(step.step.allocation, resources))
 
     def _within_worker_limit(self, step: StepState, copies: int) -> int:
         """Apply a step's limit of tasks per worker, if it has one."""
--- a/tests/test_diagnosis.py
+++ b/tests/test_diagnosis.py
@@ -20,7 +20,7 @@
     IDLE_POOL_WAIT_S,
     NEAR_DATA_WAIT_S,
 )
-from saddlestack.policy.standstill import STILL_S, StillWatch
+from saddlestack.policy.stall import STALL_S, StallDetector
 from saddlestack.work import AcceptedJob, JobRequest, Step
 from tests.test_board import BULK, NORMAL, PATIENT, SERVICE, URGENT, ClusterCase, record, step
 
@@ -407,12 +407,12 @@
         for worker in self.cluster_state.workers.values():
             worker.quarantine_s = PATIENT
         job = self.add(step(2, 8, gang=True), priority=BULK)
-        watch = StillWatch()
+        watch = StallDetector()
         found = []
         for number in range(20):
             now = number * 0.5
             waits = self.scan(now).values()
-            found += watch.look([wait.job_id for wait in waits if wait.could_start], now)
+            found += watch.update([wait.job_id for wait in waits if wait.could_start], now)
         self.assertEqual([(each.job_id, each.since_s) for each in found], [(job, 0.0)])
 
     def test_no_stall_is_found_in_a_half_used_pool(self) -> None:
@@ -420,7 +420,7 @@
         self.add(step(1, 8))
         self.plan()
         self.add(step(1, 1), priority=BULK)
-        self.assertFalse(any(wait.could_start for wait in self.scan(STILL_S).values()))
+        self.assertFalse(any(wait.could_start for wait in self.scan(STALL_S).values()))
 
     def test_a_gang_of_one_rack_could_start_where_whole_gangs_fit(self) -> None:
         self.workers(racks=2, each=3)
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -11,8 +11,8 @@
 import msgspec
 
 from saddlestack.client import AsyncClient
-from saddlestack.control.callers import job_id_of
-from saddlestack.control.journal import Displaced, Journal
+from saddlestack.control.jobapi import job_id_of
+from saddlestack.control.journal import Journal, LeadershipLost
 from saddlestack.control.keys import REQUESTS
 from saddlestack.errors import ErrorKind, SaddlestackError
 from saddlestack.interfaces.store import Listing, StoreUnavailable
@@ -113,7 +113,7 @@
             await cluster.until_state(A, JobState.COMPLETED)
             leader = cluster.leader
             assert leader is not None
-            figures = HttpClient("127.0.0.1", leader.figures.port)
+            figures = HttpClient("127.0.0.1", leader.metrics_server.port)
             response = await figures.request("GET", "/metrics", timeout=1.0)
             figures.close()
             text = response.body.decode()
@@ -851,7 +851,7 @@
             leader = cluster.leader
             assert leader is not None and leader.leadership.term is not None
             journal = Journal(leader.context, leader.leadership.term.fence - 1)
-            with self.assertRaises(Displaced):
+            with self.assertRaises(LeadershipLost):
                 await journal.commit({"saddlestack/progress/x.0": b"older"})
             self.assertEqual(cluster.store.item("saddlestack/progress/x.0").revision, 0)
 
