--- a/src/saddlestack/policy/cluster/diagnosis.py
+++ b/src/saddlestack/policy/cluster/diagnosis.py
@@ -170,11 +170,11 @@
         self._cluster_state = cluster_state
         self._waiting_since: dict[str, float] = {}
 
-    def scan(self, circumstances: DiagnosisContext) -> WaitReport:
+    def scan(self, context: DiagnosisContext) -> WaitReport:
         """Find the jobs of which no task runs, the longest waiting first."""
         runs_by_state = _runs_by_state(self._cluster_state)
-        self._update_waiting_since(runs_by_state, circumstances.now)
-        scan = _Scan(self._cluster_state, runs_by_state, circumstances)
+        self._update_waiting_since(runs_by_state, context.now)
+        scan = _Scan(self._cluster_state, runs_by_state, context)
         longest = list(islice(self._waiting_since.items(), MAX_JOBS_PER_SCAN))
         jobs = [(self._cluster_state.jobs[job_id], since_s) for job_id, since_s in longest]
         waits = [scan.explain(job, since_s) for job, since_s in jobs if not job.over]
@@ -208,12 +208,12 @@
         self,
         cluster_state: ClusterState,
         runs_by_state: _RunsByState,
-        circumstances: DiagnosisContext,
+        context: DiagnosisContext,
     ) -> None:
         self._cluster_state = cluster_state
         self._runs_by_state = runs_by_state
-        self._circumstances = circumstances
-        self._now = circumstances.now
+        self._context = context
+        self._now = context.now
         self._workers_left = MAX_WORKERS_PER_SCAN
         self._pools: dict[str, ServicePool] | None = None
         self._cache: dict[_StepKind, Feasibility] = {}
@@ -232,13 +232,13 @@
         return self._waits_for_runs(job, since_s, later)
 
     def _is_due(self, occurrence: Occurrence) -> bool:
-        return occurrence.due_ms <= self._circumstances.wall_ms
+        return occurrence.due_ms <= self._context.wall_ms
 
     def _waits_until_due(self, job: Job, since_s: float) -> Wait:
         to_come = [each for each in job.occurrences if each.open]
         tasks = sum(len(step.tasks) for each in to_come[:1] for step in each.steps)
         due_ms = min((each.due_ms for each in to_come), default=0)
-        until_s = self._now + (due_ms - self._circumstances.wall_ms) / 1000
+        until_s = self._now + (due_ms - self._context.wall_ms) / 1000
         return Wait(job.job_id, WaitReason.NOT_DUE, since_s, tasks, until_s=until_s)
 
     def _waits_for_runs(self, job: Job, since_s: float, later: int) -> Wait:
@@ -248,14 +248,14 @@
         if job_id in self._runs_by_state.unreachable:
             runs = self._runs_by_state.unreachable[job_id]
             reason = WaitReason.LEASE
-            until_s = max(self._circumstances.lease_until_s(run.worker_id) for run in runs)
+            until_s = max(self._context.lease_until_s(run.worker_id) for run in runs)
         elif job_id in self._runs_by_state.stopping:
             runs = self._runs_by_state.stopping[job_id]
             reason = WaitReason.STOPPING
         elif job_id in self._runs_by_state.unconfirmed:
             runs = self._runs_by_state.unconfirmed[job_id]
             reason = WaitReason.STARTING
-            if self._circumstances.is_writing(job_id) and not runs[0].inherited:
+            if self._context.is_writing(job_id) and not runs[0].inherited:
                 reason = WaitReason.WRITE
         else:
             return Wait(job_id, WaitReason.EARLIER_STEP, since_s, 0, later)
@@ -317,10 +317,10 @@
         return len(step.tasks) - step.done - assigned
 
     def _round_reason(self) -> WaitReason:
-        circumstances = self._circumstances
-        if circumstances.round_due and self._now - circumstances.planned_s > ROUND_OVERDUE_S:
+        context = self._context
+        if context.round_due and self._now - context.planned_s > ROUND_OVERDUE_S:
             return WaitReason.ROUND_HELD
-        return WaitReason.ROUND_FULL if circumstances.round_full else WaitReason.NEXT_ROUND
+        return WaitReason.ROUND_FULL if context.round_full else WaitReason.NEXT_ROUND
 
     def _has_capacity(self, step: StepState, feasibility: Feasibility) -> bool:
         required = step.step.count if step.step.gang else 1
--- a/src/saddlestack/policy/cluster/planner.py
+++ b/src/saddlestack/policy/cluster/planner.py
@@ -163,7 +163,7 @@
             return
         if self._use_reservation(step, now):
             return
-        if not full and self._place_with_caution(step, now):
+        if not full and self._place_preferred(step, now):
             return
         places = self._candidates.places(step, now)
         if not full and self._place_on(step, shape, places, now):
@@ -244,7 +244,7 @@
         soonest = self._candidates.places(step, now).soonest()
         self._backfill.keep(soonest, step.occurrence.job.priority)
 
-    def _place_with_caution(self, step: StepState, now: float) -> bool:
+    def _place_preferred(self, step: StepState, now: float) -> bool:
         """Place a step on workers that it had better go to, if there are such and it fits."""
         for preferred in self._worker_preferences.preferences(step, now):
             eligible = self._candidates.listed(step, now)
--- a/src/saddlestack/policy/cluster/progress.py
+++ b/src/saddlestack/policy/cluster/progress.py
@@ -14,10 +14,10 @@
 
 MIN_PERCENT = 3
 """Progress below this is not used to estimate the remaining time of a run."""
-MIN_STALL_S = 0.6
+MIN_STUCK_S = 0.6
 """Minimum time without progress after which a run counts as stuck: three polls, one every
 :data:`PROGRESS_POLL_S`, have to agree."""
-STALL_SHARE = 0.15
+STUCK_SHARE = 0.15
 """The same as a share of the estimate, if that is longer. A healthy worker makes several percent of
 progress in that time."""
 RESUME_GRACE_S = 1.0
@@ -64,7 +64,7 @@
     if gang_started_s is None or run.progressed_s is None or step.moves >= MAX_MOVES:
         return False
     since_s = max(gang_started_s, run.progressed_s)
-    limit_s = max(MIN_STALL_S, STALL_SHARE * step.step.estimate_ms / 1000)
+    limit_s = max(MIN_STUCK_S, STUCK_SHARE * step.step.estimate_ms / 1000)
     if run.task.record.saved:
         limit_s += RESUME_GRACE_S
     return now - since_s >= max(limit_s, since_s - gang_started_s)
--- a/tests/test_departure.py
+++ b/tests/test_departure.py
@@ -21,11 +21,11 @@
 NOTICE_S = 2.0
 POLLED_S = 1.5
 """Time for three polls, one every 0.3 s, and a margin."""
-WAIT_S = 2.0
+LONG_POLL_S = 2.0
 """A long poll waits this long for the end of a run, and the last lease may be this much older than
 the answer to it. The stand-in answers a poll that is already waiting, and the next poll grants a
 last lease."""
-READING_S = 1.0
+PROCESSING_S = 1.0
 
 
 class UnlistedTest(SessionCase):
@@ -44,9 +44,11 @@
             await asyncio.sleep(NOTICE_S)
             scene.orders.dark = True
             scene.cluster_state.unlist_worker("w11")
-            await asyncio.sleep(HOLD_S - WAIT_S)
+            await asyncio.sleep(HOLD_S - LONG_POLL_S)
             self.assertIs(scene.status, TaskStatus.ASSIGNED)
-            await asyncio.sleep(WAIT_S + HOLD_S * (CLOCK_DRIFT - 1) + LAPSE_SLACK_S + READING_S)
+            await asyncio.sleep(
+                LONG_POLL_S + HOLD_S * (CLOCK_DRIFT - 1) + LAPSE_SLACK_S + PROCESSING_S
+            )
             self.assertIs(scene.status, TaskStatus.WAITING)
 
         self.play(body)
@@ -99,8 +101,8 @@
             cluster.floor.crash(worker, recorded=False)
             await cluster.until(lambda: cluster.floor.starts_of(A) == 2)
             longest_s = POOL_HOLD_S * CLOCK_DRIFT + LAPSE_SLACK_S
-            self.assertGreater(loop.time() - silent_s, POOL_HOLD_S - WAIT_S)
-            self.assertLess(loop.time() - silent_s, WAIT_S + longest_s + READING_S)
+            self.assertGreater(loop.time() - silent_s, POOL_HOLD_S - LONG_POLL_S)
+            self.assertLess(loop.time() - silent_s, LONG_POLL_S + longest_s + PROCESSING_S)
             await cluster.until_state(A, JobState.COMPLETED)
 
         self.play(body)
--- a/tests/test_diagnosis.py
+++ b/tests/test_diagnosis.py
@@ -30,7 +30,7 @@
 DUE_S = 60.0
 
 
-def circumstances(
+def diagnosis_context(
     now: float,
     *,
     wall_ms: float = 0.0,
@@ -56,7 +56,7 @@
         self.diagnosis = Diagnosis(self.cluster_state)
 
     def scan(self, now: float = 0.0, **more: object) -> dict[str, Wait]:
-        report = self.diagnosis.scan(circumstances(now, **more))  # type: ignore[arg-type]
+        report = self.diagnosis.scan(diagnosis_context(now, **more))  # type: ignore[arg-type]
         self.left_out = report.left_out
         return {wait.job_id: wait for wait in report.waits}
 
@@ -537,7 +537,7 @@
     def scan(self, cluster_state: ClusterState, now: float, planned: bool) -> None:
         if self._diagnosis is None:
             self._diagnosis = Diagnosis(cluster_state)
-        waits = self._diagnosis.scan(circumstances(now)).waits
+        waits = self._diagnosis.scan(diagnosis_context(now)).waits
         self.reasons.update(wait.reason for wait in waits)
         if planned:
             found = {wait.job_id for wait in waits if wait.reason is WaitReason.NEXT_ROUND}
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -6,7 +6,7 @@
 from collections.abc import Awaitable, Callable
 
 from saddlestack.interfaces.workers import RunningTask, WorkerUnreachable
-from saddlestack.policy.cluster.progress import MIN_STALL_S
+from saddlestack.policy.cluster.progress import MIN_STUCK_S
 from saddlestack.policy.cluster.records import TaskStatus
 from saddlestack.policy.cluster.wait_limits import IDLE_POOL_WAIT_S
 from saddlestack.standins.loop import run
@@ -144,7 +144,7 @@
             self.cluster_state.set_worker(cold, 0.0)
         self.add(step(1, 1))
         run = self.plan().starts[0].run
-        for now in (0.1, 1.0, 1.0 + MIN_STALL_S, 9.0):
+        for now in (0.1, 1.0, 1.0 + MIN_STUCK_S, 9.0):
             row = RunningTask(str(run.task.name), 1, "", 5)
             self.cluster_state.worker_reported(run.worker_id, [row], now)
         self.assertEqual(self.cluster_state.take_changes().stops, [])
--- a/tests/test_progress.py
+++ b/tests/test_progress.py
@@ -8,7 +8,7 @@
 from saddlestack.policy.cluster.changes import Changes, StopReason
 from saddlestack.policy.cluster.progress import (
     MAX_MOVES,
-    MIN_STALL_S,
+    MIN_STUCK_S,
     RESUME_GRACE_S,
     needs_progress_polls,
 )
@@ -111,7 +111,7 @@
         self.cluster_state.jobs[job].occurrences[0].steps[0].tasks[0].record.saved = "saved"
         (worker,) = self.placed(job)
         self.assertEqual(self.report(0.3, {worker: 0}).stops, [])
-        limit_s = 0.3 + MIN_STALL_S + RESUME_GRACE_S
+        limit_s = 0.3 + MIN_STUCK_S + RESUME_GRACE_S
         self.assertEqual(self.report(limit_s - 0.1, {worker: 0}).stops, [])
         self.assertEqual(len(self.report(limit_s + 0.1, {worker: 0}).stops), 1)
 
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -31,7 +31,7 @@
 from saddlestack.kernel.clock import Clock
 from saddlestack.platform.orders import ENDS_AT_ONCE
 from saddlestack.policy.cluster.changes import Changes, StopReason
-from saddlestack.policy.cluster.progress import MIN_STALL_S, PROGRESS_POLL_S
+from saddlestack.policy.cluster.progress import MIN_STUCK_S, PROGRESS_POLL_S
 from saddlestack.policy.cluster.records import TaskStatus
 from saddlestack.policy.cluster.state import ClusterState
 from saddlestack.policy.cluster.workers import Worker
@@ -256,7 +256,7 @@
         async def body(scene: Scene) -> None:
             scene.assign()
             scene.is_there(percent=0)
-            await asyncio.sleep(MIN_STALL_S + 3 * PROGRESS_POLL_S)
+            await asyncio.sleep(MIN_STUCK_S + 3 * PROGRESS_POLL_S)
             stops = scene.cluster_state.take_changes().stops
             self.assertEqual([stop.reason for stop in stops], [StopReason.STUCK])
             self.assertGreaterEqual(len(scene.orders.seen), 4)
@@ -269,7 +269,7 @@
             run.inherited = True
             scene.is_there(percent=0)
             scene.session.suspect()  # has it looked at, as a new leader does
-            await asyncio.sleep(MIN_STALL_S + 4 * PROGRESS_POLL_S)
+            await asyncio.sleep(MIN_STUCK_S + 4 * PROGRESS_POLL_S)
             stops = scene.cluster_state.take_changes().stops
             self.assertEqual([stop.reason for stop in stops], [StopReason.STUCK])
 
