--- a/src/saddlestack/policy/cluster/state.py
+++ b/src/saddlestack/policy/cluster/state.py
@@ -208,7 +208,7 @@
         worker.update_record(record, now)
         worker.evacuated = record.data_hall in self._evacuated
         if worker.is_cold(now):
-            self._worker_preferences.note_cold(worker)
+            self._worker_preferences.add_cold(worker)
         if not worker.listed:
             worker.listed = True
             worker.reachable = True
@@ -224,7 +224,7 @@
         if worker is None:
             return
         if worker.listed:
-            self._apply_assessment(self._crashes.unlisted(worker))
+            self._apply_assessment(self._crashes.record_removed(worker))
         worker.listed = False
         if not worker.runs:
             self._remove_worker(worker)
@@ -254,7 +254,7 @@
         worker.last_answer_s = now
         worker.unreachable_since_s = None
         worker.outlived_record = not worker.listed
-        self._apply_assessment(self._crashes.heard(worker.worker_id))
+        self._apply_assessment(self._crashes.record_answer(worker.worker_id))
 
     def clear_suspects(self, job_id: str) -> int:
         """Clear the suspicion that tasks of a job crash their workers; they start normally again.
@@ -268,12 +268,12 @@
             return 0
         assessment = self._crashes.clear(job)
         self._apply_assessment(assessment)
-        return len(assessment.touched)
+        return len(assessment.changed_tasks)
 
     def _apply_assessment(self, assessment: CrashAssessment) -> None:
         """Record findings about crashes, and fail the jobs whose tasks caused them."""
         self._findings += assessment.findings
-        for task in assessment.touched:
+        for task in assessment.changed_tasks:
             if task.step.occurrence.open:
                 self._mark_changed(task.step.occurrence)
         for task in assessment.culprits:
@@ -314,7 +314,7 @@
             worker.remove(run.task.name, run.number)
         run.never_began = True
         if run.ordered_s is None and not run.inherited:
-            self._crashes.started(run.task, -1)
+            self._crashes.count_start(run.task, -1)
         self._finish_run(run, EndKind.STOPPED, "")
 
     def worker_reported(self, worker_id: str, running: Iterable[RunningTask], now: float) -> None:
@@ -356,11 +356,11 @@
             return
         if end.how is EndKind.DONE:
             worker.record_success(now)
-            self._fault_attribution.ended_well(worker_id)
+            self._fault_attribution.record_success(worker_id)
         elif end.how is EndKind.FAILED:
             self._record_failure(worker, run, now)
         self._planner.run_ended(run, end.how, now)
-        self._apply_assessment(self._crashes.survived(run, end.how, now))
+        self._apply_assessment(self._crashes.run_ended(run, end.how, now))
         self._finish_run(run, end.how, end.saved or run.saved)
 
     def _record_failure(self, worker: Worker, run: Run, now: float) -> None:
@@ -372,9 +372,9 @@
     def _attribute_failure(self, worker: Worker, run: Run, kind: FailureKind, now: float) -> None:
         if run.task.name.job_id not in self.jobs:
             return
-        at_fault = self._fault_attribution.failed(worker, run, kind, now)
+        at_fault = self._fault_attribution.record_failure(worker, run, kind, now)
         if at_fault and kind is not FailureKind.LATE:
-            self._worker_preferences.note_faulty(worker, now)
+            self._worker_preferences.add_faulty(worker, now)
 
     def _finish_run(self, run: Run, how: EndKind, saved: str) -> None:
         task = run.task
@@ -406,7 +406,7 @@
     def _fail_out_of_starts(self, task: Task) -> None:
         """Fail the job of a task that may crash its workers and has used up its starts."""
         if task.step.occurrence.open:
-            self._findings.append(self._crashes.verdict(task))
+            self._findings.append(self._crashes.give_up_finding(task))
             self._fail_job(task.step.occurrence, FailureCause.CRASHES)
 
     def _save_checkpoint(self, task: Task, saved: str) -> None:
@@ -516,7 +516,7 @@
         task.record.run = number
         task.record.worker = worker.worker_id
         worker.add(run)
-        self._crashes.started(task, 1)
+        self._crashes.count_start(task, 1)
         occurrence = task.step.occurrence
         self._mark_changed(occurrence)
         saved = task.record.saved if task.step.step.checkpoint else ""
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -13,7 +13,7 @@
 
 from saddlestack.interfaces.workers import EndKind
 from saddlestack.policy.cluster.changes import Changes, StopReason
-from saddlestack.policy.cluster.feasibility import pools
+from saddlestack.policy.cluster.feasibility import pools_by_service
 from saddlestack.policy.cluster.lending import DEFAULT_STOP_S, LOAN_GRACE_S
 from saddlestack.policy.cluster.reservations import STOP_OVERDUE_S
 from saddlestack.policy.cluster.wait_limits import LENDING_WAIT_S
@@ -74,11 +74,11 @@
         self.assertEqual(jobs_of(self.plan(LENDABLE_S)), [job])
 
     def test_idle_reserved_capacity_is_reported(self) -> None:
-        pool = pools(self.cluster_state.workers.values(), SUBMITTED_S)[SERVICE]
+        pool = pools_by_service(self.cluster_state.workers.values(), SUBMITTED_S)[SERVICE]
         self.assertEqual(pool.reserved_idle, 8 * WORKER_ACCELERATORS)
         self.add_waiting(with_estimate(step(1, 3), 1.0))
         self.plan(LENDABLE_S)
-        pool = pools(self.cluster_state.workers.values(), LENDABLE_S)[SERVICE]
+        pool = pools_by_service(self.cluster_state.workers.values(), LENDABLE_S)[SERVICE]
         self.assertEqual(pool.reserved_idle, 8 * WORKER_ACCELERATORS - 3)
 
     def test_a_gang_borrows_whole(self) -> None:
