--- a/benchmarks/variants.py
+++ b/benchmarks/variants.py
@@ -229,9 +229,9 @@
         (
             Edit(
                 "control/session.py",
-                "                self._settle(key)\n"
-                "                self._tasks.spawn(self._look_now())",
-                "                self._settle(key)",
+                "                self._close_order(key)\n"
+                "                self._tasks.spawn(self._poll_now())",
+                "                self._close_order(key)",
             ),
         ),
     ),
--- a/src/saddlestack/control/commits.py
+++ b/src/saddlestack/control/commits.py
@@ -1,7 +1,7 @@
-"""Writes what a scheduler decides: several transactions at a time, a job's own one after the other.
+"""Queues a scheduler's records and writes them in concurrent transactions, in order for each job.
 
-A store that is slow, or that loses an answer, holds up the jobs of that transaction alone; what is
-decided meanwhile for one of them waits behind it, and nobody waits for that.
+A slow store or a lost answer delays only the jobs of that transaction. Later decisions about them
+queue up behind it, without blocking the scheduler.
 """
 
 from __future__ import annotations
@@ -25,58 +25,58 @@
 log = logging.getLogger("saddlestack.commits")
 
 MAX_CONCURRENT_WRITES = 8
-"""A store that answers in 0.3 s takes some 25 transactions a second this way; more wait together.
-"""
+"""A store that answers in 0.3 s takes about 25 transactions a second this way; further jobs wait
+and share transactions."""
 
-BYTES_A_WRITE = 300_000
-"""Records of several jobs share a transaction up to this size, 0.3 s at 10 Mbit/s."""
-TRIES_TOGETHER = 2
-"""A transaction of several jobs that was not answered so often is given up, and each job written on
-its own: one of their records may be such that it is never answered."""
+MAX_BYTES_PER_WRITE = 300_000
+"""Records of several jobs share a transaction up to this size, which takes 0.3 s at 10 Mbit/s."""
+MAX_BATCH_TRIES = 2
+"""How often a transaction of several jobs is tried before each job is written on its own: one of
+their records may be the cause that the transaction is never answered."""
 
-Then = Callable[[], None]
-"""What follows once records are in the store."""
+OnWritten = Callable[[], None]
+"""A callback for when records are in the store."""
 
 
 @dataclass(frozen=True, slots=True)
 class JobRecords:
-    """What was decided for one job at once.
+    """The records of one job from one scheduling round.
 
-    :param records: of its occurrences, by key; none where something is to follow alone.
-    :param then: called when the records, and all earlier ones of the job, are in the store.
+    :param records: of its occurrences, by key; empty if there is only a callback.
+    :param on_written: called when the records, and all earlier ones of the job, are in the store.
     """
 
     job_id: str
     records: Mapping[str, bytes]
-    then: Then
+    on_written: OnWritten
 
 
 @dataclass(slots=True, eq=False)
 class _Entry:
-    """What is to be written of one job together: of each record the latest alone."""
+    """The pending records of one job, only the latest version of each, and their callbacks."""
 
     job_id: str
     records: dict[str, bytes] = field(default_factory=dict)
-    follows: list[Then] = field(default_factory=list)
+    callbacks: list[OnWritten] = field(default_factory=list)
     done: asyncio.Event = field(default_factory=asyncio.Event)
 
     @property
     def size(self) -> int:
-        """Bytes of its records."""
+        """The size of the records, in bytes."""
         return sum(len(value) for value in self.records.values())
 
-    def add(self, decided: JobRecords) -> None:
-        """Have more written with it."""
-        self.records.update(decided.records)
-        self.follows.append(decided.then)
+    def add(self, decisions: JobRecords) -> None:
+        """Merge in the records and the callback of a later round."""
+        self.records.update(decisions.records)
+        self.callbacks.append(decisions.on_written)
 
 
 class CommitQueue:
-    """The records of one term on their way to the store.
+    """The write queue of one term.
 
-    A job's records are written in the order in which they were decided: while some are under way,
-    later ones wait, each in place of the one before it under its key. So the store never holds an
-    older state of a job over a newer one, and nothing follows before what it follows from is there.
+    A job's records are written in the order of the decisions: while some are in flight, later ones
+    are queued, and replace queued ones with the same key. So an older state of a job never
+    overwrites a newer one, and no callback runs before the records it depends on are in the store.
 
     :param on_failed: called with a reason when nothing more can be written.
     """
@@ -88,103 +88,103 @@
         self._journal = journal
         self._on_failed = on_failed
         self._tasks = TaskGroup("commits")
-        self._waiting: dict[str, _Entry] = {}
+        self._queued: dict[str, _Entry] = {}
         self._writing: dict[str, _Entry] = {}
-        self._alone: deque[_Entry] = deque()
-        self._writes = 0
-        self._taken = 0
-        self._advanced = asyncio.Event()
+        self._single_writes: deque[_Entry] = deque()
+        self._write_count = 0
+        self._queued_version = 0
+        self._version_queued = asyncio.Event()
 
-    def put(self, mark: int, decided: Iterable[JobRecords]) -> None:
-        """Have records written; returns at once.
+    def put(self, version: int, decisions: Iterable[JobRecords]) -> None:
+        """Queue records for writing; does not wait.
 
-        :param mark: what was known when they were decided; rises.
+        :param version: version of the scheduler's state behind the decisions; increases.
         """
-        for each in decided:
+        for each in decisions:
             self._queue(each)
-        self._taken = mark
-        self._advanced.set()
-        self._advanced = asyncio.Event()
-        self._write_more()
-
-    async def written(self, mark: int, jobs: Iterable[str]) -> None:
-        """Wait until the store has all that was known of some jobs up to a mark."""
-        while self._taken < mark:
-            await self._advanced.wait()
+        self._queued_version = version
+        self._version_queued.set()
+        self._version_queued = asyncio.Event()
+        self._start_writes()
+
+    async def written(self, version: int, jobs: Iterable[str]) -> None:
+        """Wait until all records of some jobs up to a version are in the store."""
+        while self._queued_version < version:
+            await self._version_queued.wait()
         for entry in [entry for job_id in jobs for entry in self._entries(job_id)]:
             await entry.done.wait()
 
     async def stop(self) -> None:
-        """Give up what is under way."""
+        """Cancel the writes in flight."""
         await self._tasks.cancel()
 
-    def _queue(self, decided: JobRecords) -> None:
-        job_id = decided.job_id
-        entry = self._waiting.get(job_id)
+    def _queue(self, decisions: JobRecords) -> None:
+        job_id = decisions.job_id
+        entry = self._queued.get(job_id)
         if entry is None:
-            if not decided.records and job_id not in self._writing:
-                decided.then()
+            if not decisions.records and job_id not in self._writing:
+                decisions.on_written()
                 return
-            entry = self._waiting[job_id] = _Entry(job_id)
-        entry.add(decided)
+            entry = self._queued[job_id] = _Entry(job_id)
+        entry.add(decisions)
 
     def _entries(self, job_id: str) -> list[_Entry]:
-        """What of a job is not in the store yet."""
-        found = (self._writing.get(job_id), self._waiting.get(job_id))
+        """The entries of a job that are not in the store yet."""
+        found = (self._writing.get(job_id), self._queued.get(job_id))
         return [entry for entry in found if entry is not None]
 
-    def _write_more(self) -> None:
-        """Begin as many transactions as may be under way."""
-        while self._writes < MAX_CONCURRENT_WRITES:
+    def _start_writes(self) -> None:
+        """Start transactions up to the limit on concurrent writes."""
+        while self._write_count < MAX_CONCURRENT_WRITES:
             batch = self._next_batch()
             if not batch:
                 return
-            self._writes += 1
+            self._write_count += 1
             self._tasks.spawn(self._write(batch))
 
     def _next_batch(self) -> list[_Entry]:
         """The jobs that have waited longest, as many as fit into one transaction.
 
-        One that has more records than that, or larger ones, is written alone.
+        A job whose records exceed the limits is written alone.
         """
-        if self._alone:
-            return [self._alone.popleft()]
+        if self._single_writes:
+            return [self._single_writes.popleft()]
         batch: list[_Entry] = []
         count = size = 0
-        for entry in self._waiting.values():
+        for entry in self._queued.values():
             if entry.job_id in self._writing:
                 continue
             count += len(entry.records)
             size += entry.size
-            if batch and (count > MAX_RECORDS_PER_WRITE or size > BYTES_A_WRITE):
+            if batch and (count > MAX_RECORDS_PER_WRITE or size > MAX_BYTES_PER_WRITE):
                 break
             batch.append(entry)
         for entry in batch:
-            self._writing[entry.job_id] = self._waiting.pop(entry.job_id)
+            self._writing[entry.job_id] = self._queued.pop(entry.job_id)
         return batch
 
     async def _write(self, batch: Sequence[_Entry]) -> None:
         records = {key: value for entry in batch for key, value in entry.records.items()}
         began = self._context.clock.now()
         try:
-            await self._journal.commit(records, TRIES_TOGETHER if len(batch) > 1 else math.inf)
+            await self._journal.commit(records, MAX_BATCH_TRIES if len(batch) > 1 else math.inf)
             self._context.metrics.time("commit", self._context.clock.now() - began)
-            self._finish(batch)
+            self._complete(batch)
         except RetriesExhausted:
-            self._alone += batch
-            self._writes -= 1
-            self._write_more()
+            self._single_writes += batch
+            self._write_count -= 1
+            self._start_writes()
         except LeadershipLost:
             self._on_failed("the store has another leader")
         except Exception:
             log.exception("commit failed", extra={"event": "commit_failed"})
             self._on_failed("a commit failed")
 
-    def _finish(self, batch: Sequence[_Entry]) -> None:
+    def _complete(self, batch: Sequence[_Entry]) -> None:
         for entry in batch:
-            for then in entry.follows:
-                then()
+            for on_written in entry.callbacks:
+                on_written()
             del self._writing[entry.job_id]
             entry.done.set()
-        self._writes -= 1
-        self._write_more()
+        self._write_count -= 1
+        self._start_writes()
--- a/src/saddlestack/control/crashlog.py
+++ b/src/saddlestack/control/crashlog.py
@@ -10,38 +10,38 @@
 
 log = logging.getLogger("saddlestack.crashes")
 
-SUSPECTS_AT_ONCE = 10
-"""Lines about suspects that are written at once: a worker of many tasks makes as many suspects.
-Tasks that are given up are all told of."""
+MAX_SUSPECT_LINES = 10
+"""Log lines about suspects in one round: the crash of a worker makes each of its tasks a suspect.
+Tasks that are given up are all logged."""
 
 
 class CrashLog:
-    """Tells what is decided about tasks under which workers crash."""
+    """Logs and counts the findings about tasks under which workers crash."""
 
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
 
-    def log_verdicts(self, verdicts: Sequence[CrashFinding]) -> None:
-        """Write a line for each verdict, and count it."""
-        others = 0
+    def log_findings(self, verdicts: Sequence[CrashFinding]) -> None:
+        """Count each finding and log it, up to the limit on suspects."""
+        suspects = 0
         for verdict in verdicts:
             self._metrics.count(f"crash_{verdict.kind.value}")
             if verdict.kind is not CrashFindingKind.GIVEN_UP:
-                others += 1
-                if others > SUSPECTS_AT_ONCE:
+                suspects += 1
+                if suspects > MAX_SUSPECT_LINES:
                     continue
-            self._tell_one(verdict)
-        if others > SUSPECTS_AT_ONCE:
+            self._log_finding(verdict)
+        if suspects > MAX_SUSPECT_LINES:
             log.info(
                 "lines about suspects were left out",
-                extra={"event": "crash_left_out", "lines": others - SUSPECTS_AT_ONCE},
+                extra={"event": "crash_left_out", "lines": suspects - MAX_SUSPECT_LINES},
             )
 
-    def _tell_one(self, verdict: CrashFinding) -> None:
+    def _log_finding(self, verdict: CrashFinding) -> None:
         given_up = verdict.kind is CrashFindingKind.GIVEN_UP
         log.log(
             logging.WARNING if given_up else logging.INFO,
-            "a task crashes its workers" if given_up else "a task may crash its workers, or not",
+            "task crashes its workers" if given_up else "finding on a task that may crash workers",
             extra={
                 "event": f"crash_{verdict.kind.value}",
                 "task": str(verdict.task),
--- a/src/saddlestack/control/endings.py
+++ b/src/saddlestack/control/endings.py
@@ -1,4 +1,4 @@
-"""Log lines about runs of which no worker tells an end: what proves it, and waits for a lease."""
+"""Logs runs that end without a report of their worker: the proof, and the wait for a lease."""
 
 from __future__ import annotations
 
@@ -13,21 +13,21 @@
 
 
 class EndProof(enum.StrEnum):
-    """Why a run counts as over though its worker has told no end of it."""
+    """Why a run counts as over though its worker has not reported its end."""
 
     REPLACED = "replaced"
-    """Another life answers where this one was."""
+    """Another incarnation answers at the worker's address."""
     ABSENT = "absent"
     """The worker's report does not list the run."""
     LAPSED = "lapsed"
-    """Every lease that may have been granted there is over."""
+    """Every lease that may have been granted to the worker is over."""
 
 
 def log_runs_over(runs: Iterable[Run], proof: EndProof, age_s: float) -> None:
-    """Tell that runs count as over.
+    """Log that runs count as over.
 
-    :param age_s: how old the proof is: since the answer, the question for the report, or the last
-        time that the worker was heard.
+    :param age_s: age of the proof: the time since the answer, since the report was requested, or
+        since the worker last answered.
     """
     for run in runs:
         log.info(
@@ -45,12 +45,12 @@
 
 
 def log_lease_wait(worker: Worker, left_s: float) -> None:
-    """Tell that what runs on a worker is waited for until its lease has lapsed.
+    """Log that the runs of a worker are waited for until its lease has lapsed.
 
     :param left_s: how long that takes at most, if the worker does not answer meanwhile.
     """
     log.info(
-        "waits for a lease",
+        "waiting for a lease to lapse",
         extra={
             "event": "lease_wait",
             "worker": worker.worker_id,
--- a/src/saddlestack/control/evacuations.py
+++ b/src/saddlestack/control/evacuations.py
@@ -1,4 +1,4 @@
-"""Which data halls the operators have evacuated: nothing is started in them until they are back."""
+"""Follows which data halls are evacuated; nothing is started in them until they are back."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 class Evacuations:
     """Follows the operators' evacuations during one term of the leader.
 
-    The store is read anew at the start of each term and wherever it has forgotten its history, so
-    neither a change of leader nor a gap leaves an evacuation out.
+    The store is read at the start of each term, and again whenever it has discarded its history,
+    so that neither a change of leader nor a gap loses an evacuation.
 
-    :param on_change: told once of those at the start, then whenever they change.
+    :param on_change: called once with the initial set, then on each change.
     """
 
     def __init__(self, context: EntryContext, on_change: Changed) -> None:
@@ -30,7 +30,7 @@
         self._prefix = context.documents.locations.evacuations_prefix
         self._on_change = on_change
         self._halls: frozenset[str] = frozenset()
-        self._feed = Feed(context, self._prefix, self._listed, self._changed)
+        self._feed = Feed(context, self._prefix, self._on_snapshot, self._on_changes)
 
     @property
     def loaded(self) -> asyncio.Event:
@@ -38,26 +38,26 @@
         return self._feed.loaded
 
     async def run(self) -> None:
-        """Follow them until cancelled."""
+        """Follow evacuations until cancelled."""
         await self._feed.run()
 
-    def _listed(self, items: tuple[Item, ...]) -> None:
-        self._set(frozenset(self._hall(item) for item in items if self._hall(item)))
+    def _on_snapshot(self, items: tuple[Item, ...]) -> None:
+        self._update(frozenset(self._hall_of(item) for item in items if self._hall_of(item)))
 
-    def _changed(self, items: tuple[Item, ...]) -> None:
+    def _on_changes(self, items: tuple[Item, ...]) -> None:
         halls = set(self._halls)
         for item in items:
-            if item.revision and self._hall(item):
-                halls.add(self._hall(item))
+            if item.revision and self._hall_of(item):
+                halls.add(self._hall_of(item))
             else:
-                halls.discard(self._hall(item))
-        self._set(frozenset(halls))
+                halls.discard(self._hall_of(item))
+        self._update(frozenset(halls))
 
-    def _hall(self, item: Item) -> str:
-        """The hall that a key names, or nothing. What its value holds says no more."""
+    def _hall_of(self, item: Item) -> str:
+        """The data hall that a key names, or an empty name; the value holds nothing of use."""
         return item.key.removeprefix(self._prefix)
 
-    def _set(self, halls: frozenset[str]) -> None:
+    def _update(self, halls: frozenset[str]) -> None:
         self._log(halls - self._halls, "begun")
         self._log(self._halls - halls, "taken_back")
         self._halls = halls
--- a/src/saddlestack/control/invalidrecords.py
+++ b/src/saddlestack/control/invalidrecords.py
@@ -1,4 +1,4 @@
-"""Records of the store that cannot be used: counted each time, told once."""
+"""Reports records in the store that cannot be used: counts each occurrence, and logs it once."""
 
 from __future__ import annotations
 
@@ -9,38 +9,39 @@
 
 log = logging.getLogger("saddlestack.refusals")
 
-MAX_TOLD = 1_000
-"""Records that are remembered as told of; further ones are counted alone until the next term."""
+MAX_LOGGED = 1_000
+"""Records that are remembered as logged; further ones are only counted until the next term."""
 MAX_KEY = 100
 MAX_REASON = 200
-"""Characters of a key, and of a reason, in a log line."""
+"""Maximum number of characters of a key, and of a reason, in a log line."""
 
 _DIGITS = re.compile(r"\d+")
 
 
 class InvalidRecords:
-    """Tells of records of one kind that cannot be used, in a line for each record and reason.
+    """Reports invalid records of one kind, with one log line for each record and reason.
 
-    A record is written anew with each heartbeat of its writer, and may stay wrong for days.
+    Logging each occurrence would flood the log: a record is rewritten with each heartbeat of its
+    writer, and may stay invalid for days.
 
-    :param kind: names the counter, ``KIND_records_refused``.
+    :param kind: the prefix of the counter ``KIND_records_refused``.
     """
 
     def __init__(self, metrics: Metrics, kind: str) -> None:
         self._metrics = metrics
         self._counter = f"{kind}_records_refused"
-        self._told: set[tuple[str, str]] = set()
+        self._logged: set[tuple[str, str]] = set()
 
     def report(self, key: str, reason: str) -> None:
-        """Count a record that cannot be used, and tell of it once.
+        """Count an invalid record, and log it the first time.
 
-        :param reason: what is wrong with it; its figures may differ from one time to the next.
+        :param reason: what is wrong with it; digits in it are ignored when repeats are detected.
         """
         self._metrics.count(self._counter)
-        place = (key, _DIGITS.sub("#", reason))
-        if place in self._told or len(self._told) >= MAX_TOLD:
+        signature = (key, _DIGITS.sub("#", reason))
+        if signature in self._logged or len(self._logged) >= MAX_LOGGED:
             return
-        self._told.add(place)
+        self._logged.add(signature)
         log.error(
             "record refused",
             extra={
@@ -52,7 +53,7 @@
         )
 
 
-def _short(text: str, most: int) -> str:
-    """A text that may hold anything, printable and cut to a length."""
+def _short(text: str, max_length: int) -> str:
+    """An arbitrary text, escaped to printable characters and truncated."""
     printable = text.encode("unicode_escape", "backslashreplace").decode()
-    return printable if len(printable) <= most else printable[: most - 3] + "..."
+    return printable if len(printable) <= max_length else printable[: max_length - 3] + "..."
--- a/src/saddlestack/control/jobapi.py
+++ b/src/saddlestack/control/jobapi.py
@@ -1,8 +1,8 @@
-"""The product's own HTTP interface for callers, on the same jobs as the platform's.
+"""The product's own HTTP API for jobs, which operates on the same jobs as the platform's API.
 
-`POST /v1/jobs`, `GET` and `DELETE /v1/jobs/REQUEST` and `POST /v1/jobs/REQUEST/clear`, spoken by
-:class:`saddlestack.Client`. A job of this interface is one step of one gang; the bearer token is a
-key of the account. The `message` of a job tells for what it waits, or why it failed; none is
+`POST /v1/jobs`, `GET` and `DELETE /v1/jobs/REQUEST` and `POST /v1/jobs/REQUEST/clear`, used by
+:class:`saddlestack.Client`. A job of this API is one step of one gang; the bearer token is a key of
+the client account. The `message` of a job says what it waits for, or why it failed. No job is
 rejected for being wider than the pool.
 """
 
@@ -27,15 +27,15 @@
 
 PREFIX = "/v1/jobs"
 CLEAR = "/clear"
-ACCELERATORS_A_TASK = 8
-"""A gang is split into alike tasks of at most so many accelerators."""
+MAX_ACCELERATORS_PER_TASK = 8
+"""A gang is split into equal tasks of at most this many accelerators."""
 CPU_PER_ACCELERATOR = 1000
 MEMORY_MB_PER_ACCELERATOR = 4096
 CALL_DEADLINE_S = 3.0
 JOB_ID_DIGITS = 16
 _PRIORITIES = {JobClass.URGENT: 0, JobClass.NORMAL: 1, JobClass.BULK: 2}
-_EXPLAINED = frozenset({CallerState.QUEUED, CallerState.RUNNING, CallerState.UNKNOWN})
-"""States of which a message tells more: what the job waits for, or why it failed."""
+_STATES_WITH_MESSAGE = frozenset({CallerState.QUEUED, CallerState.RUNNING, CallerState.UNKNOWN})
+"""States with a message, which says what the job waits for or why it failed."""
 _REQUEST_NAME = re.compile(rf"[A-Za-z0-9._:-]{{1,{MAX_NAME}}}")
 _STATES = {
     JobState.QUEUED: CallerState.QUEUED,
@@ -47,9 +47,9 @@
 
 
 class JobApi:
-    """Answers callers of the product's own interface.
+    """Handles the calls of the product's own job API.
 
-    :param configuration: the configuration in force, or ``None`` while there is none.
+    :param configuration: returns the configuration in force, or ``None`` while there is none.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         self._configuration = configuration
 
     async def handle(self, request: Request) -> Response:
-        """Answer one call.
+        """Handle one call.
 
         :raises SaddlestackError: the call is refused.
         """
@@ -68,14 +68,14 @@
             raise SaddlestackError(
                 ErrorKind.CELL_UNAVAILABLE, "no configuration has been read yet", retry_after=1
             )
-        account = _account_of(request, configuration)
+        account = _authenticate(request, configuration)
         if request.method == "POST" and request.path == PREFIX:
             return await self._submit(request, account, configuration)
         name = request.path.removeprefix(f"{PREFIX}/")
         if request.method == "POST" and name.endswith(CLEAR):
             return await self._clear(name.removesuffix(CLEAR), account, configuration)
         if request.path.startswith(f"{PREFIX}/") and request.method in {"GET", "DELETE"}:
-            return await self._about(request.method, name, account, configuration)
+            return await self._get_or_cancel(request.method, name, account, configuration)
         raise SaddlestackError(ErrorKind.NOT_FOUND, f"no {request.method} {request.path}")
 
     async def _submit(
@@ -88,31 +88,33 @@
             )
         check_accelerators(body.accelerators, "body: accelerators")
         if body.deadline_s is not None:
-            raise invalid("a pool takes no deadline for the start", "body: deadline_s")
+            raise invalid("a pool does not support start deadlines", "body: deadline_s")
         if body.account not in {None, account.name}:
-            raise SaddlestackError(ErrorKind.FORBIDDEN, f"the key is not {body.account}'s")
+            raise SaddlestackError(
+                ErrorKind.FORBIDDEN, f"the key does not belong to account {body.account}"
+            )
         queue = _queue_for(body.job_class, configuration)
         call = ClientCall(queue, account.name, CALL_DEADLINE_S)
         job_id = job_id_of(account.name, body.request)
         await self._jobs.submit(call, job_id, as_request(body))
         return json_response(await self._view(call, body.request, job_id), 202)
 
-    async def _about(
+    async def _get_or_cancel(
         self, method: str, name: str, account: ClientAccount, configuration: PoolConfiguration
     ) -> Response:
         job_id = job_id_of(account.name, name)
         call = ClientCall(configuration.queues[0], account.name, CALL_DEADLINE_S)
         if method == "DELETE" and not await self._jobs.cancel(call, job_id):
-            raise _unknown(name)
+            raise _not_found(name)
         view = await self._view(call, name, job_id)
-        if method == "GET" and view.state in _EXPLAINED:
+        if method == "GET" and view.state in _STATES_WITH_MESSAGE:
             view = msgspec.structs.replace(view, message=await self._jobs.waits(call, job_id))
         return json_response(view)
 
     async def _clear(
         self, name: str, account: ClientAccount, configuration: PoolConfiguration
     ) -> Response:
-        """Start the tasks of a job as any others, though workers crashed under them."""
+        """Clear the tasks of a job of the suspicion that they crash their workers."""
         job_id = job_id_of(account.name, name)
         call = ClientCall(configuration.queues[0], account.name, CALL_DEADLINE_S)
         await self._jobs.clear(call, job_id)
@@ -122,7 +124,7 @@
         state = await self._jobs.state(call, job_id)
         accepted = await self._jobs.accepted(call, job_id)
         if state is None or accepted is None:
-            raise _unknown(name)
+            raise _not_found(name)
         step = accepted.request.steps[0]
         return JobView(
             account=accepted.account,
@@ -138,10 +140,10 @@
 
 
 def as_request(body: SubmitBody) -> JobRequest:
-    """A job of the product's own interface as one step of one gang."""
+    """Convert a submitted body to a job of one step with one gang."""
     size = max(
         size
-        for size in range(1, min(body.accelerators, ACCELERATORS_A_TASK) + 1)
+        for size in range(1, min(body.accelerators, MAX_ACCELERATORS_PER_TASK) + 1)
         if body.accelerators % size == 0
     )
     count = body.accelerators // size
@@ -158,11 +160,11 @@
 
 
 def job_id_of(account: str, request: str) -> str:
-    """The id of the job that an account calls by a name."""
+    """The job id for an account's request name."""
     return hashlib.sha256(f"{account}/{request}".encode()).hexdigest()[:JOB_ID_DIGITS]
 
 
-def _account_of(request: Request, configuration: PoolConfiguration) -> ClientAccount:
+def _authenticate(request: Request, configuration: PoolConfiguration) -> ClientAccount:
     token = request.bearer
     for account in configuration.accounts:
         if token and token in account.keys:
@@ -175,12 +177,12 @@
     for queue in configuration.queues:
         if queue.priority == priority:
             return queue
-    raise SaddlestackError(ErrorKind.NOT_FOUND, f"no queue takes {job_class.value} jobs")
+    raise SaddlestackError(ErrorKind.NOT_FOUND, f"no queue accepts {job_class.value} jobs")
 
 
 def _class_of(priority: int) -> JobClass:
     return next((c for c, p in _PRIORITIES.items() if p == priority), JobClass.BULK)
 
 
-def _unknown(name: str) -> SaddlestackError:
+def _not_found(name: str) -> SaddlestackError:
     return SaddlestackError(ErrorKind.NOT_FOUND, f"no job {name}")
--- a/src/saddlestack/control/jobcodec.py
+++ b/src/saddlestack/control/jobcodec.py
@@ -1,7 +1,7 @@
-"""Reads what saddlestack keeps of jobs: as they were accepted, and how far each occurrence is.
+"""Decodes and validates stored job records: the accepted job, and the progress of each occurrence.
 
-Another writer may have got at a record. What does not hold together is refused whole: a job that is
-run on half of its progress would run again what is done.
+Another writer may have changed a record. An inconsistent record is rejected as a whole: a job that
+continued from part of its progress would repeat work that is done.
 """
 
 from __future__ import annotations
@@ -24,27 +24,27 @@
 
 
 def decode_job(job_id: str, value: bytes) -> AcceptedJob:
-    """The job that is kept under an id.
+    """Decode the record of an accepted job.
 
-    :raises SaddlestackError: there is none.
+    :raises SaddlestackError: it cannot be decoded, is invalid, or belongs to another job id.
     """
     try:
         accepted = from_msgpack(value, AcceptedJob)
     except SaddlestackError as error:
         raise _unreadable(job_id, str(error)) from error
     if accepted.job_id != job_id:
-        raise _unreadable(job_id, "it is another job's")
-    faults = faults_of(accepted.request)
-    if faults:
-        raise _unreadable(job_id, faults[0])
+        raise _unreadable(job_id, "it belongs to another job")
+    problems = faults_of(accepted.request)
+    if problems:
+        raise _unreadable(job_id, problems[0])
     return accepted
 
 
 def decode_occurrence(name: str, value: bytes) -> OccurrenceRecord:
-    """The progress of an occurrence; addresses that spell none are left out.
+    """Decode the progress of an occurrence; malformed worker addresses are dropped.
 
     :param name: of the occurrence, for errors.
-    :raises SaddlestackError: there is none.
+    :raises SaddlestackError: it cannot be decoded.
     """
     try:
         record = from_msgpack(value, OccurrenceRecord)
@@ -59,9 +59,10 @@
 
 
 def check_progress(accepted: AcceptedJob, records: Mapping[int, OccurrenceRecord]) -> None:
-    """Check that progress, by number of the occurrence, is that of a job.
+    """Check that progress records fit a job.
 
-    :raises SaddlestackError: it is not.
+    :param records: by number of the occurrence.
+    :raises SaddlestackError: one does not fit the job's occurrences, steps or tasks.
     """
     steps = accepted.request.steps
     for number, record in records.items():
@@ -72,25 +73,28 @@
             continue
         if len(record.steps) != len(steps):
             raise _unreadable(name, f"expected {len(steps)} steps, got {len(record.steps)}")
-        if not all(_is_of(step, kept) for step, kept in zip(steps, record.steps, strict=True)):
-            raise _unreadable(name, "its tasks are not those of the job")
+        if not all(
+            _matches_step(step, step_record)
+            for step, step_record in zip(steps, record.steps, strict=True)
+        ):
+            raise _unreadable(name, "its tasks do not match those of the job")
 
 
-def _is_of(step: Step, record: StepRecord) -> bool:
-    if len(record.tasks) != step.count or not all(_is_sound(task) for task in record.tasks):
+def _matches_step(step: Step, record: StepRecord) -> bool:
+    if len(record.tasks) != step.count or not all(_is_valid_task(task) for task in record.tasks):
         return False
     return all(
-        0 <= index < step.count and _is_sound_crash(crash)
+        0 <= index < step.count and _is_valid_crash(crash)
         for index, crash in record.crashes.items()
     )
 
 
-def _is_sound_crash(crash: CrashRecord) -> bool:
+def _is_valid_crash(crash: CrashRecord) -> bool:
     finite = math.isfinite(crash.log_odds) and math.isfinite(crash.span_s)
     return finite and crash.crashes > 0 and crash.span_s > 0 and crash.later_starts >= 0
 
 
-def _is_sound(task: TaskRecord) -> bool:
+def _is_valid_task(task: TaskRecord) -> bool:
     placed = task.status is not TaskStatus.ASSIGNED or (task.run > 0 and bool(task.worker))
     return placed and task.run >= 0 and task.failures >= 0
 
@@ -104,5 +108,5 @@
 
 
 def _unreadable(name: str, reason: str) -> SaddlestackError:
-    message = f"what is kept of it cannot be read: {reason}"
+    message = f"the stored record cannot be read: {reason}"
     return SaddlestackError(ErrorKind.INTERNAL, message, where=name)
--- a/src/saddlestack/control/jobs.py
+++ b/src/saddlestack/control/jobs.py
@@ -1,4 +1,4 @@
-"""Accepts, cancels and tells of jobs, on every entry VM."""
+"""Accepts, cancels and queries jobs, on every entry VM."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
 log = logging.getLogger("saddlestack.jobs")
 
 ANSWER_MARGIN_S = 0.15
-"""An answer leaves at least this long before the client stops waiting."""
+"""An answer is sent at least this long before the client stops waiting."""
 RETRY_AFTER_S = 1.0
-PATIENCE_S = 1.2
-PATIENCE_SHARE = 0.45
-"""A call that nothing was written for is refused after this share of its client's time."""
+MAX_STORE_WAIT_S = 1.2
+STORE_WAIT_SHARE = 0.45
+"""A call for which nothing was written is refused after this share of its deadline."""
 
 
 class Jobs:
-    """The clients' calls. What is accepted is in the store before the client hears of it."""
+    """Handles clients' calls. An accepted job is in the store before the client gets an answer."""
 
     def __init__(self, context: EntryContext, access: StoreAccess, leader_rpc: LeaderRpc) -> None:
         self._access = access
@@ -36,20 +36,21 @@
         self._clock = context.clock
 
     async def submit(self, call: ClientCall, job_id: str, request: JobRequest) -> AcceptedJob:
-        """Accept a job, or find it accepted.
+        """Accept a job, or return it if it was accepted before.
 
-        :raises SaddlestackError: invalid; not taken, and never to run; or not known.
+        :raises SaddlestackError: the job is invalid; or it was not accepted and will never run; or
+            it is unknown whether it was accepted.
         """
-        faults = faults_of(request)
-        if faults:
-            raise invalid("; ".join(faults), "body")
-        accepted = self._accepted(call, job_id, request)
+        problems = faults_of(request)
+        if problems:
+            raise invalid("; ".join(problems), "body")
+        accepted = self._build_job(call, job_id, request)
         began = self._clock.now()
         answer = await self._create(call, keys.job_key(job_id), to_msgpack(accepted), job_id)
         if answer.created:
             self._leader_rpc.notify(Item(keys.job_key(job_id), answer.value, answer.revision))
         else:
-            accepted = _known(answer.value, call, job_id)
+            accepted = _decode_own_job(answer.value, call, job_id)
         self._metrics.time("accept", self._clock.now() - began)
         self._metrics.count("jobs_accepted" if answer.created else "jobs_repeated")
         log.info(
@@ -62,66 +63,70 @@
                 "priority": accepted.priority,
                 "stretch": accepted.stretch,
                 "target_ms": accepted.target_ms,
-                "steps": [_shape(step) for step in accepted.request.steps],
+                "steps": [_describe_step(step) for step in accepted.request.steps],
                 "repeat": not answer.created,
             },
         )
         return accepted
 
     async def accepted(self, call: ClientCall, job_id: str) -> AcceptedJob | None:
-        """A job as it was accepted; ``None`` where no such job exists."""
+        """A job as it was accepted; ``None`` if no such job exists."""
         value = await self._read(call, keys.job_key(job_id))
-        return None if value is None else _known(value, call, job_id)
+        return None if value is None else _decode_own_job(value, call, job_id)
 
     async def state(self, call: ClientCall, job_id: str) -> JobState | None:
-        """A job's state; ``None`` where no such job exists."""
+        """A job's state; ``None`` if no such job exists."""
         try:
             state = await self._leader_rpc.state(job_id, call.account)
             if state is not None:
                 return state
         except LeaderUnavailable as error:
             log.info(
-                "state is read from the store",
+                "reading state from the store",
                 extra={"event": "state_from_store", "job": job_id, "reason": str(error)},
             )
         return await self._state_in_store(call, job_id)
 
     async def waits(self, call: ClientCall, job_id: str) -> str | None:
-        """What a job waits for; ``None`` where something of it runs, or that is not known."""
+        """What a job waits for, or why it failed; ``None`` if it does not wait or it is unknown."""
         try:
             return await self._leader_rpc.waits(job_id, call.account)
         except LeaderUnavailable as error:
             log.info(
-                "nobody tells what a job waits for",
+                "reason of wait is unknown",
                 extra={"event": "wait_not_known", "job": job_id, "reason": str(error)},
             )
             return None
 
     async def cancel(self, call: ClientCall, job_id: str) -> bool:
-        """Cancel a job; ``False`` where no such job exists."""
+        """Cancel a job; ``False`` if no such job exists."""
         value = await self._read(call, keys.job_key(job_id))
         if value is None:
             return False
-        _known(value, call, job_id)
+        _decode_own_job(value, call, job_id)
         answer = await self._create(call, keys.cancel_key(job_id), call.account.encode(), job_id)
         self._leader_rpc.notify(Item(keys.cancel_key(job_id), answer.value, answer.revision))
         log.info("cancelled", extra={"event": "cancelled", "job": job_id})
         return True
 
     async def clear(self, call: ClientCall, job_id: str) -> int:
-        """Hold the tasks of a job to be sound, though workers crashed under them.
+        """Clear the tasks of a job of the suspicion that they crash their workers.
 
-        :raises SaddlestackError: nobody leads.
+        :return: how many tasks were suspects.
+        :raises SaddlestackError: no leader is available.
         """
         try:
             return await self._leader_rpc.clear(job_id, call.account)
         except LeaderUnavailable as error:
             raise SaddlestackError(
-                ErrorKind.CELL_UNAVAILABLE, f"nobody leads: {error}", retry_after=1
+                ErrorKind.CELL_UNAVAILABLE, f"no leader is available: {error}", retry_after=1
             ) from error
 
     async def pending(self, call: ClientCall) -> int:
-        """Accepted jobs of a queue none of whose tasks has begun."""
+        """The number of accepted jobs of a queue none of whose tasks has started.
+
+        :raises SaddlestackError: no leader is available.
+        """
         try:
             return await self._leader_rpc.pending(call.queue.name)
         except LeaderUnavailable as error:
@@ -129,7 +134,7 @@
                 ErrorKind.CELL_UNAVAILABLE, str(error), retry_after=RETRY_AFTER_S
             ) from error
 
-    def _accepted(self, call: ClientCall, job_id: str, request: JobRequest) -> AcceptedJob:
+    def _build_job(self, call: ClientCall, job_id: str, request: JobRequest) -> AcceptedJob:
         queue = call.queue
         return AcceptedJob(
             job_id=job_id,
@@ -148,7 +153,7 @@
         value = await self._read(call, keys.job_key(job_id))
         if value is None:
             return None
-        accepted = _known(value, call, job_id)
+        accepted = _decode_own_job(value, call, job_id)
         records: dict[int, OccurrenceRecord] = {}
         for number in range(accepted.request.occurrences):
             progress = await self._read(call, keys.progress_key(f"{job_id}.{number}"))
@@ -160,23 +165,24 @@
         return job.state
 
     async def _read(self, call: ClientCall, key: str) -> bytes | None:
-        """A key's value; ``None`` where it is absent.
+        """A key's value; ``None`` if it is absent.
 
         :raises SaddlestackError: the store was not reached in time.
         """
         try:
-            item = await self._access.get(key, self._until(call))
+            item = await self._access.get(key, self._read_deadline(call))
         except OutOfReach as error:
             raise _unavailable(error) from error
         return item.value if item.revision else None
 
     async def _create(self, call: ClientCall, key: str, value: bytes, job_id: str) -> KeyAnswer:
-        """Create a key, or find it there.
+        """Create a key, or return the existing one.
 
-        :raises SaddlestackError: not created, and never to be; or not known.
+        :raises SaddlestackError: the key was not created and will not be; or it is unknown whether
+            it was created.
         """
         try:
-            return await self._access.create(key, value, self._patience(call))
+            return await self._access.create(key, value, self._write_deadline(call))
         except OutOfReach as error:
             log.warning(
                 "not written",
@@ -193,18 +199,18 @@
                 raise SaddlestackError(ErrorKind.OUTCOME_UNKNOWN, error.reason) from error
             raise _unavailable(error) from error
 
-    def _patience(self, call: ClientCall) -> float:
-        """Until when a call waits for the store before it is refused as not taken."""
-        return self._clock.now() + min(PATIENCE_S, call.deadline_s * PATIENCE_SHARE)
+    def _write_deadline(self, call: ClientCall) -> float:
+        """Until when a write waits for the store before the call is refused as not accepted."""
+        return self._clock.now() + min(MAX_STORE_WAIT_S, call.deadline_s * STORE_WAIT_SHARE)
 
-    def _until(self, call: ClientCall) -> float:
+    def _read_deadline(self, call: ClientCall) -> float:
         return self._clock.now() + call.deadline_s - ANSWER_MARGIN_S
 
 
-def _shape(step: Step) -> str:
+def _describe_step(step: Step) -> str:
     needs = step.needs
     text = f"{step.count}x{needs.accelerators}acc/{needs.cpu}cpu/{needs.memory_mb}mb"
-    marks = [
+    flags = [
         name
         for name, holds in (
             ("gang", step.gang),
@@ -214,17 +220,17 @@
         )
         if holds
     ]
-    return " ".join([text, f"{step.estimate_ms}ms", *marks, step.data_rack, step.label]).strip()
+    return " ".join([text, f"{step.estimate_ms}ms", *flags, step.data_rack, step.label]).strip()
 
 
-def _known(value: bytes, call: ClientCall, job_id: str) -> AcceptedJob:
-    """The job that is kept under an id.
+def _decode_own_job(value: bytes, call: ClientCall, job_id: str) -> AcceptedJob:
+    """Decode the stored record of a job, for a caller that may see it.
 
-    :raises SaddlestackError: it is another client account's, or cannot be read.
+    :raises SaddlestackError: it belongs to another client account, or cannot be read.
     """
     accepted = jobcodec.decode_job(job_id, value)
     if call.account and accepted.account and accepted.account != call.account:
-        raise SaddlestackError(ErrorKind.FORBIDDEN, f"job {job_id} is another account's")
+        raise SaddlestackError(ErrorKind.FORBIDDEN, f"job {job_id} belongs to another account")
     return accepted
 
 
--- a/src/saddlestack/control/journal.py
+++ b/src/saddlestack/control/journal.py
@@ -1,4 +1,4 @@
-"""Writes the leader's records, each guarded by the leadership and by its own revision."""
+"""Writes the leader's records, on condition that it still leads and that no record has changed."""
 
 from __future__ import annotations
 
@@ -25,32 +25,32 @@
 log = logging.getLogger("saddlestack.journal")
 
 MAX_RECORDS_PER_WRITE = 15
-"""A transaction has at most 32 entries: the guard, and two for each record."""
-KEYS_A_REMOVAL = 31
+"""A transaction has at most 32 entries: the leadership condition, and two for each record."""
+MAX_KEYS_PER_REMOVAL = 31
 FIRST_RETRY_S = 0.03
 LONGEST_RETRY_S = 0.5
-MOST_DOUBLINGS = 4
-LONGEST_TRY_S = 4.0
-"""A try waits twice as long for its answer as the one before, up to this. The first waits as long
-as a heartbeat may take..."""
+MAX_DOUBLINGS = 4
+MAX_TRY_S = 4.0
+"""Each try waits twice as long for its answer as the one before, up to this. The first waits as
+long as a heartbeat of the store may take..."""
 LINK_BYTES_S = 1_000_000
-"""...and each longer by what its records take at 10 Mbit/s, the narrowest link of a VM, less the
-base64 around them: a record of 10,000 tasks has 0.4 MB."""
+"""...and each waits longer by the time its records take to send at 10 Mbit/s, the slowest link of a
+VM, less the overhead of base64: a record of 10,000 tasks has 0.4 MB."""
 
 
 class LeadershipLost(Exception):
-    """Another leader has taken over: nothing more can be written."""
+    """Another leader has taken over, so that nothing more can be written."""
 
 
 class RetriesExhausted(Exception):
-    """A write was not answered as often as it might be tried; it may still be done."""
+    """A write was not answered within the allowed tries; it may still be applied."""
 
 
 class Journal:
-    """The records of one term.
+    """Writes the records of one term.
 
-    A write that was not answered may still be done while its conditions hold. It is repeated
-    under the same conditions until one of the two is known to have been done, so an older
+    A write that was not answered may still be applied while its conditions hold. It is repeated
+    under the same conditions until one of the two is known to have been applied, so an older
     write can never follow a newer one.
 
     :param fence: revision of the leader key in this term.
@@ -62,19 +62,19 @@
         self._revisions: dict[str, int] = {}
         self._invalid_records = InvalidRecords(context.metrics, "progress")
 
-    def known(self, item: Item) -> None:
-        """Note a record that was read."""
+    def note_revision(self, item: Item) -> None:
+        """Note the revision of a record that was read."""
         self._revisions[item.key] = item.revision
 
     async def commit(self, records: Mapping[str, bytes], tries: float = math.inf) -> None:
         """Write records, by key; returns when all are in the store.
 
-        What is given up after some tries may be committed again, whole or in parts: the store does
-        no more than one of two writes that expect the same revisions.
+        After :exc:`RetriesExhausted` the records may be committed again, together or in parts: of
+        two writes that expect the same revisions the store applies at most one.
 
-        :param tries: of each transaction.
+        :param tries: how often each transaction is tried.
         :raises LeadershipLost: another leader has taken over.
-        :raises RetriesExhausted: not one of the tries was answered.
+        :raises RetriesExhausted: none of the tries was answered.
         """
         keys = list(records)
         for start in range(0, len(keys), MAX_RECORDS_PER_WRITE):
@@ -82,10 +82,10 @@
             await self._write(part, tries)
 
     async def remove(self, names: Sequence[str]) -> bool:
-        """Remove keys; ``False`` where that is to be tried again later."""
+        """Remove keys; ``False`` if that failed and has to be tried again later."""
         guard = ((LEADER, self._fence),)
-        for start in range(0, len(names), KEYS_A_REMOVAL):
-            part = tuple(names[start : start + KEYS_A_REMOVAL])
+        for start in range(0, len(names), MAX_KEYS_PER_REMOVAL):
+            part = tuple(names[start : start + MAX_KEYS_PER_REMOVAL])
             try:
                 outcome = await self._context.store.transact(Transaction(guard, deletes=part))
             except (StoreUnavailable, WriteInDoubt, LeaseExpired):
@@ -102,7 +102,7 @@
         failures = 0
         while True:
             try:
-                async with asyncio.timeout(self._patience_s(failures) + sending_s):
+                async with asyncio.timeout(self._try_timeout_s(failures) + sending_s):
                     outcome = await self._context.store.transact(transaction)
             except LeaseExpired as error:
                 raise LeadershipLost from error
@@ -110,7 +110,7 @@
                 failures += 1
                 if failures == 1:
                     log.warning(
-                        "records wait for the store",
+                        "write to the store was not answered",
                         extra={"event": "journal_waits", "reason": type(error).__name__},
                     )
                 if failures >= tries:
@@ -123,39 +123,39 @@
                 for key in records:
                     self._revisions[key] = outcome.revision
                 return
-            if self._settle(outcome, records):
+            if self._resolve_conflict(outcome, records):
                 return
             transaction = self._transaction(records)
 
-    def _patience_s(self, failures: int) -> float:
-        """How long a try waits for its answer after so many without one."""
-        doubled = self._context.health.overdue_after_s * float(2 ** min(failures, MOST_DOUBLINGS))
-        return min(LONGEST_TRY_S, doubled)
+    def _try_timeout_s(self, failures: int) -> float:
+        """How long a try waits for its answer after some failures, without the time to send it."""
+        doubled = self._context.health.overdue_after_s * float(2 ** min(failures, MAX_DOUBLINGS))
+        return min(MAX_TRY_S, doubled)
 
     def _transaction(self, records: Mapping[str, bytes]) -> Transaction:
         guard = ((LEADER, self._fence),)
-        own = tuple((key, self._revisions.get(key, 0)) for key in records)
+        expected = tuple((key, self._revisions.get(key, 0)) for key in records)
         puts = tuple(Put(key, value) for key, value in records.items())
-        return Transaction(expect=guard + own, puts=puts)
+        return Transaction(expect=guard + expected, puts=puts)
 
-    def _settle(self, conflict: Conflict, records: Mapping[str, bytes]) -> bool:
-        """Whether an earlier try of the same write was done after all.
+    def _resolve_conflict(self, conflict: Conflict, records: Mapping[str, bytes]) -> bool:
+        """Whether a conflict means that an earlier try of the same write was applied.
 
-        Otherwise somebody who does not lead has changed a record of ours. What it holds is known
-        here alone, so it is written again over what is there now; no earlier try can be done any
-        more, since it expects what was there before.
+        Otherwise another writer, which does not lead, has changed a record. Only the leader knows
+        its true content, so the record is overwritten at its present revision; no earlier try can
+        be applied any more, since it expects the former revision.
 
-        :raises LeadershipLost: somebody else leads.
+        :raises LeadershipLost: another VM leads.
         """
         present = {item.key: item for item in conflict.items}
         leader = present.get(LEADER)
         if leader is None or leader.revision != self._fence:
             raise LeadershipLost
-        done = True
+        is_done = True
         for key, value in records.items():
             item = present.get(key, Item(key, b"", 0))
             self._revisions[key] = item.revision
             if not item.revision or item.value != value:
-                done = False
-                self._invalid_records.report(key, "somebody else has changed it")
-        return done
+                is_done = False
+                self._invalid_records.report(key, "changed by another writer")
+        return is_done
--- a/src/saddlestack/control/reports.py
+++ b/src/saddlestack/control/reports.py
@@ -1,6 +1,6 @@
-"""What a worker's answers tell of its runs, and which of them may be believed.
+"""Applies the reports of a worker to its runs, and ignores what is out of date in them.
 
-Answers on different connections pass each other, and orders may be under way meanwhile.
+Answers on different connections may arrive out of order, and orders may be in flight meanwhile.
 """
 
 from __future__ import annotations
@@ -24,97 +24,102 @@
 
 
 class ReportHandler:
-    """The reports of one life of a worker.
+    """Handles the reports of one incarnation of a worker.
 
-    A run's fate is taken from the worker's own account only: its end, or a report, asked for
-    after the last order about the run was answered, that knows nothing of it.
+    A run counts as over only by the worker's own account: its reported end, or a report that does
+    not list it and was requested after the last order about the run was answered.
 
-    :ivar seen: ends up to this number the worker may forget.
+    :ivar seen: the worker may forget ended runs up to this number.
     """
 
     def __init__(self, worker: Worker, owner: SessionOwner, clock: Clock) -> None:
         self._worker = worker
         self._owner = owner
         self._clock = clock
-        self._in_hand: set[RunKey] = set()
-        self._settled: dict[RunKey, float] = {}
-        self._noted = 0
-        self._ended_jobs: set[str] = set()
-        self._ended_s = -math.inf
+        self._open_orders: set[RunKey] = set()
+        self._closed_s: dict[RunKey, float] = {}
+        self._last_end = 0
+        self._jobs_with_ends: set[str] = set()
+        self._last_end_s = -math.inf
         self.seen = 0
 
     # Orders
 
-    def ordered(self, key: RunKey) -> None:
-        """An order about a run is open: no report tells whether it is there."""
-        self._in_hand.add(key)
+    def order_opened(self, key: RunKey) -> None:
+        """Note an unanswered order about a run; until it is closed, reports don't decide on it."""
+        self._open_orders.add(key)
 
-    def settle(self, key: RunKey) -> None:
-        """No order about the run is open: reports asked for from now on tell of it."""
-        self._in_hand.discard(key)
-        self._settled[key] = self._clock.now()
+    def order_closed(self, key: RunKey) -> None:
+        """Note that no order about a run is open: reports requested from now on decide on it."""
+        self._open_orders.discard(key)
+        self._closed_s[key] = self._clock.now()
 
-    def settle_open(self, key: RunKey) -> None:
-        """As :meth:`settle`, unless the run was settled before."""
-        if key in self._in_hand:
-            self.settle(key)
+    def close_open_order(self, key: RunKey) -> None:
+        """As :meth:`order_closed`, unless no order about the run is open."""
+        if key in self._open_orders:
+            self.order_closed(key)
 
-    def withdrawn(self, key: RunKey) -> None:
-        """The order about a run is not given after all."""
-        self._in_hand.discard(key)
+    def order_withdrawn(self, key: RunKey) -> None:
+        """Note that an order about a run was never carried out."""
+        self._open_orders.discard(key)
 
-    def clear(self) -> None:
-        """Nothing runs there any more."""
-        self._in_hand.clear()
+    def clear_orders(self) -> None:
+        """Drop all open orders, since nothing runs on the worker any more."""
+        self._open_orders.clear()
 
-    # What is still to be heard
+    # Outstanding reports
 
     @property
-    def awaited(self) -> bool:
-        """Whether a report is wanted at once: of inherited runs, or to have ends forgotten."""
-        return self.seen != self._noted or any(
-            run.inherited and key not in self._settled for key, run in self._worker.runs.items()
+    def needs_report_now(self) -> bool:
+        """Whether to poll without waiting: for inherited runs, or to acknowledge ends."""
+        return self.seen != self._last_end or any(
+            run.inherited and key not in self._closed_s for key, run in self._worker.runs.items()
         )
 
     @property
-    def idle(self) -> bool:
-        """Whether no order is open and every end was forgotten by the worker."""
-        return self.seen == self._noted and not self._in_hand
+    def is_idle(self) -> bool:
+        """Whether no order is open and every end was acknowledged."""
+        return self.seen == self._last_end and not self._open_orders
 
     # Reports
 
-    def take(self, report: WorkerReport, asked: float) -> None:
-        """Pass on what a report tells.
+    def handle(self, report: WorkerReport, asked_s: float) -> None:
+        """Apply a report to the worker's runs.
 
-        :param asked: when it was asked for.
+        :param asked_s: when the report was requested.
         """
         now = self._clock.now()
         cluster_state = self._owner.cluster_state
-        cluster_state.worker_reported(self._worker.worker_id, self._still_true(report, asked), now)
-        fresh = [end for end in report.ended if end.number > self._noted]
-        for end in fresh:
-            self._ended(end, now)
-        self._judge(report, asked, now)
-        if fresh or cluster_state.has_changes:
+        cluster_state.worker_reported(
+            self._worker.worker_id, self._current_rows(report, asked_s), now
+        )
+        new_ends = [end for end in report.ended if end.number > self._last_end]
+        for end in new_ends:
+            self._on_ended(end, now)
+        self._reconcile(report, asked_s, now)
+        if new_ends or cluster_state.has_changes:
             self._owner.reschedule()
 
     async def acknowledge(self) -> None:
-        """Let the worker forget its ends, once the store has them."""
-        noted = self._noted
-        if noted <= self.seen:
+        """Acknowledge the reported ends to the worker, once they are in the store.
+
+        Returns after :data:`COMMIT_WAIT_S` at the latest; a later call then acknowledges them.
+        """
+        last_end = self._last_end
+        if last_end <= self.seen:
             return
         try:
             async with asyncio.timeout(COMMIT_WAIT_S):
-                await self._owner.wait_written(frozenset(self._ended_jobs))
+                await self._owner.wait_written(frozenset(self._jobs_with_ends))
         except TimeoutError:
             return
-        self.seen = max(self.seen, noted)
-        if noted == self._noted:
-            self._ended_jobs.clear()
-        for key in [key for key in self._settled if key not in self._worker.runs]:
-            del self._settled[key]
+        self.seen = max(self.seen, last_end)
+        if last_end == self._last_end:
+            self._jobs_with_ends.clear()
+        for key in [key for key in self._closed_s if key not in self._worker.runs]:
+            del self._closed_s[key]
 
-    def _ended(self, end: EndedTask, now: float) -> None:
+    def _on_ended(self, end: EndedTask, now: float) -> None:
         log.info(
             "run ended",
             extra={
@@ -126,44 +131,44 @@
             },
         )
         self._owner.cluster_state.run_ended(self._worker.worker_id, end, now)
-        self._ended_s = now
-        self._noted = max(self._noted, end.number)
-        self._ended_jobs.add(TaskName.parse(end.task).job_id)
+        self._last_end_s = now
+        self._last_end = max(self._last_end, end.number)
+        self._jobs_with_ends.add(TaskName.parse(end.task).job_id)
 
-    def _still_true(self, report: WorkerReport, asked: float) -> Sequence[RunningTask]:
-        """What a report lists as running, without runs whose end has been heard since it was asked.
+    def _current_rows(self, report: WorkerReport, asked_s: float) -> Sequence[RunningTask]:
+        """The runs a report lists, without those whose end arrived since it was requested.
 
-        Such a run is not one that is unknown.
+        Such a run would otherwise count as unknown and be stopped.
         """
-        if asked >= self._ended_s:
+        if asked_s >= self._last_end_s:
             return report.running
-        known = {(str(name), number) for name, number in self._worker.runs}
-        return [row for row in report.running if (row.task, row.run) in known]
+        known_runs = {(str(name), number) for name, number in self._worker.runs}
+        return [row for row in report.running if (row.task, row.run) in known_runs]
 
-    def _judge(self, report: WorkerReport, asked: float, now: float) -> None:
-        """Note which runs are there, and which never began."""
+    def _reconcile(self, report: WorkerReport, asked_s: float, now: float) -> None:
+        """Mark the runs that are present as started, and end those that are not there."""
         present = {(row.task, row.run) for row in report.running}
         for key, run in list(self._worker.runs.items()):
-            if key in self._in_hand:
+            if key in self._open_orders:
                 continue
             if (str(key[0]), key[1]) in present:
-                self._settled.setdefault(key, now)
+                self._closed_s.setdefault(key, now)
                 if run.started_s is None:
                     self._owner.cluster_state.run_started(run, now)
-            elif not report.more and self._is_told_of(key, run, asked):
-                # Where there are more ends, that of an absent run may be among them.
-                self._absent(key, run, now - asked)
-
-    def _is_told_of(self, key: RunKey, run: Run, asked: float) -> bool:
-        """Whether a report would list a run if it were there."""
-        settled = self._settled.get(key)
-        if settled is None:
+            elif not report.more and self._would_be_listed(key, run, asked_s):
+                # If the worker has more ends to report, that of an absent run may be among them.
+                self._on_absent(key, run, now - asked_s)
+
+    def _would_be_listed(self, key: RunKey, run: Run, asked_s: float) -> bool:
+        """Whether a report requested at some time would list a run that is present."""
+        closed_s = self._closed_s.get(key)
+        if closed_s is None:
             return run.inherited
-        return settled <= asked
+        return closed_s <= asked_s
 
-    def _absent(self, key: RunKey, run: Run, age_s: float) -> None:
+    def _on_absent(self, key: RunKey, run: Run, age_s: float) -> None:
         log.info(
-            "run is not there",
+            "run is absent",
             extra={
                 "event": "run_absent",
                 "task": str(key[0]),
--- a/src/saddlestack/control/sessions.py
+++ b/src/saddlestack/control/sessions.py
@@ -1,4 +1,4 @@
-"""The sessions of one term, one for each life of a worker, and the orders that they pass on."""
+"""The worker sessions of one term, one for each incarnation of a worker."""
 
 from __future__ import annotations
 
@@ -20,16 +20,16 @@
 
 OPEN_BATCH_SIZE = 64
 OPEN_BATCH_PAUSE_S = 0.02
-"""A first look costs some 1 ms of a core: a new leader that opened 3,000 sessions at once came to
-nothing else for longer than its lease of 1 s, its renewals included. So paced it takes that long,
-and each renewal waits for one batch."""
+"""Pause between batches of new sessions. A first poll costs about 1 ms of a core: a new leader that
+opened 3,000 sessions at once did nothing else, renewals included, for longer than its lease of 1 s.
+In batches it takes as long, but each renewal waits for one batch only."""
 
 
 class Sessions:
-    """Opens sessions where they are needed, and passes orders on.
+    """Opens sessions with workers as needed, and routes orders to them.
 
-    :param owner: the scheduler whose board they serve.
-    :param leases: what was granted to workers in this term and before.
+    :param owner: the scheduler whose workers they serve.
+    :param leases: leases that were granted to workers in this term and before.
     """
 
     def __init__(self, context: EntryContext, owner: SessionOwner, leases: Leases) -> None:
@@ -39,48 +39,48 @@
         self._tasks = TaskGroup("sessions")
         self._leases = leases
         self._unanswered_starts = UnansweredStarts()
-        self._opening = False
+        self._is_opening = False
 
     def __len__(self) -> int:
         return len(self._sessions)
 
     def __iter__(self) -> Iterator[str]:
-        """The workers that are dealt with, by id."""
+        """The ids of the workers that have a session."""
         return iter(self._sessions)
 
     async def stop(self) -> None:
-        """End all dealings with workers."""
+        """End all sessions."""
         await self._tasks.cancel()
         for session in list(self._sessions.values()):
             await session.close()
 
     def open(self) -> None:
-        """Have a session with every worker that runs something; many are opened in batches."""
-        if self._opening:
+        """Open a session with every worker that has runs; many are opened in batches."""
+        if self._is_opening:
             return
-        due = self._without_session()
-        self._open_some(due)
-        if len(due) > OPEN_BATCH_SIZE:
-            self._opening = True
-            self._tasks.spawn(self._open_rest())
+        unopened = self._workers_without_session()
+        self._open_batch(unopened)
+        if len(unopened) > OPEN_BATCH_SIZE:
+            self._is_opening = True
+            self._tasks.spawn(self._open_remaining())
 
-    async def _open_rest(self) -> None:
+    async def _open_remaining(self) -> None:
         try:
-            while due := self._without_session():
+            while unopened := self._workers_without_session():
                 await asyncio.sleep(OPEN_BATCH_PAUSE_S)
-                self._open_some(due)
+                self._open_batch(unopened)
         finally:
-            self._opening = False
+            self._is_opening = False
 
-    def _without_session(self) -> list[Worker]:
-        """Workers that run something, and that nobody looks at."""
+    def _workers_without_session(self) -> list[Worker]:
+        """Workers that have runs and an address, but no open session."""
         workers = self._owner.cluster_state.workers.values()
         busy = (worker for worker in workers if worker.runs and worker.record.address)
         return [worker for worker in busy if not self._is_open(worker)]
 
-    def _open_some(self, workers: list[Worker]) -> None:
+    def _open_batch(self, workers: list[Worker]) -> None:
         for worker in workers[:OPEN_BATCH_SIZE]:
-            self._session(worker.worker_id)
+            self._session_with(worker.worker_id)
 
     def _is_open(self, worker: Worker) -> bool:
         session = self._sessions.get(worker.worker_id)
@@ -93,41 +93,41 @@
             self._tasks.spawn(session.close())
 
     def close_orphaned(self) -> None:
-        """End the sessions with lives that are over and of which no record tells any more."""
+        """End the sessions with incarnations that are over and no longer have a record."""
         for worker_id in [
             each for each in self._sessions if each not in self._owner.cluster_state.workers
         ]:
             self.close(worker_id)
 
     def suspect(self, hall: str) -> None:
-        """Give nothing new to the workers of a hall until each has been heard again."""
+        """Start nothing on the workers of a data hall until each has answered again."""
         for worker in list(self._owner.cluster_state.workers.values()):
             if worker.record.data_hall == hall and worker.listed:
                 self.suspect_worker(worker)
 
     def suspect_worker(self, worker: Worker) -> None:
-        """Give nothing new to a worker until it has been heard again."""
-        session = self._session(worker.worker_id)
+        """Start nothing on a worker until it has answered again."""
+        session = self._session_with(worker.worker_id)
         if session is not None:
             session.suspect()
 
-    def revoke_starts(self, life: str) -> None:
-        """Have the life after another refuse the starts that the other may not have carried out.
+    def revoke_starts(self, incarnation: str) -> None:
+        """Make a new incarnation refuse starts that its predecessor may not have carried out.
 
-        A look tells it the present fencing token, which it does not know of before, so that it
-        refuses those of earlier leaders; those of this one are stopped.
+        A poll gives it the present fencing token, which a new incarnation lacks, so that it refuses
+        the starts of earlier leaders. The unanswered starts of this leader are stopped one by one.
         """
-        session = self._session(life)
+        session = self._session_with(incarnation)
         if session is None:
             return
         session.suspect()
-        for task, number in self._unanswered_starts.pending(life, self._context.clock.now()):
+        for task, number in self._unanswered_starts.pending(incarnation, self._context.clock.now()):
             session.stop(task, number)
 
-    def order_start(self, start: Start, news_s: float) -> bool:
-        """Order a run to start; ``False`` where its worker is gone.
+    def order_start(self, start: Start, feed_age_s: float) -> bool:
+        """Order a run to start; ``False`` if its worker is gone.
 
-        :param news_s: how old the news of workers may be that the start rests on.
+        :param feed_age_s: how old the worker records behind the decision may be.
         """
         run = start.run
         log.info(
@@ -137,10 +137,10 @@
                 "task": str(run.task.name),
                 "run": run.number,
                 "worker": run.worker_id,
-                "news_s": round(news_s, 2),
+                "news_s": round(feed_age_s, 2),
             },
         )
-        session = self._session(run.worker_id)
+        session = self._session_with(run.worker_id)
         if session is None:
             return False
         session.start(start)
@@ -148,7 +148,7 @@
 
     def order_stop(self, stop: Stop) -> None:
         """Order a run to stop."""
-        session = self._session(stop.worker_id)
+        session = self._session_with(stop.worker_id)
         if session is not None:
             session.stop(stop.task, stop.number)
         log.info(
@@ -164,8 +164,8 @@
         )
 
     def order_pace(self, pace: Pace) -> None:
-        """Order a run to work at a share of its full speed."""
-        session = self._session(pace.run.worker_id)
+        """Order a run to work at a percentage of its full speed."""
+        session = self._session_with(pace.run.worker_id)
         if session is not None:
             session.pace(pace.run, pace.percent)
         log.info(
@@ -178,10 +178,10 @@
             },
         )
 
-    def _session(self, worker_id: str) -> WorkerSession | None:
-        """The session with a worker's present life; ``None`` where it cannot be reached.
+    def _session_with(self, worker_id: str) -> WorkerSession | None:
+        """The session with a worker, opened if needed; ``None`` if the worker has no address.
 
-        A new one orders the stops again that found no way to the worker before.
+        A new session repeats the stops of runs that are still stopping.
         """
         worker = self._owner.cluster_state.workers.get(worker_id)
         if worker is not None and self._is_open(worker):
--- a/src/saddlestack/control/storedjobs.py
+++ b/src/saddlestack/control/storedjobs.py
@@ -1,7 +1,7 @@
-"""The jobs that the store has, as the leader of one term reads, keeps and forgets them.
+"""Loads jobs from the store, applies new requests and removes expired jobs, for one term.
 
-A job of which something cannot be read is left as it is for the whole term: neither is it known
-what of it is done, nor does a record that is repaired meanwhile tell what was done since.
+A job with an unreadable record is not touched for the whole term: it is unknown what is already
+done, and a record that is repaired meanwhile does not say what was done since.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 
 log = logging.getLogger("saddlestack.requests")
 
-LOAD_RETRY_S = 0.2
-FORGOTTEN_A_TICK = 5
-MOST_FORGOTTEN = 5_000
-"""Jobs whose removal is remembered, 0.5 MB: at 5 a tick of 0.5 s those of 500 s, longer than any
-listing is under way."""
+LOAD_RETRY_DELAY_S = 0.2
+MAX_REMOVALS_PER_TICK = 5
+MAX_REMOVED_JOBS = 5_000
+"""Removed jobs that are remembered, in 0.5 MB. At 5 removals per tick of 0.5 s these are the
+removals of 500 s, which is longer than any listing takes."""
 
 
 class StoredJobs:
-    """Clients' requests and the progress of jobs, between the store and a board."""
+    """Keeps the jobs of a scheduler in step with the requests and the progress in the store."""
 
     def __init__(
         self, context: EntryContext, cluster_state: ClusterState, journal: Journal
@@ -39,21 +39,21 @@
         self._journal = journal
         self._invalid_records = InvalidRecords(context.metrics, "job")
         self._records: dict[str, dict[int, OccurrenceRecord]] = {}
-        self._left_alone: set[str] = set()
+        self._unreadable_jobs: set[str] = set()
         self._revisions: dict[str, int] = {}
-        self._forgotten: dict[str, int] = {}
-        self._begun = False
+        self._removed_revisions: dict[str, int] = {}
+        self._is_loaded = False
 
     async def load(self) -> None:
-        """Read the progress of all jobs, which earlier leaders have written."""
+        """Read the progress that earlier leaders have written; retries until the store answers."""
         while True:
             try:
                 listing = await self._context.store.list(keys.PROGRESS)
                 break
             except StoreUnavailable:
-                await self._context.health.wait_for_recovery(LOAD_RETRY_S)
+                await self._context.health.wait_for_recovery(LOAD_RETRY_DELAY_S)
         for item in listing.items:
-            self._journal.known(item)
+            self._journal.note_revision(item)
             self._load(item)
 
     def _load(self, item: Item) -> None:
@@ -69,14 +69,14 @@
             )
         except SaddlestackError as error:
             self._invalid_records.report(item.key, str(error))
-            self._left_alone.add(job_id)
+            self._unreadable_jobs.add(job_id)
 
-    def begin(self) -> None:
-        """All that was there is read: a job that comes from now on has no progress yet."""
-        self._begun = True
+    def finish_loading(self) -> None:
+        """Note that everything has been read: a job that is applied after this has no progress."""
+        self._is_loaded = True
 
-    def take(self, items: Iterable[Item]) -> set[str]:
-        """Take over requests that were written; the services whose workers they ask for."""
+    def apply(self, items: Iterable[Item]) -> set[str]:
+        """Apply requests that were written; returns the services of the accepted jobs."""
         cancelled: list[str] = []
         services: set[str] = set()
         for item in items:
@@ -96,50 +96,52 @@
         return services
 
     def _accept(self, job_id: str, item: Item) -> AcceptedJob | None:
-        if job_id in self._left_alone or item.revision <= self._forgotten.get(job_id, 0):
+        if job_id in self._unreadable_jobs or item.revision <= self._removed_revisions.get(
+            job_id, 0
+        ):
             return None
-        records = {} if self._begun else self._records.get(job_id, {})
+        records = {} if self._is_loaded else self._records.get(job_id, {})
         try:
             accepted = jobcodec.decode_job(job_id, item.value)
             jobcodec.check_progress(accepted, records)
         except SaddlestackError as error:
             self._invalid_records.report(item.key, str(error))
             if job_id not in self._cluster_state.jobs:
-                self._left_alone.add(job_id)
+                self._unreadable_jobs.add(job_id)
             return None
         self._cluster_state.add_job(accepted, records)
         self._revisions[job_id] = max(item.revision, self._revisions.get(job_id, 0))
         return accepted
 
     async def remove_expired(self) -> None:
-        """Remove jobs from the store that nobody has to be told of any more."""
+        """Remove jobs from the store that ended longer ago than the retention time."""
         retention_s = self._context.settings.timings.retention_s
         expired = self._cluster_state.expired_jobs(self._context.clock.now(), retention_s)
-        for job in expired[:FORGOTTEN_A_TICK]:
-            # The job goes first: without its progress it would run again under a new leader.
+        for job in expired[:MAX_REMOVALS_PER_TICK]:
+            # The job is removed first: without its progress a new leader would run it again.
             job_keys = (keys.job_key(job.job_id), keys.cancel_key(job.job_id))
             records = [keys.progress_key(each.key) for each in job.occurrences]
             if not await self._journal.remove([*job_keys, *records]):
                 return
-            self._forget(job.job_id)
-            log.info("forgotten", extra={"event": "forgotten", "job": job.job_id})
+            self._mark_removed(job.job_id)
+            log.info("job removed", extra={"event": "forgotten", "job": job.job_id})
 
-    def _forget(self, job_id: str) -> None:
-        """A job has been removed; a listing that is under way may still hold it.
+    def _mark_removed(self, job_id: str) -> None:
+        """Remember that a job has been removed, since a listing in flight may still contain it.
 
-        Taken over after that, it would be a new job without progress, and run again whole.
+        Applied again, it would be a new job without progress, and all of it would run again.
         """
         self._cluster_state.remove_job(job_id)
-        self._forgotten[job_id] = self._revisions.pop(job_id, 0)
-        while len(self._forgotten) > MOST_FORGOTTEN:
-            del self._forgotten[next(iter(self._forgotten))]
+        self._removed_revisions[job_id] = self._revisions.pop(job_id, 0)
+        while len(self._removed_revisions) > MAX_REMOVED_JOBS:
+            del self._removed_revisions[next(iter(self._removed_revisions))]
 
     async def remove_leftovers(self) -> None:
-        """Remove progress of jobs that an earlier leader did not forget whole."""
-        known = self._cluster_state.jobs.keys() | self._left_alone
+        """Remove the progress of jobs that an earlier leader has removed only in part."""
+        known = self._cluster_state.jobs.keys() | self._unreadable_jobs
         for job_id in [job_id for job_id in self._records if job_id not in known]:
             if job_id in self._cluster_state.jobs:
-                continue  # handed in again meanwhile
+                continue  # submitted again meanwhile
             names = [keys.progress_key(f"{job_id}.{number}") for number in self._records[job_id]]
             if await self._journal.remove(names):
-                log.info("forgotten", extra={"event": "forgotten", "job": job_id})
+                log.info("progress removed", extra={"event": "forgotten", "job": job_id})
--- a/src/saddlestack/control/upkeep.py
+++ b/src/saddlestack/control/upkeep.py
@@ -1,8 +1,8 @@
-"""Drives the operators' waves of upkeep while this VM leads.
+"""Runs the operators' waves of machine upkeep while this VM leads.
 
-A machine gets no new work, runs empty as far as time allows, and is then ordered down. Orders
-carry the term's fencing token; a new leader waits until no order of an earlier one can count
-as taking turns with its own.
+A machine gets no new work, is drained as far as time allows, and is then ordered down. Orders
+carry the term's fencing token. A new leader first waits for one machine lease, so that no order of
+an earlier leader can interleave with its own.
 """
 
 from __future__ import annotations
@@ -37,14 +37,14 @@
 
 
 class WaveRecord(Model, frozen=True):
-    """What is kept of a wave: machines whose upkeep has begun, and whether it is over."""
+    """The stored progress of a wave: machines whose upkeep has begun, and whether it is over."""
 
     begun: tuple[str, ...] = ()
     completed: bool = False
 
 
 class Upkeep:
-    """The waves of one term.
+    """Runs the waves of one term.
 
     :param fence: the term's fencing token.
     """
@@ -60,34 +60,34 @@
         self._waves: dict[int, WaveState] = {}
         self._completed: set[int] = set()
         self._feed = Feed(
-            context, context.documents.locations.waves_prefix, self._ordered, self._ordered
+            context, context.documents.locations.waves_prefix, self._on_waves, self._on_waves
         )
-        self._fresh: list[Item] = []
+        self._new_items: list[Item] = []
         self._invalid_records = InvalidRecords(context.metrics, "wave")
 
     async def run(self) -> None:
-        """Drive waves until cancelled."""
+        """Run waves until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self._feed.run())
             group.create_task(self._drive())
 
-    def _ordered(self, items: tuple[Item, ...]) -> None:
-        self._fresh += [item for item in items if item.revision]
+    def _on_waves(self, items: tuple[Item, ...]) -> None:
+        self._new_items += [item for item in items if item.revision]
 
     async def _drive(self) -> None:
         await asyncio.sleep(self._context.settings.timings.machine_lease_ms / 1000)
         while True:
-            while self._fresh:
-                await self._take(self._fresh.pop(0))
+            while self._new_items:
+                await self._begin_wave(self._new_items.pop(0))
             for number, state in list(self._waves.items()):
                 await self._advance(state)
                 if state.finished:
-                    await self._keep(state, completed=True)
+                    await self._save(state, completed=True)
                     self._completed.add(number)
                     del self._waves[number]
             await asyncio.sleep(TICK_S)
 
-    async def _take(self, item: Item) -> None:
+    async def _begin_wave(self, item: Item) -> None:
         try:
             wave = self._context.documents.wave(item)
         except SaddlestackError as error:
@@ -96,27 +96,27 @@
         if wave.wave in self._waves or wave.wave in self._completed:
             return
         try:
-            kept = await self._read(wave.wave)
+            stored_record = await self._read(wave.wave)
         except SaddlestackError as error:
-            # Some of its machines may have had their upkeep, and none is to have it twice.
+            # Some of its machines may have had their upkeep already; none must have it twice.
             self._invalid_records.report(wave_key(wave.wave), str(error))
             return
-        if kept.completed:
+        if stored_record.completed:
             self._completed.add(wave.wave)
             return
         down_s = self._context.settings.timings.upkeep_s
         state = WaveState(wave, self._clock.now(), down_s)
-        for name in kept.begun:
+        for name in stored_record.begun:
             state.mark_done(name)
         self._waves[wave.wave] = state
         log.info(
-            "wave of upkeep",
+            "upkeep wave started",
             extra={"event": "wave", "wave": wave.wave, "machines": len(wave.machines)},
         )
-        await self._keep(state, completed=False)
+        await self._save(state, completed=False)
 
     async def _advance(self, state: WaveState) -> None:
-        workers = self._by_machine()
+        workers = self._workers_by_machine()
         now = self._clock.now()
         for worker, leaves_s in state.prepare(workers, now):
             worker.closing = True
@@ -125,11 +125,11 @@
         if due:
             await asyncio.gather(*(self._order(state, name) for name in due))
 
-    def _by_machine(self) -> dict[str, Worker]:
-        """The worker of each machine, also one whose record is refused while work runs there.
+    def _workers_by_machine(self) -> dict[str, Worker]:
+        """The worker of each machine, including one with runs whose record is invalid.
 
-        Where records of several name a machine, one may be another writer's, or that of a life
-        before: the machine is not idle while work runs on any that is listed.
+        If several records name a machine, one may come from another writer or from an earlier
+        incarnation: the machine is not idle while work runs on any that is listed.
         """
         workers = [
             worker for worker in self._cluster_state.workers.values() if worker.record.machine
@@ -145,7 +145,7 @@
             )
         except MachinesUnavailable as error:
             log.warning(
-                "machines do not answer",
+                "machine service does not answer",
                 extra={"event": "machines_lost", "machine": machine, "reason": str(error)},
             )
             return
@@ -155,13 +155,13 @@
         )
         if outcome is UpkeepOutcome.BEGUN:
             state.mark_down(machine)
-            await self._keep(state, completed=False)
+            await self._save(state, completed=False)
         elif outcome in {UpkeepOutcome.UNKNOWN_MACHINE, UpkeepOutcome.NOT_IN_WAVE}:
             state.mark_done(machine)
-            self._give_back(machine)
+            self._release_machine(machine)
 
-    def _give_back(self, machine: str) -> None:
-        """A machine goes on: its worker takes work again, unless another wave prepares it."""
+    def _release_machine(self, machine: str) -> None:
+        """Let a machine's worker take work again, unless another wave is draining it."""
         if any(state.is_preparing(machine) for state in self._waves.values()):
             return
         for worker in self._cluster_state.workers.values():
@@ -176,8 +176,8 @@
             except StoreUnavailable:
                 await self._context.health.wait_for_recovery(STORE_RETRY_S)
 
-    async def _keep(self, state: WaveState, *, completed: bool) -> None:
-        """Write how far a wave is, for the operator and for the next leader."""
+    async def _save(self, state: WaveState, *, completed: bool) -> None:
+        """Write the progress of a wave, for the operator and for the next leader."""
         number = state.wave.wave
         places = self._context.documents.locations
         status = self._context.documents.wave_status(completed=completed)
@@ -196,5 +196,5 @@
                 await self._context.health.wait_for_recovery(STORE_RETRY_S)
                 continue
             if isinstance(outcome, Conflict):
-                log.warning("wave is another leader's", extra={"event": "wave_displaced"})
+                log.warning("another leader runs the wave", extra={"event": "wave_displaced"})
             return
--- a/src/saddlestack/control/waits.py
+++ b/src/saddlestack/control/waits.py
@@ -1,6 +1,6 @@
-"""What jobs wait for, as the leader tells it: log lines, figures, and answers to callers.
+"""Reports what jobs wait for: log lines, metrics and answers to callers.
 
-Looked at as often as the leader ticks, beside its decisions; none of them goes by it.
+The check runs as often as the leader's tick. No scheduling decision depends on it.
 """
 
 from __future__ import annotations
@@ -25,46 +25,46 @@
 log = logging.getLogger("saddlestack.scheduler")
 
 CHECK_INTERVAL_S = 0.5
-"""From one look to the next; as often as the leader ticks, so that a wait told of after 1 s and a
-standstill after 3 s are told of half a second later at most."""
+"""Time from one check to the next, as often as the leader's tick, so that a wait reported after 1 s
+and a stall reported after 3 s are at most half a second late."""
 REPORT_AFTER_S = 1.0
-"""A wait is told of once it has lasted so long: most last for less than a round of decisions."""
+"""A wait is reported once it has lasted this long: most are shorter than a scheduling round."""
 MAX_STALL_LINES = 10
-"""Lines ``stands_still`` in one look..."""
+"""Log lines ``stands_still`` in one check..."""
 MAX_WAIT_LINES = 10
-"""...and lines ``waits``: 40 lines a second in all at two looks a second. The rest is counted in
-one line; a wait that was left out is told of in a later look."""
+"""...and log lines ``waits``: 40 lines a second in all at two checks a second. One more line counts
+the rest; a wait that was left out is reported by a later check."""
 PERCENT = 100
 
 
 @dataclass(slots=True)
-class WaitFigures:
+class WaitCounts:
     """How many jobs and tasks wait, by reason.
 
-    :param tasks: of the jobs that were looked at.
+    :param tasks: the tasks of the jobs that were checked.
     """
 
     jobs: Counter[WaitReason] = field(default_factory=Counter)
     tasks: Counter[WaitReason] = field(default_factory=Counter)
 
     @classmethod
-    def of(cls, looked: WaitReport) -> WaitFigures:
-        """Counts what a look has found."""
-        figures = cls()
-        figures.jobs[WaitReason.LEFT_OUT] = looked.left_out
-        for wait in looked.waits:
-            figures.jobs[wait.reason] += 1
-            figures.tasks[wait.reason] += wait.tasks
-            figures.tasks[WaitReason.EARLIER_STEP] += wait.later_tasks
-        return figures
+    def of(cls, findings: WaitReport) -> WaitCounts:
+        """The counts of one check."""
+        counts = cls()
+        counts.jobs[WaitReason.LEFT_OUT] = findings.left_out
+        for wait in findings.waits:
+            counts.jobs[wait.reason] += 1
+            counts.tasks[wait.reason] += wait.tasks
+            counts.tasks[WaitReason.EARLIER_STEP] += wait.later_tasks
+        return counts
 
 
 def reset_gauges(metrics: Metrics) -> None:
-    """Show that nothing waits: a VM that does not lead knows of no wait."""
-    _show(metrics, lambda reason: 0, lambda reason: 0, lambda: 0, lambda: 0, lambda: 0)
+    """Set all gauges about waits to 0, as on a VM that does not lead."""
+    _register_gauges(metrics, lambda reason: 0, lambda reason: 0, lambda: 0, lambda: 0, lambda: 0)
 
 
-def _show(
+def _register_gauges(
     metrics: Metrics,
     jobs: Callable[[WaitReason], int],
     tasks: Callable[[WaitReason], int],
@@ -81,9 +81,9 @@
 
 
 class WaitMonitor:
-    """Tells what the jobs of one term wait for.
+    """Reports what the jobs of one term wait for.
 
-    :param lease_until_s: when every lease of a worker has lapsed.
+    :param lease_until_s: returns when every lease of a worker has lapsed.
     """
 
     def __init__(
@@ -98,164 +98,166 @@
         self._metrics = metrics
         self._lease_until_s = lease_until_s
         self._diagnosis = Diagnosis(cluster_state)
-        self._watch = StallDetector()
+        self._stall_watch = StallDetector()
         self._writing: Counter[str] = Counter()
-        self._planned_s = clock.now()
-        self._looked_s = clock.now()
-        self._late_s = 0.0
+        self._round_s = clock.now()
+        self._checked_s = clock.now()
+        self._delay_s = 0.0
         self._round_full = False
-        self._now: dict[str, Wait] = {}
-        self._told: dict[str, WaitReason] = {}
-        self._figures = WaitFigures()
+        self._waits: dict[str, Wait] = {}
+        self._reported: dict[str, WaitReason] = {}
+        self._counts = WaitCounts()
 
     def register_gauges(self) -> None:
-        """Show figures from now on; the first look follows."""
-        self._looked_s = self._clock.now()
-        _show(
+        """Register the gauges; they read 0 until the first check."""
+        self._checked_s = self._clock.now()
+        _register_gauges(
             self._metrics,
-            lambda reason: self._figures.jobs[reason],
-            lambda reason: self._figures.tasks[reason],
+            lambda reason: self._counts.jobs[reason],
+            lambda reason: self._counts.tasks[reason],
             lambda: self._percent(lambda pool: pool.quarantined),
             lambda: self._percent(lambda pool: pool.on_probation),
             lambda: self._percent(lambda pool: pool.reserved_idle),
         )
 
     def close(self) -> None:
-        """The term is over."""
+        """Reset the gauges, since the term is over."""
         reset_gauges(self._metrics)
 
-    # What the scheduler tells
+    # Notifications from the scheduler
 
     def round_finished(self, full: bool) -> None:
-        """A round of decisions has been taken.
+        """Note that a scheduling round has ended.
 
-        :param full: it has left some for the next one.
+        :param full: whether it left decisions for the next round.
         """
-        self._planned_s = self._clock.now()
+        self._round_s = self._clock.now()
         self._round_full = full
 
     def write_started(self, jobs: Iterable[str]) -> None:
-        """Records of some jobs are to be written."""
+        """Note that records of some jobs are being written."""
         self._writing.update(jobs)
 
     def write_finished(self, jobs: Iterable[str]) -> None:
-        """Records of some jobs are in the store."""
+        """Note that records of some jobs are in the store."""
         for job_id in jobs:
             self._writing[job_id] -= 1
             if self._writing[job_id] <= 0:
                 del self._writing[job_id]
 
-    # Looking
+    # Checking
 
     def check(self, *, round_due: bool = False) -> None:
-        """Look at all jobs, and tell of those that wait.
+        """Check all jobs, and report those that wait.
 
-        :param round_due: whether a round of decisions would begin now.
+        :param round_due: whether a scheduling round is due now.
         """
         began = self._clock.now()
         try:
-            self._look(round_due)
+            self._run_check(round_due)
         except Exception:
-            # The next look may do; what fails here has no part in any decision.
-            log.exception("waits were not looked at", extra={"event": "waits_failed"})
+            # The next check may succeed, and no scheduling decision depends on this one.
+            log.exception("check of waits failed", extra={"event": "waits_failed"})
             self._metrics.count("waits_failures")
         self._metrics.time("waits_look", self._clock.now() - began)
 
-    def _look(self, round_due: bool) -> None:
+    def _run_check(self, round_due: bool) -> None:
         now = self._clock.now()
-        self._late_s = max(0.0, now - self._looked_s - CHECK_INTERVAL_S)
-        self._looked_s = now
-        looked = self._diagnosis.scan(self._circumstances(round_due))
-        self._now = {wait.job_id: wait for wait in looked.waits}
-        self._figures = WaitFigures.of(looked)
-        self._tell_standstills()
-        self._tell_waits()
+        self._delay_s = max(0.0, now - self._checked_s - CHECK_INTERVAL_S)
+        self._checked_s = now
+        findings = self._diagnosis.scan(self._diagnosis_context(round_due))
+        self._waits = {wait.job_id: wait for wait in findings.waits}
+        self._counts = WaitCounts.of(findings)
+        self._report_stalls()
+        self._report_waits()
 
     def explain(self, job_id: str) -> str | None:
-        """What a job waits for, or why it failed, in a sentence; ``None`` where it runs."""
+        """What a job waits for, or why it failed, in one sentence; ``None`` if it does not wait."""
         job = self._cluster_state.jobs.get(job_id)
         if job is not None and job.published_state is JobState.FAILED:
             return _failed(job)
-        wait = self._now.get(job_id)
+        wait = self._waits.get(job_id)
         if wait is None:
             return None
-        stood_s = self._clock.now() - wait.since_s
+        waiting_s = self._clock.now() - wait.since_s
         reason = wait.reason
-        return f"waits since {stood_s:.0f} s ({reason}): {reason.awaited}; ends with {reason.ends}"
+        return (
+            f"waits since {waiting_s:.0f} s ({reason}): {reason.awaited}; ends with {reason.ends}"
+        )
 
-    def _circumstances(self, round_due: bool) -> DiagnosisContext:
+    def _diagnosis_context(self, round_due: bool) -> DiagnosisContext:
         return DiagnosisContext(
             now=self._clock.now(),
             wall_ms=self._clock.wall() * 1000,
-            planned_s=self._planned_s,
+            planned_s=self._round_s,
             round_full=self._round_full,
             round_due=round_due,
             is_writing=self._writing.__contains__,
             lease_until_s=self._lease_until_s,
         )
 
-    # Telling
+    # Reporting
 
-    def _tell_standstills(self) -> None:
-        standing = [wait.job_id for wait in self._now.values() if wait.could_start]
-        found = self._watch.update(standing, self._clock.now())
-        for standstill in found[:MAX_STALL_LINES]:
-            self._tell_standstill(standstill)
+    def _report_stalls(self) -> None:
+        stalled = [wait.job_id for wait in self._waits.values() if wait.could_start]
+        found = self._stall_watch.update(stalled, self._clock.now())
+        for stall in found[:MAX_STALL_LINES]:
+            self._report_stall(stall)
         self._metrics.count("standstills", len(found))
-        self._tell_left_out("stands_still", len(found) - MAX_STALL_LINES)
+        self._report_left_out("stands_still", len(found) - MAX_STALL_LINES)
 
-    def _tell_standstill(self, standstill: Stall) -> None:
-        wait = self._now[standstill.job_id]
+    def _report_stall(self, stall: Stall) -> None:
+        wait = self._waits[stall.job_id]
         log.warning(
-            "a job stands still beside a free pool",
-            extra={"event": "stands_still", **self._fields(wait, standstill.since_s)},
+            "job is stalled in a mostly free pool",
+            extra={"event": "stands_still", **self._fields(wait, stall.since_s)},
         )
 
-    def _tell_waits(self) -> None:
-        """Tell of each wait that has lasted for long enough, and again where its reason changes."""
-        for job_id in [each for each in self._told if each not in self._now]:
-            del self._told[job_id]
-        due = [wait for wait in self._now.values() if self._is_to_tell(wait)]
+    def _report_waits(self) -> None:
+        """Log each wait that has lasted long enough, and again when its reason changes."""
+        for job_id in [each for each in self._reported if each not in self._waits]:
+            del self._reported[job_id]
+        due = [wait for wait in self._waits.values() if self._is_due(wait)]
         for wait in due[:MAX_WAIT_LINES]:
-            self._told[wait.job_id] = wait.reason
-            log.info("a job waits", extra={"event": "waits", **self._fields(wait, wait.since_s)})
-        self._tell_left_out("waits", len(due) - MAX_WAIT_LINES)
+            self._reported[wait.job_id] = wait.reason
+            log.info("job waits", extra={"event": "waits", **self._fields(wait, wait.since_s)})
+        self._report_left_out("waits", len(due) - MAX_WAIT_LINES)
 
-    def _is_to_tell(self, wait: Wait) -> bool:
-        if wait.reason is WaitReason.LEFT_OUT or self._told.get(wait.job_id) is wait.reason:
+    def _is_due(self, wait: Wait) -> bool:
+        if wait.reason is WaitReason.LEFT_OUT or self._reported.get(wait.job_id) is wait.reason:
             return False
         return self._clock.now() - wait.since_s >= REPORT_AFTER_S
 
-    def _tell_left_out(self, event: str, lines: int) -> None:
+    def _report_left_out(self, event: str, lines: int) -> None:
         if lines > 0:
             extra = {"event": "waits_left_out", "of": event, "lines": lines}
             log.info("lines about waits were left out", extra=extra)
 
     def _fields(self, wait: Wait, since_s: float) -> dict[str, object]:
-        """What a line tells of a wait."""
+        """The fields of a log line about a wait."""
         now = self._clock.now()
-        left_s = None if wait.until_s is None else round(max(0.0, wait.until_s - now), 2)
+        remaining_s = None if wait.until_s is None else round(max(0.0, wait.until_s - now), 2)
         return {
             "job": wait.job_id,
             "reason": wait.reason.value,
             "stood_s": round(now - since_s, 2),
             "tasks": wait.tasks,
             "ends": wait.reason.ends,
-            "ends_s": left_s,
-            "late_s": round(self._late_s, 2),
+            "ends_s": remaining_s,
+            "late_s": round(self._delay_s, 2),
         }
 
-    # Figures
+    # Metrics
 
-    def _percent(self, kept_out: Callable[[ServicePool], int]) -> int:
-        """The share of all accelerators that is kept out, taken when it is asked for."""
+    def _percent(self, held_back: Callable[[ServicePool], int]) -> int:
+        """The percentage of all accelerators that some pools hold back, computed on each read."""
         found = pools(self._cluster_state.workers.values(), self._clock.now()).values()
         total = sum(pool.total for pool in found)
-        return round(PERCENT * sum(kept_out(pool) for pool in found) / total) if total else 0
+        return round(PERCENT * sum(held_back(pool) for pool in found) / total) if total else 0
 
 
 def _failed(job: Job) -> str | None:
-    """Why a job failed; ``None`` where no cause was kept that this release knows."""
+    """Why a job failed; ``None`` if no cause is recorded that this release knows."""
     try:
         cause = FailureCause(job.cause)
     except ValueError:
--- a/tests/test_told_crashes.py
+++ b/tests/test_told_crashes.py
@@ -17,7 +17,7 @@
 from saddlestack.cli.main import main
 from saddlestack.cli.stops import BESIDE_CRASH, stops
 from saddlestack.client import AsyncClient
-from saddlestack.control.crashlog import SUSPECTS_AT_ONCE, CrashLog
+from saddlestack.control.crashlog import MAX_SUSPECT_LINES, CrashLog
 from saddlestack.models import JobState as CallerState
 from saddlestack.policy.cluster.crash_findings import CrashFinding, CrashFindingKind
 from saddlestack.policy.cluster.diagnosis import Diagnosis, DiagnosisContext
@@ -115,7 +115,7 @@
 
 class CrashLogTest(unittest.TestCase):
     def test_lines_about_suspects_are_bounded_and_those_given_up_all_told(self) -> None:
-        many = SUSPECTS_AT_ONCE + 5
+        many = MAX_SUSPECT_LINES + 5
         findings = [
             CrashFinding(CrashFindingKind.SUSPECT, TaskName(OTHER, 0, 0, index))
             for index in range(many)
@@ -123,9 +123,9 @@
         findings += [CrashFinding(CrashFindingKind.GIVEN_UP, TaskName(CULPRIT, 0, 0, 0))]
         metrics = Metrics("vm", VirtualClock())
         with self.assertLogs("saddlestack.crashes", "INFO") as logged:
-            CrashLog(metrics).log_verdicts(findings)
+            CrashLog(metrics).log_findings(findings)
         events = [getattr(each, "event", "") for each in logged.records]
-        self.assertEqual(events.count("crash_suspect"), SUSPECTS_AT_ONCE)
+        self.assertEqual(events.count("crash_suspect"), MAX_SUSPECT_LINES)
         self.assertEqual(events.count("crash_given_up"), 1)
         self.assertEqual(events.count("crash_left_out"), 1)
         self.assertEqual(metrics.view().counters["crash_suspect"], many)
