--- a/tests/test_cancelling.py
+++ b/tests/test_cancelling.py
@@ -1,4 +1,4 @@
-"""Work of a cancelled job stops, also where it starts late or its worker is out of reach."""
+"""Work of a cancelled job stops, even if it starts late or its worker is unreachable."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 from tests.test_pool import PoolTest
 
 A = "00000000000000aa"
-STOPPED_S = 3.0
-"""A look finds the run, the stop is ordered and takes 0.5 s."""
+STOPPED_WITHIN_S = 3.0
+"""Time for a poll to find the run, and for the stop, which takes 0.5 s."""
 
 
 def worker_of(cluster: PoolCluster) -> FloorWorker:
-    """The worker of the run that began last."""
+    """The worker of the run that started last."""
     return cluster.floor.workers[cluster.floor.history[-1].worker]
 
 
 class CancelledWorkTest(PoolTest):
-    def test_it_stops_on_a_worker_that_a_new_leader_hears_of_only_later(self) -> None:
-        """Its record has lapsed when the new leader reads, and comes back after the cancelling."""
+    def test_it_stops_on_a_worker_that_a_new_leader_finds_later(self) -> None:
+        """Its record has lapsed when the new leader reads, and returns after the cancellation."""
 
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(1, work_s=60.0))
@@ -34,12 +34,14 @@
             self.assertTrue(await cluster.cancel(A))
             await asyncio.sleep(0.5)
             cluster.floor.record(worker)
-            await cluster.until(lambda: cluster.floor.ends_of(A, EndKind.STOPPED) == 1, STOPPED_S)
-            await cluster.until_state(A, JobState.CANCELLED, STOPPED_S)
+            await cluster.until(
+                lambda: cluster.floor.ends_of(A, EndKind.STOPPED) == 1, STOPPED_WITHIN_S
+            )
+            await cluster.until_state(A, JobState.CANCELLED, STOPPED_WITHIN_S)
 
         self.play(body)
 
-    def test_it_stops_where_the_start_is_carried_out_late(self) -> None:
+    def test_it_stops_if_the_start_is_carried_out_late(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             for worker in cluster.floor.workers.values():
                 worker.late_orders = 1
@@ -47,13 +49,13 @@
             await cluster.submit(A, job(1, work_s=60.0))
             await asyncio.sleep(0.3)
             self.assertTrue(await cluster.cancel(A))
-            await asyncio.sleep(3.0 + STOPPED_S)
+            await asyncio.sleep(3.0 + STOPPED_WITHIN_S)
             running = [run for w in cluster.floor.workers.values() for run in w.runs.values()]
             self.assertEqual(running, [])
 
         self.play(body)
 
-    def test_it_stops_where_its_starter_is_gone_before_the_start_is_carried_out(self) -> None:
+    def test_it_stops_if_the_leader_is_gone_before_the_start_is_carried_out(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             for worker in cluster.floor.workers.values():
                 worker.late_orders = 1
@@ -63,7 +65,7 @@
             old = cluster.leader_name
             await cluster.kill(old)
             self.assertTrue(await cluster.cancel(A))
-            await asyncio.sleep(4.0 + STOPPED_S)
+            await asyncio.sleep(4.0 + STOPPED_WITHIN_S)
             running = [run for w in cluster.floor.workers.values() for run in w.runs.values()]
             self.assertEqual(running, [])
 
--- a/tests/test_commits.py
+++ b/tests/test_commits.py
@@ -1,4 +1,4 @@
-"""Records on their way to the store: beside each other, but a job's own one after the other."""
+"""The queue of records for the store: concurrent writes, but those of one job in order."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass
 class SlowJournal:
-    """Takes its time; ``gates`` holds the records that wait until they are set."""
+    """A slow journal; records with a key in ``gates`` wait until its event is set."""
 
     gates: dict[str, asyncio.Event] = field(default_factory=dict)
     displaced: bool = False
@@ -46,20 +46,22 @@
 class Scene:
     journal: SlowJournal
     commits: CommitQueue
-    followed: list[str]
+    callbacks_run: list[str]
     failures: list[str]
 
-    def put(self, mark: int, **jobs: str) -> None:
-        """Decide something for some jobs; each word is a record's key."""
-        decided = []
+    def put(self, version: int, **jobs: str) -> None:
+        """Queue records of some jobs; each word is a record's key."""
+        decisions = []
         for job_id, keys in jobs.items():
-            then = partial(self.followed.append, "+".join(keys.split()) or f"none {mark}")
-            records = dict.fromkeys(keys.split(), str(mark).encode())
-            decided.append(JobRecords(job_id, records, then))
-        self.commits.put(mark, decided)
+            on_written = partial(
+                self.callbacks_run.append, "+".join(keys.split()) or f"none {version}"
+            )
+            records = dict.fromkeys(keys.split(), str(version).encode())
+            decisions.append(JobRecords(job_id, records, on_written))
+        self.commits.put(version, decisions)
 
     async def answer(self) -> None:
-        """Let the store answer once."""
+        """Wait until the store has answered once."""
         await asyncio.sleep(ANSWER_S + MOMENT_S)
 
 
@@ -76,21 +78,21 @@
 
         run(main())
 
-    def test_a_record_that_waits_holds_up_no_other_job(self) -> None:
+    def test_a_pending_write_delays_no_other_job(self) -> None:
         async def body(scene: Scene) -> None:
             gate = scene.journal.gates["a1"] = asyncio.Event()
             scene.put(1, a="a1")
             scene.put(2, b="b1")
             await scene.answer()
-            self.assertEqual(scene.followed, ["b1"])
+            self.assertEqual(scene.callbacks_run, ["b1"])
             gate.set()
             await scene.answer()
-            self.assertEqual(scene.followed, ["b1", "a1"])
+            self.assertEqual(scene.callbacks_run, ["b1", "a1"])
 
         self.play(body)
 
-    def test_nor_does_one_that_waits_behind_it(self) -> None:
-        """The loop that decides waited for the first as soon as a second of its job was decided."""
+    def test_a_queued_write_of_the_same_job_delays_no_other_job(self) -> None:
+        """The scheduling loop blocked as soon as a second record of a pending job was queued."""
 
         async def body(scene: Scene) -> None:
             gate = scene.journal.gates["a1"] = asyncio.Event()
@@ -98,42 +100,42 @@
             scene.put(2, a="a2", b="b1")
             scene.put(3, c="c1")
             await scene.answer()
-            self.assertEqual(scene.followed, ["b1", "c1"])
+            self.assertEqual(scene.callbacks_run, ["b1", "c1"])
             self.assertEqual(scene.journal.done, ["b1", "c1"])
             gate.set()
             await scene.answer()
-            self.assertEqual(scene.followed, ["b1", "c1", "a1"])
+            self.assertEqual(scene.callbacks_run, ["b1", "c1", "a1"])
             await scene.answer()
-            self.assertEqual(scene.followed, ["b1", "c1", "a1", "a2"])
+            self.assertEqual(scene.callbacks_run, ["b1", "c1", "a1", "a2"])
 
         self.play(body)
 
-    def test_records_of_one_job_follow_each_other_with_records_or_without(self) -> None:
+    def test_callbacks_of_one_job_run_in_order_with_records_or_without(self) -> None:
         async def body(scene: Scene) -> None:
             scene.put(1, a="a1")
             scene.put(2, a="a2", b="b1")
             scene.put(3, a="")
             await scene.answer()
-            self.assertEqual(scene.followed, ["a1", "b1"])
+            self.assertEqual(scene.callbacks_run, ["a1", "b1"])
             await scene.answer()
-            self.assertEqual(scene.followed, ["a1", "b1", "a2", "none 3"])
+            self.assertEqual(scene.callbacks_run, ["a1", "b1", "a2", "none 3"])
             scene.put(4, a="")
-            self.assertEqual(scene.followed[-1], "none 4")
+            self.assertEqual(scene.callbacks_run[-1], "none 4")
 
         self.play(body)
 
-    def test_of_a_record_that_waits_the_latest_alone_is_written_and_all_follows(self) -> None:
+    def test_only_the_latest_queued_version_is_written_and_every_callback_runs(self) -> None:
         async def body(scene: Scene) -> None:
-            for mark in range(1, 5):
-                scene.put(mark, a="a1")
+            for version in range(1, 5):
+                scene.put(version, a="a1")
             for _ in range(3):
                 await scene.answer()
             self.assertEqual(scene.journal.values["a1"], [b"1", b"4"])
-            self.assertEqual(scene.followed, ["a1"] * 4)
+            self.assertEqual(scene.callbacks_run, ["a1"] * 4)
 
         self.play(body)
 
-    def test_known_to_be_written_of_a_job_is_only_what_all_before_of_it_is(self) -> None:
+    def test_waiting_for_a_version_waits_for_all_earlier_records_of_the_job(self) -> None:
         async def body(scene: Scene) -> None:
             gate = scene.journal.gates["a1"] = asyncio.Event()
             scene.put(1, a="a1")
@@ -155,48 +157,48 @@
 
         self.play(body)
 
-    def test_only_so_many_writes_are_under_way(self) -> None:
+    def test_concurrent_writes_are_limited(self) -> None:
         async def body(scene: Scene) -> None:
             for number in range(MAX_CONCURRENT_WRITES + 1):
                 scene.put(number, **{str(number): f"k{number}"})
             await asyncio.sleep(MOMENT_S)
             self.assertEqual(len(scene.journal.sizes), MAX_CONCURRENT_WRITES)
             await scene.answer()
-            self.assertEqual(len(scene.followed), MAX_CONCURRENT_WRITES)
+            self.assertEqual(len(scene.callbacks_run), MAX_CONCURRENT_WRITES)
             await scene.answer()
-            self.assertEqual(len(scene.followed), MAX_CONCURRENT_WRITES + 1)
+            self.assertEqual(len(scene.callbacks_run), MAX_CONCURRENT_WRITES + 1)
 
         self.play(body)
 
-    def test_a_round_is_written_in_transactions_beside_each_other(self) -> None:
-        """A start waited for the records of all other jobs of its round, one after the other."""
+    def test_a_round_is_written_in_concurrent_transactions(self) -> None:
+        """A start waited while the records of all other jobs of its round were written in turn."""
 
         async def body(scene: Scene) -> None:
             many = 3 * MAX_RECORDS_PER_WRITE
             scene.put(1, **{f"j{number}": f"k{number}" for number in range(many)})
             await scene.answer()
-            self.assertEqual(len(scene.followed), many)
+            self.assertEqual(len(scene.callbacks_run), many)
             self.assertEqual(scene.journal.sizes, [MAX_RECORDS_PER_WRITE] * 3)
 
         self.play(body)
 
-    def test_a_job_of_many_records_is_followed_once_all_are_written(self) -> None:
+    def test_the_callback_of_a_job_of_many_records_runs_once_all_are_written(self) -> None:
         async def body(scene: Scene) -> None:
             keys = " ".join(f"a{number}" for number in range(MAX_RECORDS_PER_WRITE + 1))
             scene.put(1, b="b1", a=keys, c="c1")
             await scene.answer()
             self.assertEqual(scene.journal.sizes, [1, MAX_RECORDS_PER_WRITE + 1, 1])
-            self.assertEqual(len(scene.followed), 3)
+            self.assertEqual(len(scene.callbacks_run), 3)
 
         self.play(body)
 
-    def test_nothing_follows_a_record_of_a_displaced_leader(self) -> None:
+    def test_no_callback_runs_after_leadership_is_lost(self) -> None:
         async def body(scene: Scene) -> None:
             scene.journal.displaced = True
             scene.put(1, a="a1")
             scene.put(2, a="a2")
             await asyncio.sleep(1.0)
-            self.assertEqual(scene.followed, [])
+            self.assertEqual(scene.callbacks_run, [])
             self.assertEqual(len(scene.failures), 1)
 
         self.play(body)
--- a/tests/test_departure.py
+++ b/tests/test_departure.py
@@ -33,7 +33,7 @@
     def run_on_leaving(self, scene: Scene) -> None:
         """The task runs on a worker that leaves in two seconds."""
         scene.assign()
-        scene.is_there()
+        scene.list_run()
         leaving = record("w11", draining=True, remaining_ms=2000)
         scene.cluster_state.set_worker(leaving, asyncio.get_running_loop().time())
 
@@ -41,7 +41,7 @@
         async def body(scene: Scene) -> None:
             self.run_on_leaving(scene)
             await asyncio.sleep(NOTICE_S)
-            scene.orders.dark = True
+            scene.orders.is_unreachable = True
             scene.cluster_state.unlist_worker("w11")
             await asyncio.sleep(HOLD_S - WAIT_S)
             self.assertIs(scene.status, TaskStatus.ASSIGNED)
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -321,7 +321,7 @@
                 change(self, cluster, worker)
                 await asyncio.sleep(HEARD_S)
                 cluster.floor.crash(worker)
-                waited = await self.begun_again_after(cluster, 2)
+                waited = await self.time_until_starts(cluster, 2)
                 self.assertGreater(waited, HOLD_S - HEARD_S - 2.0)
                 self.assertLess(waited, INHERITED_S)
 
--- a/tests/test_inherited.py
+++ b/tests/test_inherited.py
@@ -1,11 +1,11 @@
-"""What a new leader does about runs on workers that are no longer in the platform's list.
-
-A worker crashed out of reach of the leader and started again at its address under a new id. The
-leader of then heard from the new life that the old one was over, but could not write it, since the
-store was silent; it was followed by another. Meanwhile the old life's record lapsed. The next
-leader read the assignment, which named a worker that was in no list: it had no address to ask at,
-and held the task for as long as an earlier leader might have renewed its lease, though the new life
-would have told at once that nothing runs there any more.
+"""What a new leader does about runs on workers that are no longer listed by the platform.
+
+Guards against this failure: a worker crashed while the leader could not reach it, and started again
+at its address under a new id. The leader learned from the new incarnation that the old one was
+over, but could not write that, since the store did not answer; then another leader took over.
+Meanwhile the old incarnation's record lapsed. The new leader read an assignment to a worker that
+was not listed and so had no address. It held the task for as long as an earlier leader might have
+renewed the lease, although the new incarnation would have reported at once that nothing runs there.
 """
 
 from __future__ import annotations
@@ -34,42 +34,42 @@
 A = "00000000000000aa"
 B = "00000000000000bb"
 SOON_S = 2.0
-"""A new leader asks at once; the election is over by then."""
+"""A new leader polls at once; the election is over by then."""
 HOLD_S = 10.0
 INHERITED_S = LEASE_S + RENEWAL_GRACE_S + HOLD_S * CLOCK_DRIFT + LAPSE_SLACK_S
-"""For so long a lease may hold that an earlier leader granted, counted from the next one's term."""
+"""How long a lease of an earlier leader may last, counted from the start of the next term."""
 READING_S = 1.0
-"""Within this a new leader has read the store."""
+"""Time within which a new leader has read the store."""
 
 
 class InheritedCase(PoolTest):
     async def run_on(self, cluster: PoolCluster, request: JobRequest) -> FloorWorker:
-        """Begin a job; returns the worker of its first run."""
+        """Start a job; returns the worker of its first run."""
         await cluster.submit(A, request)
         count = request.steps[0].count
         await cluster.until(lambda: cluster.floor.starts_of(A) == count)
         return cluster.floor.workers[cluster.floor.history[0].worker]
 
     def restart(self, cluster: PoolCluster, worker: FloorWorker) -> FloorWorker:
-        """A worker crashes and starts again at its address under a new id."""
+        """Crash a worker and start it again at its address under a new id."""
         cluster.floor.crash(worker)
-        life = cluster.floor.add(worker.rack, worker.data_hall)
-        life.address = worker.address
-        cluster.floor.record(life)
-        return life
+        incarnation = cluster.floor.add(worker.rack, worker.data_hall)
+        incarnation.address = worker.address
+        cluster.floor.record(incarnation)
+        return incarnation
 
     def silence_store(self, cluster: PoolCluster, *, silent: bool) -> None:
         for member in cluster.members.values():
             member.view.faults.silent = silent
 
-    async def follow(self, cluster: PoolCluster) -> None:
-        """The leader dies, the store answers again, and another VM leads."""
+    async def fail_over(self, cluster: PoolCluster) -> None:
+        """Kill the leader, let the store answer again, and wait until another VM leads."""
         await cluster.kill(cluster.leader_name)
         self.silence_store(cluster, silent=False)
         await cluster.until(lambda: cluster.leader is not None)
 
-    async def until_freed(self, cluster: PoolCluster) -> None:
-        """Wait until the present leader counts no run of the job as present."""
+    async def until_runs_freed(self, cluster: PoolCluster) -> None:
+        """Wait until the present leader has freed all present runs of the job."""
         leader = cluster.leader
         assert leader is not None and leader.scheduler is not None
         cluster_state = leader.scheduler.cluster_state
@@ -79,8 +79,8 @@
             lambda: all(task.run is not run for task, run in zip(tasks, first, strict=True))
         )
 
-    async def begun_again_after(self, cluster: PoolCluster, starts: int) -> float:
-        """How long it takes until the runs of the job that began are so many."""
+    async def time_until_starts(self, cluster: PoolCluster, starts: int) -> float:
+        """How long it takes until the job has started this many runs in all."""
         loop = asyncio.get_running_loop()
         began = loop.time()
         await cluster.until(lambda: cluster.floor.starts_of(A) == starts)
@@ -88,46 +88,46 @@
 
 
 class InheritedTest(InheritedCase):
-    async def replaced_unwritten(self, cluster: PoolCluster, request: JobRequest) -> None:
-        """A leader hears that a worker was replaced, cannot write it, and is followed."""
+    async def replace_unrecorded(self, cluster: PoolCluster, request: JobRequest) -> None:
+        """A leader learns that a worker was replaced, cannot write it, and fails."""
         worker = await self.run_on(cluster, request)
         self.silence_store(cluster, silent=True)
         self.restart(cluster, worker)
-        await self.until_freed(cluster)
+        await self.until_runs_freed(cluster)
         cluster.floor.lapse(worker)
-        await self.follow(cluster)
+        await self.fail_over(cluster)
 
-    def test_a_new_life_at_its_address_frees_what_an_unlisted_worker_ran(self) -> None:
+    def test_a_new_incarnation_at_its_address_frees_runs_of_an_unlisted_worker(self) -> None:
         async def body(cluster: PoolCluster) -> None:
-            await self.replaced_unwritten(cluster, job(1, work_s=20.0))
-            self.assertLess(await self.begun_again_after(cluster, 2), SOON_S)
+            await self.replace_unrecorded(cluster, job(1, work_s=20.0))
+            self.assertLess(await self.time_until_starts(cluster, 2), SOON_S)
             await cluster.until_state(A, JobState.COMPLETED)
 
         self.play(body)
 
-    def test_a_gang_with_a_member_there_begins_again_as_soon(self) -> None:
+    def test_a_gang_with_a_member_there_restarts_as_soon(self) -> None:
         async def body(cluster: PoolCluster) -> None:
-            await self.replaced_unwritten(cluster, job(2, work_s=20.0, accelerators=8, gang=True))
-            self.assertLess(await self.begun_again_after(cluster, 4), SOON_S)
+            await self.replace_unrecorded(cluster, job(2, work_s=20.0, accelerators=8, gang=True))
+            self.assertLess(await self.time_until_starts(cluster, 4), SOON_S)
             await cluster.until_state(A, JobState.COMPLETED)
             self.assertEqual(cluster.floor.starts_of(A), 4)
 
         self.play(body, workers=3)
 
     async def unlisted(self, cluster: PoolCluster, request: JobRequest) -> FloorWorker:
-        """A leader follows while the record of the worker of a first run has lapsed."""
+        """Fail over while the record of the worker of the first run has lapsed."""
         worker = await self.run_on(cluster, request)
         cluster.floor.lapse(worker)
-        await self.follow(cluster)
+        await self.fail_over(cluster)
         return worker
 
     async def assert_waits_for_the_lease(self, cluster: PoolCluster) -> None:
-        waited = await self.begun_again_after(cluster, 2)
+        waited = await self.time_until_starts(cluster, 2)
         self.assertGreater(waited, INHERITED_S - READING_S)
         self.assertLess(waited, INHERITED_S + READING_S)
 
-    def test_a_life_that_tells_of_its_runs_keeps_them(self) -> None:
-        """Its record lapsed; its lease, of 10 s, is renewed for as long as it works."""
+    def test_an_unlisted_incarnation_that_reports_its_runs_keeps_them(self) -> None:
+        """Its record lapsed; its lease of 10 s is renewed for as long as it works."""
 
         async def body(cluster: PoolCluster) -> None:
             await self.unlisted(cluster, job(2, work_s=3 * HOLD_S, accelerators=1))
@@ -136,7 +136,7 @@
 
         self.play(body)
 
-    def test_a_life_that_is_not_listed_is_given_nothing_new(self) -> None:
+    def test_an_unlisted_incarnation_gets_no_new_work(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             worker = await self.unlisted(cluster, job(1, work_s=HOLD_S))
             await cluster.submit(B, job(31, work_s=1.0))
@@ -145,17 +145,17 @@
 
         self.play(body)
 
-    def test_a_life_that_runs_nothing_any_more_frees_its_task_at_once(self) -> None:
+    def test_an_incarnation_without_runs_frees_its_task_at_once(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             worker = await self.run_on(cluster, job(1, work_s=20.0))
             cluster.floor.lapse(worker)
             worker.runs.clear()
-            await self.follow(cluster)
-            self.assertLess(await self.begun_again_after(cluster, 2), SOON_S)
+            await self.fail_over(cluster)
+            self.assertLess(await self.time_until_starts(cluster, 2), SOON_S)
 
         self.play(body)
 
-    def test_an_end_that_it_tells_of_counts(self) -> None:
+    def test_an_end_reported_by_an_unlisted_worker_counts(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             worker = await self.run_on(cluster, job(1, work_s=1.0))
             worker.unreachable = True
@@ -168,8 +168,8 @@
 
         self.play(body)
 
-    def test_a_stop_reaches_a_life_that_is_not_listed(self) -> None:
-        """A job is cancelled while its worker's record is away."""
+    def test_a_stop_reaches_an_unlisted_incarnation(self) -> None:
+        """A job is cancelled while its worker's record is missing."""
 
         async def body(cluster: PoolCluster) -> None:
             await self.unlisted(cluster, job(2, work_s=2 * HOLD_S))
@@ -179,29 +179,29 @@
 
         self.play(body)
 
-    def test_lasting_work_of_a_replaced_worker_begins_again_as_soon(self) -> None:
+    def test_long_running_work_of_a_replaced_worker_restarts_as_soon(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             once = job(1)
             step = msgspec.structs.replace(once.steps[0], long_running=True)
             lasting = JobRequest(payload=payload(TaskPlan(lasts=True)), steps=(step,))
-            await self.replaced_unwritten(cluster, lasting)
-            self.assertLess(await self.begun_again_after(cluster, 2), SOON_S)
+            await self.replace_unrecorded(cluster, lasting)
+            self.assertLess(await self.time_until_starts(cluster, 2), SOON_S)
 
         self.play(body)
 
-    def test_in_an_evacuated_hall_what_an_unlisted_life_runs_goes_on(self) -> None:
+    def test_in_an_evacuated_hall_runs_of_an_unlisted_incarnation_continue(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             worker = await self.run_on(cluster, job(2, work_s=2 * HOLD_S))
             cluster.evacuate(worker.data_hall)
             cluster.floor.lapse(worker)
-            await self.follow(cluster)
+            await self.fail_over(cluster)
             await cluster.until_state(A, JobState.COMPLETED, 4 * HOLD_S)
             self.assertEqual(cluster.floor.starts_of(A), 2)
 
         self.play(body)
 
-    def test_many_unlisted_lives_are_asked_each(self) -> None:
-        """Some were replaced, some are silent, some live."""
+    def test_each_of_many_unlisted_incarnations_is_polled(self) -> None:
+        """Some were replaced, some do not answer, some are alive."""
 
         async def body(cluster: PoolCluster) -> None:
             await self.run_on(cluster, job(6, work_s=15.0, accelerators=8))
@@ -213,8 +213,8 @@
                 cluster.floor.crash(worker)
             for worker in used:
                 cluster.floor.lapse(worker)
-            await self.follow(cluster)
-            self.assertLess(await self.begun_again_after(cluster, 8), SOON_S)
+            await self.fail_over(cluster)
+            self.assertLess(await self.time_until_starts(cluster, 8), SOON_S)
             await asyncio.sleep(INHERITED_S - SOON_S - READING_S)
             self.assertEqual(cluster.floor.starts_of(A), 8)
             await cluster.until_state(A, JobState.COMPLETED, 4 * HOLD_S)
@@ -222,14 +222,14 @@
 
         self.play(body, workers=6)
 
-    def test_a_record_that_comes_back_makes_the_worker_one_like_others(self) -> None:
-        """Behind a cut its record is back first; its answers follow."""
+    def test_a_worker_whose_record_comes_back_is_used_normally(self) -> None:
+        """On a partitioned worker the record returns first, and the answers later."""
 
         async def body(cluster: PoolCluster) -> None:
             worker = await self.run_on(cluster, job(1, work_s=HOLD_S))
             worker.unreachable = True
             cluster.floor.lapse(worker)
-            await self.follow(cluster)
+            await self.fail_over(cluster)
             await asyncio.sleep(1.0)
             cluster.floor.record(worker)
             await asyncio.sleep(1.0)
@@ -242,13 +242,13 @@
 
         self.play(body)
 
-    def test_silence_at_its_address_proves_nothing(self) -> None:
+    def test_no_answer_at_its_address_proves_nothing(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             worker = await self.run_on(cluster, job(1, work_s=20.0))
             worker.unreachable = True
             cluster.floor.crash(worker)
             cluster.floor.lapse(worker)
-            await self.follow(cluster)
+            await self.fail_over(cluster)
             await self.assert_waits_for_the_lease(cluster)
 
         self.play(body)
@@ -258,7 +258,7 @@
             worker = await self.run_on(cluster, job(1, work_s=20.0))
             cluster.floor.crash(worker)
             cluster.floor.lapse(worker)
-            await self.follow(cluster)
+            await self.fail_over(cluster)
             await self.assert_waits_for_the_lease(cluster)
 
         self.play(body)
@@ -268,52 +268,52 @@
             worker = await self.run_on(cluster, job(1, work_s=60.0))
             worker.busy = True
             cluster.floor.lapse(worker)
-            await self.follow(cluster)
+            await self.fail_over(cluster)
             await self.assert_waits_for_the_lease(cluster)
 
         self.play(body)
 
-    def test_one_that_was_cut_off_and_answers_later_frees_its_task_then(self) -> None:
+    def test_a_partitioned_worker_that_answers_later_frees_its_task_then(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             worker = await self.run_on(cluster, job(1, work_s=20.0))
             worker.unreachable = True
             self.restart(cluster, worker)
             cluster.floor.lapse(worker)
-            await self.follow(cluster)
+            await self.fail_over(cluster)
             await asyncio.sleep(5.0)
             self.assertEqual(cluster.floor.starts_of(A), 1)
             worker.unreachable = False
-            self.assertLess(await self.begun_again_after(cluster, 2), SOON_S)
+            self.assertLess(await self.time_until_starts(cluster, 2), SOON_S)
 
         self.play(body)
 
-    def test_no_session_is_left_with_a_life_that_is_over(self) -> None:
+    def test_no_session_is_left_with_an_incarnation_that_is_over(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             worker = await self.run_on(cluster, job(1, work_s=20.0))
             cluster.floor.crash(worker)
             cluster.floor.lapse(worker)
-            await self.follow(cluster)
+            await self.fail_over(cluster)
             leader = cluster.leader
             assert leader is not None and leader.scheduler is not None
             sessions = leader.scheduler._sessions
             self.assertIn(worker.worker_id, sessions)
-            await self.begun_again_after(cluster, 2)
+            await self.time_until_starts(cluster, 2)
             await cluster.until(lambda: worker.worker_id not in sessions, 1.0)
 
         self.play(body)
 
 
-class SightTest(InheritedCase):
+class LogTest(InheritedCase):
     """What is logged about runs that an earlier leader started."""
 
     async def lines(self, cluster: PoolCluster) -> list[dict[str, object]]:
         """What a new leader logs until the task runs again."""
         with self.assertLogs("saddlestack.endings", "INFO") as caught:
-            await self.follow(cluster)
-            await self.begun_again_after(cluster, 2)
+            await self.fail_over(cluster)
+            await self.time_until_starts(cluster, 2)
         return [vars(line) for line in caught.records]
 
-    def test_the_wait_for_a_lease_and_its_end_are_told(self) -> None:
+    def test_the_wait_for_a_lease_and_its_end_are_logged(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             worker = await self.run_on(cluster, job(1, work_s=20.0))
             cluster.floor.crash(worker)
@@ -327,7 +327,7 @@
 
         self.play(body)
 
-    def test_another_life_and_an_absent_run_are_told_as_proof(self) -> None:
+    def test_another_incarnation_and_an_absent_run_are_logged_as_proof(self) -> None:
         async def replaced(cluster: PoolCluster) -> None:
             worker = await self.run_on(cluster, job(1, work_s=20.0))
             worker.unreachable = True
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -53,13 +53,13 @@
 
         async def body(scene: Scene) -> None:
             scene.assign()
-            scene.is_there()
+            scene.list_run()
             await asyncio.sleep(1.0)
-            scene.orders.dark = True
+            scene.orders.is_unreachable = True
             await asyncio.sleep(SILENT_S)
             self.assertFalse(scene.session.worker.reachable)
             await scene.session.close()
-            again = scene.session_anew()
+            again = scene.new_session()
             await asyncio.sleep(HOLD_S / 4)
             self.assertIs(scene.status, TaskStatus.ASSIGNED)
             await asyncio.sleep(LONGEST_S)
--- a/tests/test_own_records.py
+++ b/tests/test_own_records.py
@@ -1,6 +1,6 @@
-"""Records that saddlestack itself keeps, after another writer got at them.
+"""Records of saddlestack itself that another writer has changed.
 
-One that cannot be read ends no term and stops no feed: its job alone is left as it is, and is never
+An unreadable record ends no term and stops no feed. Only its job is left untouched, and is never
 run again by mistake.
 """
 
@@ -31,7 +31,7 @@
 from tests.test_inherited import HOLD_S, INHERITED_S, A, B, InheritedCase
 
 C = "00000000000000cc"
-HEARD_S = 1.0
+SETTLED_S = 1.0
 ELECTED_S = 6.0
 
 UNREADABLE = {**unreadable(), "not msgpack": b"\xc1\xc1", "deep msgpack": b"\x91" * 100_000}
@@ -50,9 +50,9 @@
     "a run on no worker": progress(StepRecord([TaskRecord(TaskStatus.ASSIGNED, 1, "")])),
     "a run below 0": progress(StepRecord([TaskRecord(TaskStatus.WAITING, -1)])),
 }
-"""Progress of a job of one task that cannot be used."""
+"""Invalid progress records of a job of one task."""
 
-ODD_KEYS = (
+MALFORMED_KEYS = (
     keys.PROGRESS,
     keys.PROGRESS + "x",
     keys.PROGRESS + A,
@@ -83,13 +83,13 @@
 
 
 class OwnRecordsCase(InheritedCase):
-    async def follow_up(self, cluster: PoolCluster) -> None:
-        """The leader dies, and another VM leads."""
+    async def kill_leader(self, cluster: PoolCluster) -> None:
+        """Kill the leader, and wait until another VM leads."""
         await cluster.kill(cluster.leader_name)
         await cluster.until(lambda: cluster.leader is not None, ELECTED_S)
 
     async def assert_serves(self, cluster: PoolCluster, job_id: str = B) -> None:
-        """The present leader runs a job that is handed in now."""
+        """Check that the present leader runs a job that is submitted now."""
         await cluster.submit(job_id, job(2))
         await cluster.until_state(job_id, JobState.COMPLETED)
 
@@ -112,9 +112,9 @@
                 cluster.store.put(key, value)
                 await cluster.until(lambda: cluster.leader is not None, ELECTED_S)
                 await self.assert_serves(cluster)
-                # Written anew, or read anew, it is still not known what is done of it.
+                # Even if it is written or read again, it is unknown what is already done.
                 cluster.store.put(keys.job_key(A), accepted.value)
-                await asyncio.sleep(HEARD_S)
+                await asyncio.sleep(SETTLED_S)
                 cluster.store.forget_history()
                 await asyncio.sleep(INHERITED_S + HOLD_S)
                 self.assertEqual(cluster.floor.starts_of(A), 1)
@@ -136,10 +136,10 @@
                     value = cluster.store.item(keys.job_key(C)).value
                 fence = self.fence(cluster)
                 cluster.store.put(keys.job_key(A), value)
-                await asyncio.sleep(HEARD_S)
+                await asyncio.sleep(SETTLED_S)
                 await self.assert_serves(cluster)
                 self.assertEqual(self.fence(cluster), fence)
-                await self.follow_up(cluster)
+                await self.kill_leader(cluster)
                 await self.assert_serves(cluster, "00000000000000dd")
                 self.assertEqual(cluster.floor.starts_of(A), 0)
                 self.assertEqual(cluster.floor.starts_of(C), 1)
@@ -149,7 +149,7 @@
                 self.play(body, entries=2)
 
     def test_progress_that_another_writer_changes_is_written_again(self) -> None:
-        """The leader knows what it wrote; the store has only its word against another's."""
+        """The leader has the true content in memory, and writes it again."""
         for name, value in PROGRESS.items():
 
             async def body(cluster: PoolCluster, value: bytes = value) -> None:
@@ -159,7 +159,7 @@
                 await asyncio.sleep(1.0)
                 cluster.store.put(key, value)
                 await cluster.until_state(A, JobState.COMPLETED)
-                await asyncio.sleep(HEARD_S)
+                await asyncio.sleep(SETTLED_S)
                 self.assertEqual(self.fence(cluster), fence)
                 self.assertEqual(cluster.floor.ends_of(A, EndKind.DONE), 1)
                 record = from_msgpack(cluster.store.item(key).value, OccurrenceRecord)
@@ -168,10 +168,10 @@
             with self.subTest(name):
                 self.play(body, entries=2)
 
-    def test_clients_are_told_that_it_cannot_be_read(self) -> None:
+    def test_clients_get_an_error_for_an_unreadable_job(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             cluster.store.put(keys.job_key(A), b"\xc1")
-            await asyncio.sleep(HEARD_S)
+            await asyncio.sleep(SETTLED_S)
             for call in (cluster.state(A), cluster.cancel(A), cluster.submit(A, job(1))):
                 with self.assertRaises(SaddlestackError) as caught:
                     await call
@@ -179,7 +179,7 @@
 
         self.play(body)
 
-    def test_a_mark_that_a_job_is_cancelled_counts_whatever_it_holds(self) -> None:
+    def test_a_cancel_key_counts_whatever_its_value(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             await self.run_on(cluster, job(1, work_s=HOLD_S))
             cluster.store.put(keys.cancel_key(A), b"\xff\xc1")
@@ -190,21 +190,21 @@
 
 
 class KeysTest(OwnRecordsCase):
-    def test_keys_with_odd_names_stop_nothing(self) -> None:
+    def test_malformed_keys_stop_nothing(self) -> None:
         for value in (b"", b"{}", to_msgpack(OccurrenceRecord(OccurrenceStatus.OPEN, []))):
 
             async def body(cluster: PoolCluster, value: bytes = value) -> None:
                 fence = self.fence(cluster)
-                for key in ODD_KEYS:
+                for key in MALFORMED_KEYS:
                     cluster.store.put(key, value)
-                await asyncio.sleep(HEARD_S)
+                await asyncio.sleep(SETTLED_S)
                 await self.assert_serves(cluster)
                 self.assertEqual(self.fence(cluster), fence)
-                await self.follow_up(cluster)
+                await self.kill_leader(cluster)
                 await self.assert_serves(cluster, C)
-                for key in ODD_KEYS:
+                for key in MALFORMED_KEYS:
                     cluster.store.remove(key)
-                await asyncio.sleep(HEARD_S)
+                await asyncio.sleep(SETTLED_S)
                 await self.assert_serves(cluster, A)
 
             with self.subTest(value):
@@ -217,14 +217,14 @@
             for value in unreadable().values():
                 cluster.store.put("op/config", value)
                 await asyncio.sleep(0.1)
-            await asyncio.sleep(HEARD_S)
+            await asyncio.sleep(SETTLED_S)
             await self.assert_serves(cluster)
             for member in cluster.members.values():
                 current = member.vm.configuration.current
                 assert current is not None
                 self.assertEqual(current.version, cluster.version)
             cluster.configure()
-            await asyncio.sleep(HEARD_S)
+            await asyncio.sleep(SETTLED_S)
             for member in cluster.members.values():
                 current = member.vm.configuration.current
                 assert current is not None
@@ -232,7 +232,7 @@
 
         self.play(body)
 
-    def test_a_bad_configuration_is_told_once(self) -> None:
+    def test_a_bad_configuration_is_logged_once(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             bad = pool_document(9, attempts=3, guaranteed=0)[:-1]
             with self.assertLogs("saddlestack", logging.ERROR) as caught:
@@ -244,7 +244,7 @@
 
         self.play(body)
 
-    def test_waves_that_cannot_be_read_stop_no_others(self) -> None:
+    def test_unreadable_waves_stop_no_others(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             for number, value in enumerate(unreadable().values()):
                 cluster.store.put(f"op/wave/{100 + number}", value)
@@ -254,16 +254,16 @@
                 wave = {"wave": number, "machines": [machine], "deadline-s": 10, "max-tasks": 1}
                 cluster.store.put(f"op/wave/{number}", msgspec.json.encode(wave))
             await cluster.until(lambda: b"completed" in cluster.store.item("status/wave/9").value)
-            # What is kept of wave 8 cannot be read: its machine may have had its upkeep.
+            # The record of wave 8 is unreadable: its machine may have had its upkeep already.
             self.assertFalse(cluster.store.item("status/wave/8").revision)
 
         self.play(body)
 
-    def test_an_evacuation_counts_whatever_its_record_holds(self) -> None:
+    def test_an_evacuation_counts_whatever_its_value(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             cluster.store.put("op/evacuate/hall-1", b"\xff\xc1")
             cluster.store.put("op/evacuate/", b"{}")
-            await asyncio.sleep(HEARD_S)
+            await asyncio.sleep(SETTLED_S)
             await self.assert_serves(cluster)
             halls = {cluster.floor.workers[run.worker].data_hall for run in cluster.floor.history}
             self.assertEqual(halls, {"hall-2"})
@@ -272,8 +272,8 @@
 
 
 class LeaderKeyTest(OwnRecordsCase):
-    def test_a_leader_key_that_cannot_be_read_is_taken_anew(self) -> None:
-        """Nobody could lead: the key is there, names nobody, and goes with no lease."""
+    def test_an_unreadable_leader_key_is_replaced(self) -> None:
+        """Otherwise no VM could lead: the key exists, names no VM and expires with no lease."""
         for name, value in unreadable().items():
 
             async def body(cluster: PoolCluster, value: bytes = value) -> None:
@@ -290,7 +290,7 @@
             with self.subTest(name):
                 self.play(body)
 
-    def test_such_a_key_costs_the_store_few_writes(self) -> None:
+    def test_an_unreadable_leader_key_causes_few_writes(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             for name in list(cluster.members)[1:]:
                 await cluster.kill(name)
@@ -302,8 +302,8 @@
 
         self.play(body)
 
-    def test_a_value_spoiled_on_its_way_ends_no_term(self) -> None:
-        """The same revision, read as nothing, as a value that is no base64 is."""
+    def test_a_value_corrupted_in_transit_ends_no_term(self) -> None:
+        """The same revision with an empty value, which is how invalid base64 is read."""
 
         async def body(cluster: PoolCluster) -> None:
             fence = self.fence(cluster)
@@ -343,7 +343,7 @@
         async def body(cluster: PoolCluster) -> None:
             for number, value in enumerate(values):
                 cluster.store.put(keys.member_key(f"bad-{number}"), value)
-            await asyncio.sleep(HEARD_S)
+            await asyncio.sleep(SETTLED_S)
             for member in cluster.members.values():
                 known = {other.vm for other in member.vm.membership.others()}
                 self.assertLessEqual(known, set(cluster.members))
@@ -351,18 +351,18 @@
 
         self.play(body)
 
-    def test_while_one_cannot_be_read_somebody_may_renew_leases(self) -> None:
-        """Its VM may be an earlier leader that renews without the store; nobody can ask it."""
+    def test_while_one_is_unreadable_renewals_may_continue(self) -> None:
+        """Its VM may be an earlier leader that renews without the store, and cannot be asked."""
 
         async def body(cluster: PoolCluster) -> None:
             leader = cluster.leader
             assert leader is not None
             self.assertTrue(await leader.renewals.are_over())
             cluster.store.put(keys.member_key("entry-9"), b"\xff")
-            await asyncio.sleep(HEARD_S)
+            await asyncio.sleep(SETTLED_S)
             self.assertFalse(await leader.renewals.are_over())
             cluster.store.remove(keys.member_key("entry-9"))
-            await asyncio.sleep(HEARD_S)
+            await asyncio.sleep(SETTLED_S)
             self.assertFalse(await leader.renewals.are_over())
 
         self.play(body)
--- a/tests/test_second_run.py
+++ b/tests/test_second_run.py
@@ -498,7 +498,7 @@
         async def body(scene: Scene) -> None:
             scene.owner.stored.clear()
             scene.assign()
-            scene.is_there()
+            scene.list_run()
             await asyncio.sleep(0.5)
             others = tuple(
                 EndedTask(number, f"{number + 1:016x}.0.0.0", 1, EndKind.DONE, "")
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -1,4 +1,4 @@
-"""A leader's dealings with one worker, alone: orders that get lost, leases, ends."""
+"""A leader's session with one worker: lost orders, leases and ended runs."""
 
 from __future__ import annotations
 
@@ -46,18 +46,18 @@
 HEARTBEAT_S = 1.5
 MOMENT_S = 0.01
 LONG_AGO_S = 60.0
-"""Since the term began: what earlier leaders granted has lapsed."""
+"""How long the term has lasted: all leases of earlier leaders have lapsed."""
 
 Fault = type[Exception] | None
 
 
 @dataclass
-class ScriptedOrders:
-    """Answers as it is told to, and notes what it was asked.
+class FakeOrders:
+    """Answers as scripted, and records the calls.
 
-    :param start_faults: what the next starts meet; ``None`` or the end of it means an answer.
-    :param dark: no call is answered.
-    :param delay_s: how long the answer of a look that waits for nothing is on its way.
+    :param start_faults: faults of the next starts; ``None``, or the end of the list, is an answer.
+    :param is_unreachable: no call is answered.
+    :param delay_s: how long the answer to a poll that does not wait is in transit.
     """
 
     start_faults: list[Fault] = field(default_factory=list)
@@ -67,7 +67,7 @@
     ended: tuple[EndedTask, ...] = ()
     hold_fault: Fault = None
     hold_faults: list[Fault] = field(default_factory=list)
-    dark: bool = False
+    is_unreachable: bool = False
     delay_s: float = 0.0
     timeouts: list[float] = field(default_factory=list)
     starts: int = 0
@@ -78,16 +78,16 @@
     async def start(self, order: StartOrder, timeout_s: float) -> StartReply:
         self.timeouts.append(timeout_s)
         self.starts += 1
-        await self._meet(self.start_faults.pop(0) if self.start_faults else None, timeout_s)
+        await self._apply_fault(self.start_faults.pop(0) if self.start_faults else None, timeout_s)
         return StartReply(0, self.refusals.pop(0) if self.refusals else None)
 
     async def stop(self, task: str, run: int, fence: int, timeout_s: float) -> None:
         self.timeouts.append(timeout_s)
         self.stops.append(task)
-        await self._meet(self.stop_faults.pop(0) if self.stop_faults else None, timeout_s)
+        await self._apply_fault(self.stop_faults.pop(0) if self.stop_faults else None, timeout_s)
 
     async def pace(self, task: str, run: int, percent: int, fence: int, timeout_s: float) -> None:
-        raise AssertionError("no pace was to be ordered")
+        raise AssertionError("unexpected pace order")
 
     async def hold(
         self, fence: int, deadline_ms: int | None, seen: int, wait_s: float, timeout_s: float
@@ -95,7 +95,7 @@
         self.seen.append(seen)
         self.deadlines.append(deadline_ms)
         fault = self.hold_faults.pop(0) if self.hold_faults else self.hold_fault
-        await self._meet(fault, timeout_s)
+        await self._apply_fault(fault, timeout_s)
         await asyncio.sleep(wait_s)
         ended = tuple(end for end in self.ended if end.number > seen)[:ENDS_AT_ONCE]
         clock_ms = round(asyncio.get_running_loop().time() * 1000)
@@ -107,20 +107,20 @@
     def close(self) -> None:
         pass
 
-    async def _meet(self, fault: Fault, timeout_s: float) -> None:
-        if self.dark or fault is WorkerUnreachable:
+    async def _apply_fault(self, fault: Fault, timeout_s: float) -> None:
+        if self.is_unreachable or fault is WorkerUnreachable:
             await asyncio.sleep(timeout_s)
-            raise WorkerUnreachable("silence")
+            raise WorkerUnreachable("no answer")
         if fault is not None:
             raise fault
         await asyncio.sleep(0.001)
 
 
 @dataclass
-class LoneOwner:
+class SingleWorkerOwner:
     """A scheduler with one worker.
 
-    :param stored: whether the store has all that is known.
+    :param stored: set while the store has all records.
     """
 
     cluster_state: ClusterState
@@ -154,13 +154,13 @@
     """One worker, one job of one task, and the session under test."""
 
     cluster_state: ClusterState
-    owner: LoneOwner
-    orders: ScriptedOrders
+    owner: SingleWorkerOwner
+    orders: FakeOrders
     session: WorkerSession
     leases: Leases
 
-    def session_anew(self) -> WorkerSession:
-        """Another session with the same life, of the same term."""
+    def new_session(self) -> WorkerSession:
+        """Another session with the same incarnation, of the same term."""
         session = WorkerSession(self.session.worker, self.orders, self.owner, Clock(), self.leases)
         session.begin()
         return session
@@ -170,24 +170,24 @@
         return self.cluster_state.take_changes()
 
     def assign(self) -> None:
-        """Decide that the task runs, and order it."""
+        """Run a round, and order the start it decides."""
         self.session.start(self.plan().starts[0])
 
-    def is_there(self, percent: int = 10) -> None:
-        """From now on the worker lists the run."""
+    def list_run(self, percent: int = 10) -> None:
+        """Make the worker list the run from now on."""
         self.orders.running = (RunningTask(TASK, 1, "", percent),)
 
-    async def ever_silent(self, seconds: float) -> bool:
-        """Whether the worker counts as silent at any moment of some seconds."""
-        silent = False
+    async def was_ever_unreachable(self, seconds: float) -> bool:
+        """Whether the worker counts as unreachable at any moment of the next seconds."""
+        was_unreachable = False
         for _ in range(round(seconds / MOMENT_S)):
             await asyncio.sleep(MOMENT_S)
-            silent = silent or not self.session.worker.reachable
-        return silent
+            was_unreachable = was_unreachable or not self.session.worker.reachable
+        return was_unreachable
 
     @property
     def status(self) -> TaskStatus:
-        """Where the task stands."""
+        """The status of the task."""
         return self.cluster_state.jobs[JOB].occurrences[0].steps[0].tasks[0].status
 
 
@@ -210,9 +210,9 @@
                 request=JobRequest(payload="", steps=(step,)),
             )
             cluster_state.add_job(accepted, {})
-            owner = LoneOwner(cluster_state)
+            owner = SingleWorkerOwner(cluster_state)
             owner.stored.set()
-            orders = ScriptedOrders()
+            orders = FakeOrders()
             leases = Leases(HOLD_S, -LONG_AGO_S)
             session = WorkerSession(worker, orders, owner, Clock(), leases)
             session.begin()
@@ -225,37 +225,39 @@
 
 
 class SessionTest(SessionCase):
-    def test_one_order_without_answer_is_repeated_and_is_no_silence(self) -> None:
+    def test_one_unanswered_order_is_repeated_and_leaves_the_worker_reachable(self) -> None:
         async def body(scene: Scene) -> None:
             scene.orders.start_faults = [WorkerUnreachable]
             scene.assign()
-            self.assertFalse(await scene.ever_silent(1.0))
+            self.assertFalse(await scene.was_ever_unreachable(1.0))
             self.assertEqual(scene.orders.timeouts, [ORDER_TIMEOUT_S] * 2)
             self.assertEqual(scene.orders.stops, [])
 
         self.play(body)
 
-    def test_one_look_without_answer_is_repeated_at_once_and_is_no_silence(self) -> None:
-        """Found on scale-1: an end was heard of 2.8 s late, since a look's answer was lost."""
+    def test_one_unanswered_poll_is_repeated_at_once_and_leaves_the_worker_reachable(self) -> None:
+        """On scale-1 an end was noticed 2.8 s late, since the answer to a poll was lost."""
 
         async def body(scene: Scene) -> None:
             scene.assign()
-            scene.is_there()
+            scene.list_run()
             await asyncio.sleep(1.0)
             scene.orders.hold_faults = [WorkerUnreachable]
-            looks = len(scene.orders.seen)
-            self.assertFalse(await scene.ever_silent(2 * LONG_POLL_S + LONG_POLL_SLACK_S + 0.5))
+            polls = len(scene.orders.seen)
+            self.assertFalse(
+                await scene.was_ever_unreachable(2 * LONG_POLL_S + LONG_POLL_SLACK_S + 0.5)
+            )
             self.assertEqual(scene.orders.hold_faults, [])
-            self.assertGreaterEqual(len(scene.orders.seen), looks + 2)
+            self.assertGreaterEqual(len(scene.orders.seen), polls + 2)
 
         self.play(body)
 
-    def test_a_run_that_stands_still_is_noticed_beside_a_look_that_waits_for_an_end(self) -> None:
-        """Urgent work starts while a look at other work of the worker has 2 s to wait."""
+    def test_a_stalled_run_is_noticed_during_a_long_poll(self) -> None:
+        """Urgent work starts while a poll for other work of the worker waits up to 2 s."""
 
         async def body(scene: Scene) -> None:
             scene.assign()
-            scene.is_there(percent=0)
+            scene.list_run(percent=0)
             await asyncio.sleep(MIN_STALL_S + 3 * PROGRESS_POLL_S)
             stops = scene.cluster_state.take_changes().stops
             self.assertEqual([stop.reason for stop in stops], [StopReason.STUCK])
@@ -263,23 +265,23 @@
 
         self.play(body)
 
-    def test_work_that_an_earlier_leader_started_is_looked_at_often_as_well(self) -> None:
+    def test_work_that_an_earlier_leader_started_is_polled_often_as_well(self) -> None:
         async def body(scene: Scene) -> None:
             run = scene.plan().starts[0].run
             run.inherited = True
-            scene.is_there(percent=0)
-            scene.session.suspect()  # has it looked at, as a new leader does
+            scene.list_run(percent=0)
+            scene.session.suspect()  # polls the worker, as a new leader does
             await asyncio.sleep(MIN_STALL_S + 4 * PROGRESS_POLL_S)
             stops = scene.cluster_state.take_changes().stops
             self.assertEqual([stop.reason for stop in stops], [StopReason.STUCK])
 
         self.play(body)
 
-    def test_a_start_whose_run_is_over_before_it_leaves_never_does(self) -> None:
-        """Decided while its worker was out of reach, and sent once it was back.
+    def test_a_start_whose_run_is_over_before_it_is_sent_is_never_sent(self) -> None:
+        """The start was decided while its worker was unreachable, and sent once it was back.
 
-        A call from before was not answered, nor was the look that followed. No lease had ever been
-        granted there, so what was decided and not sent yet counted as lapsed.
+        An earlier call was not answered, nor was the poll that followed. No lease had ever been
+        granted there, so the run that was not sent yet counted as lapsed.
         """
 
         async def body(scene: Scene) -> None:
@@ -288,17 +290,17 @@
             scene.session.stop(TaskName.parse(f"{JOB}.0.0.7"), 1)
             await asyncio.sleep(0.1)
             start = scene.plan().starts[0]
-            scene.orders.dark = True
+            scene.orders.is_unreachable = True
             await asyncio.sleep(1.2)
             self.assertIs(scene.status, TaskStatus.WAITING)
-            scene.orders.dark = False
+            scene.orders.is_unreachable = False
             scene.session.start(start)
             await asyncio.sleep(1.0)
             self.assertEqual(scene.orders.starts, 0)
 
         self.play(body)
 
-    def test_a_start_whose_run_is_over_while_it_waits_for_others_never_leaves(self) -> None:
+    def test_a_start_whose_run_is_over_while_it_is_queued_is_never_sent(self) -> None:
         async def body(scene: Scene) -> None:
             start = scene.plan().starts[0]
             scene.orders.stop_faults = [WorkerUnreachable] * MAX_CONCURRENT_ORDERS
@@ -313,28 +315,28 @@
 
         self.play(body)
 
-    def test_an_answer_that_was_sent_before_an_end_stops_nothing(self) -> None:
-        """Found on calm days: runs that had ended were ordered to stop as not ours."""
+    def test_a_report_sent_before_an_end_stops_nothing(self) -> None:
+        """On days without faults, runs that had ended were stopped as unknown runs."""
 
         async def body(scene: Scene) -> None:
             scene.assign()
-            scene.is_there(percent=99)
-            await asyncio.sleep(MOMENT_S)  # the worker has told its clock
+            scene.list_run(percent=99)
+            await asyncio.sleep(MOMENT_S)  # the worker's clock is known now
             scene.orders.delay_s = 0.45
-            await asyncio.sleep(1.9)  # a look asked at 1.8 s is answered at 2.25 s
+            await asyncio.sleep(1.9)  # a poll sent at 1.8 s is answered at 2.25 s
             scene.orders.running = ()
             scene.orders.ended = (EndedTask(1, TASK, 1, EndKind.DONE, ""),)
-            await asyncio.sleep(0.2)  # the look that waits has told of the end at 2.0 s
+            await asyncio.sleep(0.2)  # the long poll has reported the end at 2.0 s
             self.assertIs(scene.status, TaskStatus.DONE)
             await asyncio.sleep(0.5)
             self.assertEqual(scene.cluster_state.take_changes().stops, [])
 
         self.play(body)
 
-    def test_where_runs_are_to_stop_a_lost_look_costs_little(self) -> None:
+    def test_a_lost_poll_costs_little_while_runs_are_stopping(self) -> None:
         async def body(scene: Scene) -> None:
             scene.assign()
-            scene.is_there()
+            scene.list_run()
             await asyncio.sleep(2 * LONG_POLL_S + 0.1)
             run = next(iter(scene.session.worker.runs.values()))
             scene.cluster_state.stop_run(run, StopReason.PREEMPTED)
@@ -350,9 +352,9 @@
 
         self.play(body)
 
-    def test_two_orders_in_a_row_without_answer_are_silence(self) -> None:
+    def test_two_unanswered_orders_in_a_row_make_the_worker_unreachable(self) -> None:
         async def body(scene: Scene) -> None:
-            scene.orders.dark = True
+            scene.orders.is_unreachable = True
             scene.assign()
             await asyncio.sleep(0.35)
             self.assertTrue(scene.session.worker.reachable)
@@ -361,32 +363,32 @@
 
         self.play(body)
 
-    def test_a_look_without_answer_right_after_another_is_silence(self) -> None:
-        """Found by these tests: an answer heard at the very moment of asking counted as later."""
+    def test_two_unanswered_polls_in_a_row_make_the_worker_unreachable(self) -> None:
+        """An answer that arrived at the very moment of the next call counted as an answer to it."""
 
         async def body(scene: Scene) -> None:
             scene.assign()
-            scene.is_there()
+            scene.list_run()
             await asyncio.sleep(1.0)
-            scene.orders.dark = True
+            scene.orders.is_unreachable = True
             await asyncio.sleep(1.5 + LONG_POLL_S + LONG_POLL_SLACK_S)
             self.assertFalse(scene.session.worker.reachable)
 
         self.play(body)
 
-    def test_silence_ends_with_the_first_answer(self) -> None:
+    def test_the_first_answer_makes_the_worker_reachable_again(self) -> None:
         async def body(scene: Scene) -> None:
-            scene.orders.dark = True
+            scene.orders.is_unreachable = True
             scene.assign()
             await asyncio.sleep(1.5)
             self.assertFalse(scene.session.worker.reachable)
-            scene.orders.dark = False
+            scene.orders.is_unreachable = False
             await asyncio.sleep(1.5)
             self.assertTrue(scene.session.worker.reachable)
 
         self.play(body)
 
-    def test_a_start_that_was_surely_not_done_frees_its_task_at_once(self) -> None:
+    def test_a_refused_start_frees_its_task_at_once(self) -> None:
         async def body(scene: Scene) -> None:
             scene.orders.refusals = [Refusal.CAPACITY]
             scene.assign()
@@ -396,8 +398,8 @@
 
         self.play(body)
 
-    def test_a_start_that_may_come_later_is_stopped_before_its_task_is_free(self) -> None:
-        """Its first try was not answered: it may be done seconds later."""
+    def test_a_start_in_doubt_is_stopped_before_its_task_is_freed(self) -> None:
+        """The first try was not answered: it may be carried out seconds later."""
 
         async def body(scene: Scene) -> None:
             scene.orders.start_faults = [WorkerUnreachable]
@@ -412,8 +414,8 @@
 
         self.play(body)
 
-    def test_a_stop_that_was_answered_is_followed_by_a_look_at_once(self) -> None:
-        """Found on the days of a cut hall: a look that waited held work up for 4 s more."""
+    def test_an_answered_stop_is_followed_by_a_poll_at_once(self) -> None:
+        """With a data hall cut off, a poll that waited delayed work by another 4 s."""
 
         async def body(scene: Scene) -> None:
             scene.orders.start_faults = [WorkerUnreachable] * MAX_START_TRIES
@@ -424,28 +426,28 @@
 
         self.play(body)
 
-    def test_a_suspected_worker_is_looked_at_at_once_and_until_it_is_heard(self) -> None:
+    def test_a_suspected_worker_is_polled_at_once_and_until_it_answers(self) -> None:
         async def body(scene: Scene) -> None:
             scene.session.suspect()
             self.assertTrue(scene.session.worker.suspected)
             await asyncio.sleep(0.01)
             self.assertFalse(scene.session.worker.suspected)
-            scene.orders.dark = True
+            scene.orders.is_unreachable = True
             scene.session.suspect()
             await asyncio.sleep(5.0)
             self.assertTrue(scene.session.worker.suspected)
-            scene.orders.dark = False
+            scene.orders.is_unreachable = False
             await asyncio.sleep(1.5)
             self.assertFalse(scene.session.worker.suspected)
 
         self.play(body)
 
-    def test_a_silent_workers_runs_are_over_when_every_lease_has_lapsed(self) -> None:
+    def test_runs_of_an_unreachable_worker_are_over_when_every_lease_has_lapsed(self) -> None:
         async def body(scene: Scene) -> None:
             scene.assign()
-            scene.is_there()
+            scene.list_run()
             await asyncio.sleep(1.0)
-            scene.orders.dark = True
+            scene.orders.is_unreachable = True
             last = asyncio.get_running_loop().time()
             longest = HOLD_S * CLOCK_DRIFT + LAPSE_SLACK_S
             await asyncio.sleep(longest - 1.2)
@@ -459,34 +461,34 @@
 
         self.play(body)
 
-    def test_a_session_that_has_nothing_left_to_look_at_is_over(self) -> None:
-        """Its worker's record was gone, and its last end not yet stored, as every lease lapsed.
+    def test_a_session_with_nothing_left_to_poll_is_over(self) -> None:
+        """The worker's record was gone, and its last end not yet stored, when every lease lapsed.
 
-        Should the record come back, the worker needs a session that looks; this one was given out
-        again, and nobody looked.
+        If the record comes back, the worker needs a session that polls it. The old session was
+        reused, and did not poll any more.
         """
 
         async def body(scene: Scene) -> None:
             scene.owner.stored.clear()
             scene.assign()
-            scene.is_there()
+            scene.list_run()
             await asyncio.sleep(0.5)
             scene.cluster_state.unlist_worker("w11")
             scene.orders.ended = (EndedTask(1, TASK, 1, EndKind.DONE, ""),)
             scene.orders.running = ()
             await asyncio.sleep(LONG_POLL_S)
             self.assertIs(scene.status, TaskStatus.DONE)
-            scene.orders.dark = True
+            scene.orders.is_unreachable = True
             await asyncio.sleep(2 * HOLD_S * CLOCK_DRIFT + LAPSE_SLACK_S)
             self.assertTrue(scene.session.over)
 
         self.play(body)
 
-    def test_ends_are_forgotten_by_the_worker_only_once_they_are_stored(self) -> None:
+    def test_ends_are_acknowledged_only_once_they_are_stored(self) -> None:
         async def body(scene: Scene) -> None:
             scene.owner.stored.clear()
             scene.assign()
-            scene.is_there()
+            scene.list_run()
             await asyncio.sleep(0.5)
             scene.orders.running = ()
             scene.orders.ended = (EndedTask(1, TASK, 1, EndKind.DONE, ""),)
@@ -500,18 +502,18 @@
 
         self.play(body)
 
-    def test_reports_that_change_nothing_start_no_round(self) -> None:
-        """On a pool of 350 workers these asked for 175 rounds a second."""
+    def test_reports_without_changes_trigger_no_round(self) -> None:
+        """On a pool of 350 workers these triggered 175 rounds a second."""
 
         async def body(scene: Scene) -> None:
             scene.assign()
-            scene.is_there()
+            scene.list_run()
             await asyncio.sleep(1.0)
             scene.plan()
-            before, looks = scene.owner.rounds, len(scene.orders.seen)
-            scene.is_there(percent=50)
+            before, polls = scene.owner.rounds, len(scene.orders.seen)
+            scene.list_run(percent=50)
             await asyncio.sleep(20.0)
-            self.assertGreater(len(scene.orders.seen), looks + 5)
+            self.assertGreater(len(scene.orders.seen), polls + 5)
             self.assertEqual(scene.owner.rounds, before)
 
         self.play(body)
@@ -519,7 +521,7 @@
     def test_a_run_that_a_worker_does_not_know_is_started_again(self) -> None:
         async def body(scene: Scene) -> None:
             scene.assign()
-            scene.is_there()
+            scene.list_run()
             await asyncio.sleep(1.0)
             scene.orders.running = ()
             await asyncio.sleep(4.0)
@@ -527,12 +529,12 @@
 
         self.play(body)
 
-    def test_an_answer_of_a_life_that_counts_as_over_is_not_taken(self) -> None:
-        """It answers after its leases had lapsed and its record was gone: the board has lost it."""
+    def test_an_answer_of_an_incarnation_that_is_over_is_ignored(self) -> None:
+        """It answers after its leases lapsed and its record was removed; its state is gone."""
 
         async def body(scene: Scene) -> None:
             scene.assign()
-            scene.is_there()
+            scene.list_run()
             await asyncio.sleep(1.0)
             scene.cluster_state.unlist_worker(scene.session.worker.worker_id)
             scene.cluster_state.worker_ended(scene.session.worker.worker_id)
@@ -542,7 +544,7 @@
 
         self.play(body)
 
-    def test_a_worker_that_obeys_a_later_term_ends_this_one(self) -> None:
+    def test_a_worker_fenced_by_a_later_term_ends_this_term(self) -> None:
         async def body(scene: Scene) -> None:
             scene.orders.hold_fault = WorkerFenced
             scene.assign()
@@ -551,10 +553,10 @@
 
         self.play(body)
 
-    def test_another_life_at_the_address_ends_what_ran(self) -> None:
+    def test_another_incarnation_at_the_address_ends_the_runs(self) -> None:
         async def body(scene: Scene) -> None:
             scene.assign()
-            scene.is_there()
+            scene.list_run()
             await asyncio.sleep(1.0)
             scene.orders.hold_fault = WorkerReplaced
             await asyncio.sleep(3.0)
--- a/tests/test_stale_beliefs.py
+++ b/tests/test_stale_beliefs.py
@@ -28,7 +28,7 @@
 from tests.test_inherited import HOLD_S, INHERITED_S, A, B
 from tests.test_second_run import SLOW, SecondRunCase, TroubledCluster
 from tests.test_session import HOLD_S as SESSION_HOLD_S
-from tests.test_session import LoneOwner, Scene, ScriptedOrders, SessionCase
+from tests.test_session import FakeOrders, Scene, SessionCase, SingleWorkerOwner
 
 HEARD_S = 1.0
 STALL_S = 5.0
@@ -43,7 +43,7 @@
         return super().now() + self.stalled_s
 
 
-class NotingOrders(ScriptedOrders):
+class NotingOrders(FakeOrders):
     """Notes the deadlines of starts; the worker's clock goes on while the leader stands still."""
 
     clock: StalledClock
@@ -51,12 +51,12 @@
 
     async def start(self, order: StartOrder, timeout_s: float) -> StartReply:
         self.start_deadlines.append(order.deadline_ms)
-        return await ScriptedOrders.start(self, order, timeout_s)
+        return await FakeOrders.start(self, order, timeout_s)
 
     async def hold(
         self, fence: int, deadline_ms: int | None, seen: int, wait_s: float, timeout_s: float
     ) -> WorkerReport:
-        report = await ScriptedOrders.hold(self, fence, deadline_ms, seen, wait_s, timeout_s)
+        report = await FakeOrders.hold(self, fence, deadline_ms, seen, wait_s, timeout_s)
         return replace(report, clock_ms=round(self.clock.now() * 1000))
 
 
@@ -81,7 +81,7 @@
 
             await scene.session.close()
             session = WorkerSession(scene.session.worker, orders, scene.owner, clock, scene.leases)
-            with unittest.mock.patch.object(LoneOwner, "may_grant", property(may_grant)):
+            with unittest.mock.patch.object(SingleWorkerOwner, "may_grant", property(may_grant)):
                 # No look runs beside it, which would ask as well.
                 session.start(scene.plan().starts[0])
                 await asyncio.sleep(0.1)
@@ -99,7 +99,7 @@
         async def body(scene: Scene) -> None:
             await scene.session.close()
             leases = Leases(SESSION_HOLD_S, asyncio.get_running_loop().time())
-            scene.orders.dark = True
+            scene.orders.is_unreachable = True
             session = WorkerSession(
                 scene.session.worker, scene.orders, scene.owner, Clock(), leases
             )
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -24,7 +24,7 @@
 from saddlestack.policy.cluster.planner import MAX_STARTS_PER_ROUND
 from saddlestack.standins.loop import run
 from tests.test_board import BULK, NORMAL, URGENT, ClusterCase, step
-from tests.test_session import LoneOwner, ScriptedOrders
+from tests.test_session import FakeOrders, SingleWorkerOwner
 
 WIDTH = 40
 HOLD_S = 10.0
@@ -70,11 +70,11 @@
 
         def orders(record: WorkerRecord) -> WorkerOrders:
             opened.append(asyncio.get_running_loop().time())
-            return ScriptedOrders()
+            return FakeOrders()
 
         async def main() -> None:
             context = SimpleNamespace(orders=orders, clock=Clock())
-            owner = LoneOwner(self.cluster_state)
+            owner = SingleWorkerOwner(self.cluster_state)
             sessions = Sessions(
                 cast(EntryContext, cast(Any, context)), owner, Leases(HOLD_S, Clock().now())
             )
--- a/tests/test_told_crashes.py
+++ b/tests/test_told_crashes.py
@@ -1,4 +1,4 @@
-"""What callers and operators are told of tasks under which workers crash."""
+"""What callers and operators see of tasks under which workers crash."""
 
 from __future__ import annotations
 
@@ -66,35 +66,35 @@
 
 
 class LogsTest(unittest.TestCase):
-    def test_explain_lists_each_crash_with_worker_time_and_what_died_there(self) -> None:
+    def test_explain_lists_each_crash_with_worker_time_and_lost_runs(self) -> None:
         own = [each for each in LINES if CULPRIT in (each.job, each.task.partition(".")[0])]
-        told = causes(CULPRIT, own, LINES)
-        (first,) = [each for each in told if "suspect" in each]
+        reported = causes(CULPRIT, own, LINES)
+        (first,) = [each for each in reported if "suspect" in each]
         self.assertIn("at 4.0: w1 crashed", first)
         self.assertIn(f"beside it died {BESIDE}", first)
-        (last,) = [each for each in told if "given up" in each]
+        (last,) = [each for each in reported if "given up" in each]
         self.assertIn("2 workers crashed under it", last)
         self.assertIn("nothing died beside it", last)
 
-    def test_few_of_many_that_died_are_named(self) -> None:
+    def test_only_some_of_many_lost_runs_are_named(self) -> None:
         lost = [
             line(4.0, "run_over", task=f"{OTHER}.0.0.{index}", worker="w1")
             for index in range(BESIDE_SHOWN + 3)
         ]
-        told = described(LINES[6], lost)
-        self.assertEqual(told.count(OTHER), BESIDE_SHOWN)
-        self.assertIn("and 3 more", told)
+        reported = described(LINES[6], lost)
+        self.assertEqual(reported.count(OTHER), BESIDE_SHOWN)
+        self.assertIn("and 3 more", reported)
 
-    def test_why_blames_the_task_that_was_given_up_and_not_what_ran_beside_it(self) -> None:
+    def test_why_names_the_task_that_was_given_up_as_the_cause(self) -> None:
         found = {loss.job_id: loss.cause for loss in losses(LINES)}
         self.assertEqual(found, {CULPRIT: Cause.CRASHES, OTHER: Cause.BESIDE})
 
-    def test_stops_count_what_died_beside_as_a_cause_of_its_own(self) -> None:
+    def test_stops_count_runs_lost_beside_a_crash_as_a_separate_cause(self) -> None:
         cost = stops(LINES).reasons[BESIDE_CRASH]
         self.assertEqual(cost.runs, 1)
         self.assertAlmostEqual(cost.lost, 3.9 * 9)
 
-    def test_a_crash_under_a_task_that_was_cleared_is_no_such_cause(self) -> None:
+    def test_a_crash_under_a_cleared_task_is_no_such_cause(self) -> None:
         cleared = [each for each in LINES if each.event != "crash_given_up"]
         self.assertNotIn(BESIDE_CRASH, stops(cleared).reasons)
 
@@ -114,7 +114,7 @@
 
 
 class CrashLogTest(unittest.TestCase):
-    def test_lines_about_suspects_are_bounded_and_those_given_up_all_told(self) -> None:
+    def test_lines_about_suspects_are_limited_and_given_up_tasks_all_logged(self) -> None:
         many = MAX_SUSPECT_LINES + 5
         findings = [
             CrashFinding(CrashFindingKind.SUSPECT, TaskName(OTHER, 0, 0, index))
@@ -148,23 +148,23 @@
         self.assertGreater(SOON_S, 0.0)
 
 
-class ToldTest(PoolTest):
-    def test_callers_are_told_why_a_job_failed(self) -> None:
+class ReportedFailureTest(PoolTest):
+    def test_callers_get_the_reason_why_a_job_failed(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(CULPRIT, job(1, accelerators=8, crashes_s=0.01))
             await cluster.until_state(CULPRIT, JobState.FAILED)
             leader = cluster.leader
             assert leader is not None
             assert leader.scheduler is not None
-            told = leader.scheduler.waits.explain(CULPRIT) or ""
-            self.assertIn(FailureCause.CRASHES.sentence, told)
+            reported = leader.scheduler.waits.explain(CULPRIT) or ""
+            self.assertIn(FailureCause.CRASHES.sentence, reported)
             name = cluster.leader_name
             await cluster.kill(name)
             await cluster.until(lambda: cluster.leader is not None)
             leader = cluster.leader
             assert leader is not None
             assert leader.scheduler is not None
-            self.assertEqual(leader.scheduler.waits.explain(CULPRIT), told)
+            self.assertEqual(leader.scheduler.waits.explain(CULPRIT), reported)
 
         self.play(body, racks=2, workers=4)
 
@@ -182,7 +182,7 @@
 
 
 class IsolationReasonTest(CrashCase):
-    def test_a_suspect_that_waits_for_an_empty_worker_is_told_of(self) -> None:
+    def test_a_suspect_that_waits_for_an_empty_worker_is_reported(self) -> None:
         self.workers(racks=1, each=1)
         first = self.add(step(1, 4))
         second = self.add(step(1, 4))
--- a/tests/test_waits_control.py
+++ b/tests/test_waits_control.py
@@ -1,8 +1,8 @@
-"""Accepted work waits for nothing that has no end of its own.
+"""Every wait of accepted work in the control plane ends by itself.
 
-Seen by users: a job stands still for 3 s and more though it could run, room is there twice over and
-others start beside it. Each test here plays one place where work waits, and has the event that
-usually ends the wait be lost or late.
+Guards against jobs that are stalled for 3 s or more although capacity for twice their size is free
+and other jobs start. Each test covers one kind of wait, and loses or delays the event that usually
+ends it.
 """
 
 from __future__ import annotations
@@ -40,58 +40,58 @@
 from tests.support import bare_context
 from tests.test_pool import A, B, C, PoolTest
 
-NARROW_BYTES_S = 1_000_000
-UNHEARD_S = 2.5
+LINK_BYTES_S = 1_000_000
+FOUND_WITHIN_S = 2.5
 SOON_S = 1.0
-"""Beside a store that answers for other jobs, what is decided for them leaves within this time."""
+"""If the store answers for other jobs, orders for them are sent within this time."""
 
 
 @contextlib.contextmanager
-def record_waits(job_id: str) -> Iterator[None]:
-    """The store answers no write of a job's progress, and does none."""
+def writes_of_job_are_lost(job_id: str) -> Iterator[None]:
+    """The store neither answers nor applies writes of a job's progress."""
     transact = StoreView.transact
 
-    async def deaf(self: StoreView, transaction: Transaction) -> Committed | Conflict:
+    async def unanswered(self: StoreView, transaction: Transaction) -> Committed | Conflict:
         if any(put.key.startswith(f"{PROGRESS}{job_id}") for put in transaction.puts):
             await asyncio.sleep(CALL_TIMEOUT_S)
-            raise WriteInDoubt("silence")
+            raise WriteInDoubt("no answer")
         return await transact(self, transaction)
 
-    with unittest.mock.patch.object(StoreView, "transact", deaf):
+    with unittest.mock.patch.object(StoreView, "transact", unanswered):
         yield
 
 
 @contextlib.contextmanager
 def removals_are_lost() -> Iterator[None]:
-    """The store answers no transaction that removes keys, and does none."""
+    """The store neither answers nor applies transactions that remove keys."""
     transact = StoreView.transact
 
-    async def deaf(self: StoreView, transaction: Transaction) -> Committed | Conflict:
+    async def unanswered(self: StoreView, transaction: Transaction) -> Committed | Conflict:
         if transaction.deletes:
             await asyncio.sleep(CALL_TIMEOUT_S)
-            raise WriteInDoubt("silence")
+            raise WriteInDoubt("no answer")
         return await transact(self, transaction)
 
-    with unittest.mock.patch.object(StoreView, "transact", deaf):
+    with unittest.mock.patch.object(StoreView, "transact", unanswered):
         yield
 
 
-class RecordTest(PoolTest):
+class PendingRecordTest(PoolTest):
     """One job's record waits for the store.
 
-    Commits.write waited for it in the one loop that decides, as soon as the next decision touched
-    the same job: nothing of any job was started or stopped until it was answered.
+    The write blocked the scheduling loop as soon as the next decision touched the same job: nothing
+    of any job was started or stopped until the store answered.
     """
 
     async def run_two(self, cluster: PoolCluster) -> None:
-        """Jobs A, on two workers, and C run."""
+        """Run job A, on two workers, and job C."""
         await cluster.submit(A, job(2, work_s=20.0, accelerators=8))
         await cluster.submit(C, job(1, work_s=20.0))
         await cluster.until(lambda: cluster.floor.starts_of(A) + cluster.floor.starts_of(C) == 3)
         await asyncio.sleep(SOON_S)
 
-    async def end_one_after_the_other(self, cluster: PoolCluster) -> None:
-        """Two ends of A are heard, so that one record of it waits behind another."""
+    async def queue_two_records(self, cluster: PoolCluster) -> None:
+        """Report two ends of A one after the other, so that one record waits behind another."""
         last = next(run for run in cluster.floor.history if run.task.job_id == A)
         worker = cluster.floor.workers[last.worker]
         worker.lost_stops, worker.late_s = 1, SOON_S
@@ -102,8 +102,8 @@
     def test_other_jobs_start(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             await self.run_two(cluster)
-            with record_waits(A):
-                await self.end_one_after_the_other(cluster)
+            with writes_of_job_are_lost(A):
+                await self.queue_two_records(cluster)
                 await cluster.submit(B, job(2))
                 await cluster.until(lambda: cluster.floor.starts_of(B) == 2, SOON_S)
             await cluster.until_state(A, JobState.CANCELLED)
@@ -114,8 +114,8 @@
     def test_other_jobs_are_stopped(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             await self.run_two(cluster)
-            with record_waits(A):
-                await self.end_one_after_the_other(cluster)
+            with writes_of_job_are_lost(A):
+                await self.queue_two_records(cluster)
                 await cluster.cancel(C)
                 runs = [run for run in cluster.floor.history if run.task.job_id == C]
                 await cluster.until(lambda: runs[0].stopping_at is not None, SOON_S)
@@ -123,12 +123,12 @@
         self.play(body)
 
     def test_ends_of_other_jobs_are_acknowledged(self) -> None:
-        """They waited for all records, and each look at a worker with ends took a second more."""
+        """They waited for all records, and each poll of a worker with ends took a second more."""
 
         async def body(cluster: PoolCluster) -> None:
             await self.run_two(cluster)
-            with record_waits(A):
-                await self.end_one_after_the_other(cluster)
+            with writes_of_job_are_lost(A):
+                await self.queue_two_records(cluster)
                 await cluster.submit(B, job(1, work_s=0.5))
                 await cluster.until_state(B, JobState.COMPLETED, 3 * SOON_S)
                 worker = next(run.worker for run in cluster.floor.history if run.task.job_id == B)
@@ -141,9 +141,10 @@
 
 
 class TickTest(PoolTest):
-    """What only time ends is seen by the tick of 0.5 s, which forgot old jobs in between.
+    """Waits that end at a point in time are checked by the tick of 0.5 s.
 
-    Each of five removals a tick waited for the store, 1 s where it does not answer.
+    The tick also removed old jobs. Each of up to five removals per tick waited for the store, 1 s
+    if it does not answer.
     """
 
     def test_a_job_starts_when_it_is_due_though_removals_are_not_answered(self) -> None:
@@ -168,12 +169,12 @@
 
 
 class AdviserTest(PoolTest):
-    """A step that the adviser is being asked about is not asked about again meanwhile.
+    """While the adviser is being asked about a step, it is not asked about it again.
 
-    An answer that failed in a way that nobody had thought of ended the question, not its mark.
+    An unexpected error ended the call, but the step stayed marked as being asked about.
     """
 
-    def test_a_question_that_fails_is_asked_again(self) -> None:
+    def test_a_failed_call_to_the_adviser_is_repeated(self) -> None:
         async def main() -> None:
             cluster = PoolCluster(advised=frozenset({"normal"}))
             await cluster.start()
@@ -196,39 +197,39 @@
 
 
 @dataclass(slots=True)
-class NarrowView(StoreView):
-    """A way to the store on which values take their time to be sent."""
+class SlowLinkView(StoreView):
+    """A connection to the store over a slow link."""
 
     async def transact(self, transaction: Transaction) -> Committed | Conflict:
         size = sum(len(put.value) for put in transaction.puts)
-        await asyncio.sleep(size / NARROW_BYTES_S)
+        await asyncio.sleep(size / LINK_BYTES_S)
         return await StoreView.transact(self, transaction)
 
 
 class LargeRecordTest(unittest.TestCase):
-    """A record takes longer to send than heartbeats let expect.
+    """A record takes longer to send than the timeout derived from heartbeats.
 
-    It was given up after three times what a heartbeat took, 0.25 s at least, and sent again with
-    the same patience: never written, and its job stood for good.
+    Each try was given up after three times the duration of a heartbeat, at least 0.25 s, and sent
+    again with the same timeout: it was never written, and its job was stalled for good.
     """
 
-    def test_it_is_written_all_the_same(self) -> None:
+    def test_it_is_written_within_the_timeout(self) -> None:
         async def main() -> None:
-            view = NarrowView(StoreState())
+            view = SlowLinkView(StoreState())
             fence = view.state.put(LEADER, b"leader")
             context = bare_context(VirtualClock(), store=view, health=StoreHealth(view, Clock()))
             journal = Journal(context, fence)
-            took_s = 3 * MIN_OVERDUE_S
+            sending_s = 3 * MIN_OVERDUE_S
             async with asyncio.timeout(10.0):
-                await journal.commit({f"{PROGRESS}{A}.0": bytes(round(NARROW_BYTES_S * took_s))})
+                await journal.commit({f"{PROGRESS}{A}.0": bytes(round(LINK_BYTES_S * sending_s))})
 
         run(main())
 
 
 class RefusedUpkeepTest(PoolTest):
-    """A machine of a wave runs empty, and then its upkeep is refused for good: it goes on.
+    """A machine of a wave is drained, and then its upkeep is refused for good: it is used again.
 
-    Its worker took no work for the rest of the term, and what ran there was to stop.
+    Its worker took no work for the rest of the term, and its runs were to be stopped.
     """
 
     def play_refusal(self, outcome: UpkeepOutcome) -> None:
@@ -253,20 +254,23 @@
         self.play_refusal(UpkeepOutcome.UNKNOWN_MACHINE)
 
 
-class UnheardJobTest(PoolTest):
-    """A job whose notice is lost is told of by the store; that watch goes silent alone.
+class LostNoticeTest(PoolTest):
+    """The notice of a job is lost, and the watch that would find it has a dead connection.
 
-    It waited for 3 s and 1 s of slack before it was asked anew, while the store answered all else.
+    The watch waited for 3 s and 1 s of slack before it was repeated, while the store answered all
+    other calls.
     """
 
-    def test_it_is_heard_of_before_it_has_stood_for_3_s(self) -> None:
+    def test_it_starts_before_it_has_waited_for_3_s(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             view = cluster.member(cluster.leader_name).view
             watch = StoreView.watch
             swallowed = True
             begun = asyncio.Event()
 
-            async def deaf(self: StoreView, prefix: str, after: int, wait_s: float) -> Listing:
+            async def unanswered(
+                self: StoreView, prefix: str, after: int, wait_s: float
+            ) -> Listing:
                 if swallowed and self is view and prefix == REQUESTS:
                     begun.set()
                     await asyncio.sleep(wait_s + WATCH_SLACK_S)
@@ -274,7 +278,7 @@
                 return await watch(self, prefix, after, wait_s)
 
             with (
-                unittest.mock.patch.object(StoreView, "watch", deaf),
+                unittest.mock.patch.object(StoreView, "watch", unanswered),
                 unittest.mock.patch.object(LeaderRpc, "notify"),
             ):
                 await asyncio.sleep(WATCH_SLACK_S)
@@ -282,7 +286,7 @@
                 await begun.wait()
                 swallowed = False
                 await cluster.submit(A, job(1, work_s=0.2))
-                await cluster.until(lambda: cluster.floor.starts_of(A) == 1, UNHEARD_S)
+                await cluster.until(lambda: cluster.floor.starts_of(A) == 1, FOUND_WITHIN_S)
 
         self.play(body)
 
--- a/tests/test_waits_orders.py
+++ b/tests/test_waits_orders.py
@@ -1,8 +1,8 @@
-"""A run whose order meets no answer waits no longer than something may still come of it.
+"""A task waits for an unanswered order no longer than that order may still be carried out.
 
-Seen by users: a job stands still for 3 s and more though a task of it could run. Until a run that
-was given to a worker is known to be there or to be over, its task waits; each test here plays one
-way in which that was known late, or never.
+Guards against jobs that are stalled for 3 s or more although a task could run. Until a run that was
+assigned to a worker is known to exist or to be over, its task waits. Each test covers one case in
+which that became known late, or never.
 """
 
 from __future__ import annotations
@@ -34,24 +34,24 @@
 from tests.test_pool import A, B, PoolTest
 from tests.test_session import HOLD_S, Fault, Scene, SessionCase
 
-FOREVER = 1000
-"""More orders than leave within a test."""
+MANY = 1000
+"""More orders than are sent within a test."""
 ANSWER_S = 0.1
-WIDE = f"{2:016x}"
+WIDE_JOB = f"{2:016x}"
 
 
-class SilentWorkerTest(SessionCase):
-    """A worker falls silent while starts for it wait for their turn, two at once.
+class UnreachableWorkerTest(SessionCase):
+    """A worker becomes unreachable while starts for it are queued; two are sent at once.
 
-    Each of them left all the same, three times, and was in doubt from then on: the last of eight
-    began a lease of its own after 7 s. Of those that have not left nothing can come.
+    Each of them was sent all the same, three times, and was in doubt from then on: the last of
+    eight began a lease of its own after 7 s. Starts that were not sent cannot be carried out.
     """
 
-    def test_starts_that_have_not_left_are_given_back(self) -> None:
+    def test_tasks_of_unsent_starts_are_freed(self) -> None:
         async def body(scene: Scene) -> None:
             step = Step(count=6, needs=Resources(1000, 1000, 1), estimate_ms=1000)
             wide = AcceptedJob(
-                job_id=WIDE,
+                job_id=WIDE_JOB,
                 account="depots",
                 queue="q",
                 service=SERVICE,
@@ -61,11 +61,11 @@
                 request=JobRequest(payload="", steps=(step,)),
             )
             scene.session.suspect()
-            await asyncio.sleep(ANSWER_S)  # the worker has told its clock
+            await asyncio.sleep(ANSWER_S)  # the worker's clock is known now
             scene.cluster_state.add_job(wide, {})
             starts = scene.plan().starts
             self.assertEqual(len(starts), 7)
-            scene.orders.dark = True
+            scene.orders.is_unreachable = True
             for start in starts:
                 scene.session.start(start)
             await asyncio.sleep(ORDER_TIMEOUT_S + ANSWER_S)
@@ -79,15 +79,15 @@
 
 
 class NoConnectionTest(SessionCase):
-    """A start whose connection could not be opened has not left.
+    """A start for which no connection could be opened was not sent.
 
-    It counted as in doubt, as one whose answer was lost: its task waited for the worker's lease.
+    It counted as in doubt, like one whose answer was lost: its task waited for the worker's lease.
     """
 
-    def test_its_task_is_free_once_it_was_tried(self) -> None:
+    def test_its_task_is_freed_after_the_tries(self) -> None:
         async def body(scene: Scene) -> None:
             scene.orders.start_faults = [WorkerNotReached] * MAX_START_TRIES
-            scene.orders.stop_faults = [WorkerNotReached] * FOREVER
+            scene.orders.stop_faults = [WorkerNotReached] * MANY
             scene.assign()
             await asyncio.sleep(MAX_START_TRIES * ORDER_TIMEOUT_S + ANSWER_S)
             self.assertIs(scene.status, TaskStatus.WAITING)
@@ -95,10 +95,10 @@
 
         self.play(body)
 
-    def test_one_that_left_before_is_in_doubt_still(self) -> None:
+    def test_one_that_was_sent_before_stays_in_doubt(self) -> None:
         async def body(scene: Scene) -> None:
             scene.orders.start_faults = [WorkerUnreachable, WorkerNotReached, WorkerNotReached]
-            scene.orders.stop_faults = [WorkerNotReached] * FOREVER
+            scene.orders.stop_faults = [WorkerNotReached] * MANY
             scene.assign()
             await asyncio.sleep(MAX_START_TRIES * ORDER_TIMEOUT_S + ANSWER_S)
             self.assertIs(scene.status, TaskStatus.ASSIGNED)
@@ -107,9 +107,9 @@
         self.play(body)
 
 
-class DeadWorkerTest(PoolTest):
+class CrashedWorkerTest(PoolTest):
     def test_work_given_to_a_process_that_has_gone_begins_elsewhere(self) -> None:
-        """Its record is there until it lapses, and its machine refuses connections."""
+        """Its record exists until it lapses, and its machine refuses connections."""
 
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(32, work_s=0.5))
@@ -122,18 +122,18 @@
         self.play(body)
 
 
-class RestedWorkerTest(SessionCase):
-    """A worker that runs nothing is not looked at: that it has gone shows with the next order.
+class IdleWorkerTest(SessionCase):
+    """A worker without runs is not polled, so only the next order shows that it is gone.
 
-    That order was a start, in doubt from then on: its task waited for the lease that it brought.
-    A question before it, where the worker was not heard of lately, costs 1 to 3 ms.
+    That order was a start, in doubt from then on: its task waited for the lease that came with it.
+    A probe before it, if the worker has not answered recently, costs 1 to 3 ms.
     """
 
-    def test_a_start_for_a_worker_that_fell_silent_while_it_rested_never_leaves(self) -> None:
+    def test_no_start_is_sent_to_a_worker_that_became_unreachable_while_idle(self) -> None:
         async def body(scene: Scene) -> None:
             scene.session.suspect()
-            await asyncio.sleep(10.0)  # it has told its clock, and rests
-            scene.orders.dark = True
+            await asyncio.sleep(10.0)  # its clock is known, and it is idle
+            scene.orders.is_unreachable = True
             scene.assign()
             await asyncio.sleep(2 * ORDER_TIMEOUT_S + ANSWER_S)
             self.assertEqual(scene.orders.starts, 0)
@@ -142,36 +142,36 @@
 
         self.play(body)
 
-    def test_one_that_was_heard_lately_is_not_asked(self) -> None:
+    def test_a_worker_that_answered_recently_is_not_probed(self) -> None:
         async def body(scene: Scene) -> None:
             scene.session.suspect()
             await asyncio.sleep(ANSWER_S)
-            looks = len(scene.orders.seen)
+            polls = len(scene.orders.seen)
             start = scene.plan().starts[0]
             asked: list[int] = []
             order = scene.orders.start
 
-            async def noted(*arguments: Any) -> StartReply:
-                asked.append(len(scene.orders.seen) - looks)
+            async def recorded(*arguments: Any) -> StartReply:
+                asked.append(len(scene.orders.seen) - polls)
                 return await order(*arguments)
 
-            with unittest.mock.patch.object(scene.orders, "start", noted):
+            with unittest.mock.patch.object(scene.orders, "start", recorded):
                 scene.session.start(start)
                 await asyncio.sleep(ANSWER_S)
-            self.assertLessEqual(asked[0], 1)  # the look that its session makes anyway
+            self.assertLessEqual(asked[0], 1)  # the regular poll of its session
 
         self.play(body)
 
 
-class HangingOrdersTest(SessionCase):
-    """A worker answers looks, and neither starts nor stops.
+class UnansweredOrdersTest(SessionCase):
+    """A worker answers polls, but neither starts nor stops.
 
-    The looks went on renewing its lease, so that it never lapsed; no report was believed while the
-    order was open; and since looks were answered, the silence of the orders did not count.
+    The polls kept renewing its lease, so that it never lapsed; no report was trusted while the
+    order was open; and since polls were answered, the unanswered orders did not count.
     """
 
     def longest_s(self) -> float:
-        """Until nothing can come of the last start any more, and a look has told so."""
+        """Time until the last start cannot be carried out any more, and a poll has shown it."""
         tries_s = MAX_START_TRIES * ORDER_TIMEOUT_S
         late_s = max(Leases(HOLD_S, 0.0).lapse_after_s, MAX_ORDER_DELAY_S)
         return tries_s + late_s + ORDER_TIMEOUT_S + RETRY_S + LONG_POLL_S + 1.0
@@ -179,7 +179,7 @@
     def play_fault(self, fault: Fault) -> None:
         async def body(scene: Scene) -> None:
             scene.orders.start_faults = [WorkerUnreachable] * MAX_START_TRIES
-            scene.orders.stop_faults = [fault] * FOREVER
+            scene.orders.stop_faults = [fault] * MANY
             scene.assign()
             await asyncio.sleep(MAX_ORDER_DELAY_S)
             self.assertIs(scene.status, TaskStatus.ASSIGNED)
@@ -194,15 +194,15 @@
     def test_the_task_is_free_once_no_start_can_be_carried_out_any_more(self) -> None:
         self.play_fault(WorkerUnreachable)
 
-    def test_so_it_is_where_stops_are_turned_away(self) -> None:
+    def test_the_task_is_free_although_the_worker_is_busy(self) -> None:
         self.play_fault(WorkerBusy)
 
-    def test_a_run_that_is_there_after_all_goes_on(self) -> None:
+    def test_a_run_that_is_reported_after_all_continues(self) -> None:
         async def body(scene: Scene) -> None:
             scene.orders.start_faults = [WorkerUnreachable] * MAX_START_TRIES
-            scene.orders.stop_faults = [WorkerUnreachable] * FOREVER
+            scene.orders.stop_faults = [WorkerUnreachable] * MANY
             scene.assign()
-            scene.is_there()
+            scene.list_run()
             await asyncio.sleep(self.longest_s())
             self.assertIs(scene.status, TaskStatus.ASSIGNED)
             self.assertIsNotNone(next(iter(scene.session.worker.runs.values())).started_s)
@@ -210,10 +210,10 @@
         self.play(body)
 
 
-class UnforeseenTest(SessionCase):
-    """An order fails in a way that nobody had thought of: its task ended, and was noted as lost.
+class UnexpectedErrorTest(SessionCase):
+    """An order fails with an unexpected error, which ended the asyncio task that sends it.
 
-    Its run stayed in hand, so that no report about it was believed any more.
+    The order about the run stayed open, so that no report about it was trusted any more.
     """
 
     def test_a_start_is_in_doubt_and_its_task_free_once_its_stop_is_answered(self) -> None:
@@ -226,7 +226,7 @@
 
         self.play(body)
 
-    def test_a_stop_is_given_again(self) -> None:
+    def test_a_stop_is_repeated(self) -> None:
         async def body(scene: Scene) -> None:
             scene.orders.start_faults = [WorkerUnreachable] * MAX_START_TRIES
             scene.orders.stop_faults = [KeyError, KeyError]
