--- a/src/saddlestack/control/crashlog.py
+++ b/src/saddlestack/control/crashlog.py
@@ -21,33 +21,33 @@
     def __init__(self, metrics: Metrics) -> None:
         self._metrics = metrics
 
-    def log_findings(self, verdicts: Sequence[CrashFinding]) -> None:
+    def log_findings(self, findings: Sequence[CrashFinding]) -> None:
         """Count each finding and log it, up to the limit on suspects."""
         suspects = 0
-        for verdict in verdicts:
-            self._metrics.count(f"crash_{verdict.kind.value}")
-            if verdict.kind is not CrashFindingKind.GIVEN_UP:
+        for finding in findings:
+            self._metrics.count(f"crash_{finding.kind.value}")
+            if finding.kind is not CrashFindingKind.GIVEN_UP:
                 suspects += 1
                 if suspects > MAX_SUSPECT_LINES:
                     continue
-            self._log_finding(verdict)
+            self._log_finding(finding)
         if suspects > MAX_SUSPECT_LINES:
             log.info(
                 "lines about suspects were left out",
                 extra={"event": "crash_left_out", "lines": suspects - MAX_SUSPECT_LINES},
             )
 
-    def _log_finding(self, verdict: CrashFinding) -> None:
-        given_up = verdict.kind is CrashFindingKind.GIVEN_UP
+    def _log_finding(self, finding: CrashFinding) -> None:
+        given_up = finding.kind is CrashFindingKind.GIVEN_UP
         log.log(
             logging.WARNING if given_up else logging.INFO,
             "task crashes its workers" if given_up else "finding on a task that may crash workers",
             extra={
-                "event": f"crash_{verdict.kind.value}",
-                "task": str(verdict.task),
-                "worker": verdict.worker_id or None,
-                "crashes": verdict.crashes,
-                "odds": round(verdict.odds, 3),
-                "beside": verdict.beside,
+                "event": f"crash_{finding.kind.value}",
+                "task": str(finding.task),
+                "worker": finding.worker_id or None,
+                "crashes": finding.crashes,
+                "odds": round(finding.odds, 3),
+                "beside": finding.beside,
             },
         )
