--- a/tests/malformed.py
+++ b/tests/malformed.py
@@ -1,4 +1,4 @@
-"""Records as another writer may leave them: of workers, waves and configurations."""
+"""Malformed records of workers, waves and configurations, as another writer may leave them."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     "machine": "m-1",
     "seq": 4,
 }
-"""A sound record of a worker."""
+"""A valid record of a worker."""
 
 PLAIN_FIELDS = (
     "service",
@@ -32,7 +32,7 @@
     "cold-left-ms",
     "seq",
 )
-"""What each worker writes of itself, whatever it runs."""
+"""Scalar fields that every worker's record must have."""
 NOT_TEXT: dict[str, object] = {"null": None, "number": 7, "list": [], "object": {}, "flag": True}
 NOT_A_NUMBER: dict[str, object] = {
     "null": None,
@@ -70,13 +70,13 @@
 
 
 def encoded(**changes: object) -> bytes:
-    """A sound record with some fields changed; underscores stand for hyphens."""
+    """Encode a valid record with some fields changed; underscores in names become hyphens."""
     fields = {name.replace("_", "-"): value for name, value in changes.items()}
     return msgspec.json.encode({**RECORD, **fields})
 
 
 def mutated(value: bytes, rng: random.Random) -> bytes:
-    """Some bytes with one to three of them changed, left out, or put in anew."""
+    """Return a copy of some bytes with one to three random changes, deletions or insertions."""
     changed = bytearray(value)
     for _ in range(rng.randint(1, 3)):
         at = rng.randrange(len(changed))
@@ -88,12 +88,12 @@
 
 
 def without(field: str) -> bytes:
-    """A sound record without a field."""
+    """Encode a valid record without one field."""
     return msgspec.json.encode({name: value for name, value in RECORD.items() if name != field})
 
 
 def unreadable() -> dict[str, bytes]:
-    """Values that hold no JSON object at all."""
+    """Return values that are not a readable JSON object, by what is wrong with them."""
     deep = 100_000
     return {
         "empty": b"",
@@ -116,7 +116,7 @@
 
 
 def worker_records() -> dict[str, bytes]:
-    """Every malformed record of a worker, by what is wrong with it."""
+    """Return malformed records of a worker, by what is wrong with them."""
     rows = unreadable()
     for field in (*PLAIN_FIELDS, "capacity"):
         rows[f"no {field}"] = without(field)
@@ -155,13 +155,13 @@
 def _capacities() -> dict[str, bytes]:
     rows = {f"capacity: {name}": encoded(capacity=value) for name, value in NOT_TEXT.items()}
     rows["capacity: text"] = encoded(capacity="32000")
-    whole = {"cpu": 32_000, "mem-mb": 65_536, "gpu": 8}
-    for field in whole:
+    valid = {"cpu": 32_000, "mem-mb": 65_536, "gpu": 8}
+    for field in valid:
         for name, value in {**NOT_A_NUMBER, "fractional": 1.5}.items():
-            rows[f"{field}: {name}"] = encoded(capacity={**whole, field: value})
+            rows[f"{field}: {name}"] = encoded(capacity={**valid, field: value})
     for field in ("cpu", "mem-mb"):
-        rows[f"{field}: zero"] = encoded(capacity={**whole, field: 0})
-        left = {name: value for name, value in whole.items() if name != field}
+        rows[f"{field}: zero"] = encoded(capacity={**valid, field: 0})
+        left = {name: value for name, value in valid.items() if name != field}
         rows[f"{field}: missing"] = encoded(capacity=left)
     return rows
 
@@ -189,4 +189,4 @@
     "not ASCII": "i-\u00e9",
     "very long": "i" * 300,
 }
-"""Keys under the workers' prefix that name no worker."""
+"""Invalid worker IDs, as they may appear in keys under the workers' prefix."""
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The adapter of the platform: names, formats and calls, against small HTTP servers."""
+"""The platform adapter: names, formats and calls, against fake HTTP servers."""
 
 from __future__ import annotations
 
@@ -82,37 +82,40 @@
 JOB = "00000000000000aa"
 
 
-class Served:
-    """An HTTP server that answers from a list and notes what it was asked."""
+class FakeServer:
+    """An HTTP server that sends prepared answers and records the requests.
+
+    A number in place of an answer is a delay in seconds, after which it answers 500.
+    """
 
     def __init__(self) -> None:
         self.answers: list[Response | float] = []
-        self.asked: list[Request] = []
+        self.requests: list[Request] = []
         self.server = HttpServer(self._handle)
 
     async def _handle(self, request: Request) -> Response:
-        self.asked.append(request)
+        self.requests.append(request)
         answer = self.answers.pop(0)
         if isinstance(answer, float):
             await asyncio.sleep(answer)
             return Response(500)
         return answer
 
-    def answer(self, status: int, body: object = None) -> None:
+    def add_answer(self, status: int, body: object = None) -> None:
         self.answers.append(Response(status, b"" if body is None else msgspec.json.encode(body)))
 
-    def body(self) -> object:
-        return msgspec.json.decode(self.asked[-1].body)
+    def last_body(self) -> object:
+        return msgspec.json.decode(self.requests[-1].body)
 
 
-def with_server(body: Callable[[Served], Awaitable[None]]) -> None:
+def with_server(body: Callable[[FakeServer], Awaitable[None]]) -> None:
     async def main() -> None:
-        served = Served()
-        await served.server.start("127.0.0.1", 0)
+        fake = FakeServer()
+        await fake.server.start("127.0.0.1", 0)
         try:
-            await body(served)
+            await body(fake)
         finally:
-            await served.server.stop()
+            await fake.server.stop()
 
     run(main())
 
@@ -123,33 +126,33 @@
 
 class StoreTest(unittest.TestCase):
     def test_reads_and_pages(self) -> None:
-        async def body(served: Served) -> None:
-            store = KvStore("127.0.0.1", served.server.port)
-            served.answer(404)
+        async def body(fake: FakeServer) -> None:
+            store = KvStore("127.0.0.1", fake.server.port)
+            fake.add_answer(404)
             self.assertEqual(await store.get("a/b"), Item("a/b", b"", 0))
-            self.assertEqual(served.asked[-1].query, {"key": "a/b"})
+            self.assertEqual(fake.requests[-1].query, {"key": "a/b"})
             item = {"key": "a/b", "value": text(b"x"), "rev": 4, "made": 4, "lease": 0}
-            served.answer(200, {**item, "at": 9})
+            fake.add_answer(200, {**item, "at": 9})
             self.assertEqual(await store.get("a/b"), Item("a/b", b"x", 4))
-            served.answer(200, {"items": [item], "more": True, "at": 9})
-            served.answer(200, {"items": [{**item, "key": "a/c"}], "more": False, "at": 12})
+            fake.add_answer(200, {"items": [item], "more": True, "at": 9})
+            fake.add_answer(200, {"items": [{**item, "key": "a/c"}], "more": False, "at": 12})
             listing = await store.list("a/")
             self.assertEqual([each.key for each in listing.items], ["a/b", "a/c"])
             self.assertEqual(listing.revision, 9)
-            self.assertEqual(served.asked[-1].query, {"path-prefix": "a/", "after-rev": "a/b"})
+            self.assertEqual(fake.requests[-1].query, {"path-prefix": "a/", "after-rev": "a/b"})
 
         with_server(body)
 
-    def test_a_value_that_is_no_base64_reads_as_empty_and_spoils_no_page(self) -> None:
-        async def body(served: Served) -> None:
-            store = KvStore("127.0.0.1", served.server.port)
+    def test_an_invalid_base64_value_reads_as_empty_and_does_not_fail_its_page(self) -> None:
+        async def body(fake: FakeServer) -> None:
+            store = KvStore("127.0.0.1", fake.server.port)
             values = ("=", "a", "%%%%", "eA", "eA==x", "\u00e9\u00e9==", "e A=")
             bad = [
                 {"key": f"a/{number}", "value": value, "rev": 4}
                 for number, value in enumerate(values)
             ]
             good = {"key": "a/x", "value": text(b"x"), "rev": 5}
-            served.answer(200, {"items": [*bad, good], "at": 9})
+            fake.add_answer(200, {"items": [*bad, good], "at": 9})
             listing = await store.list("a/")
             self.assertEqual({each.value for each in listing.items[:-1]}, {b""})
             self.assertTrue(all(each.revision == 4 for each in listing.items[:-1]))
@@ -157,79 +160,79 @@
 
         with_server(body)
 
-    def test_an_answer_that_cannot_be_read_is_none(self) -> None:
-        async def body(served: Served) -> None:
-            store = KvStore("127.0.0.1", served.server.port)
+    def test_an_unreadable_answer_counts_as_no_answer(self) -> None:
+        async def body(fake: FakeServer) -> None:
+            store = KvStore("127.0.0.1", fake.server.port)
             put = Transaction(puts=(Put("a", b"x"),))
             for answer in (b"", b"[]", b"{", b'{"items":[{"key":7}]}', b"\xff", b"[" * 100_000):
-                served.answers.append(Response(200, answer))
+                fake.answers.append(Response(200, answer))
                 with self.subTest(answer[:20]), self.assertRaises(StoreUnavailable):
                     await store.list("a/")
-                served.answers.append(Response(200, answer))
+                fake.answers.append(Response(200, answer))
                 with self.subTest(answer[:20]), self.assertRaises(StoreUnavailable):
                     await store.watch("a/", 3, 0.1)
                 for status in (200, 412):
-                    served.answers.append(Response(status, answer))
+                    fake.answers.append(Response(status, answer))
                     with self.subTest(answer[:20], status=status), self.assertRaises(WriteInDoubt):
                         await store.transact(put)
 
         with_server(body)
 
     def test_watches(self) -> None:
-        async def body(served: Served) -> None:
-            store = KvStore("127.0.0.1", served.server.port)
+        async def body(fake: FakeServer) -> None:
+            store = KvStore("127.0.0.1", fake.server.port)
             events = [
                 {"key": "a", "value": text(b"x"), "rev": 5, "made": 5, "lease": 0},
                 {"key": "b", "rev": 6, "gone": True},
             ]
-            served.answer(200, {"events": events, "at": 6})
+            fake.add_answer(200, {"events": events, "at": 6})
             listing = await store.watch("", 4, 2.0)
             self.assertEqual(listing.items, (Item("a", b"x", 5), Item("b", b"", 0)))
             self.assertEqual(listing.revision, 6)
-            self.assertEqual(served.asked[-1].query["wait-ms"], "2000")
-            served.answer(410)
+            self.assertEqual(fake.requests[-1].query["wait-ms"], "2000")
+            fake.add_answer(410)
             with self.assertRaises(HistoryGone):
                 await store.watch("", 1, 2.0)
 
         with_server(body)
 
-    def test_transactions_tell_done_refused_and_in_doubt_apart(self) -> None:
-        async def body(served: Served) -> None:
-            store = KvStore("127.0.0.1", served.server.port)
+    def test_transactions_distinguish_committed_conflict_and_in_doubt(self) -> None:
+        async def body(fake: FakeServer) -> None:
+            store = KvStore("127.0.0.1", fake.server.port)
             change = Transaction((("a", 0),), (Put("a", b"x", 7),), ("b",))
-            served.answer(200, {"rev": 8})
+            fake.add_answer(200, {"rev": 8})
             self.assertEqual(await store.transact(change), Committed(8))
             self.assertEqual(
-                served.body(),
+                fake.last_body(),
                 {
                     "expect-rev": [{"key": "a", "rev": 0}],
                     "put": [{"key": "a", "value": text(b"x"), "lease": 7}],
                     "delete": ["b"],
                 },
             )
-            served.answer(412, {"items": [{"key": "a", "value": text(b"y"), "rev": 3}]})
+            fake.add_answer(412, {"items": [{"key": "a", "value": text(b"y"), "rev": 3}]})
             self.assertEqual(await store.transact(change), Conflict((Item("a", b"y", 3),)))
-            served.answer(404)
+            fake.add_answer(404)
             with self.assertRaises(LeaseExpired):
                 await store.transact(change)
             for status in (429, 503):
-                served.answer(status)
+                fake.add_answer(status)
                 with self.assertRaises(StoreUnavailable):
                     await store.transact(change)
-            served.answers.append(5.0)
+            fake.answers.append(5.0)
             with self.assertRaises(WriteInDoubt):
                 await store.transact(change)
-            await served.server.stop()
+            await fake.server.stop()
             with self.assertRaises(StoreUnavailable):
                 await store.transact(change)
 
         with_server(body)
 
-    def test_a_large_write_has_the_time_that_it_takes_to_send(self) -> None:
-        async def body(served: Served) -> None:
-            store = KvStore("127.0.0.1", served.server.port)
+    def test_the_timeout_of_a_large_write_includes_the_time_to_send_it(self) -> None:
+        async def body(fake: FakeServer) -> None:
+            store = KvStore("127.0.0.1", fake.server.port)
             for size, error in ((10, WriteInDoubt), (600_000, StoreUnavailable)):
-                served.answers.append(CALL_TIMEOUT_S + 0.5)  # then answers 500
+                fake.answers.append(CALL_TIMEOUT_S + 0.5)  # then answers 500
                 with self.assertRaises(error):
                     await store.transact(Transaction(puts=(Put("k", bytes(size)),)))
             store.close()
@@ -237,20 +240,20 @@
         with_server(body)
 
     def test_leases(self) -> None:
-        async def body(served: Served) -> None:
-            store = KvStore("127.0.0.1", served.server.port)
-            served.answer(200, {"lease": 77, "ttl_ms": 1500})
+        async def body(fake: FakeServer) -> None:
+            store = KvStore("127.0.0.1", fake.server.port)
+            fake.add_answer(200, {"lease": 77, "ttl_ms": 1500})
             self.assertEqual(await store.grant_lease(1.5), (77, 1.5))
-            self.assertEqual(served.body(), {"ttl_ms": 1500})
-            served.answer(200, {"ttl_ms": 1500})
+            self.assertEqual(fake.last_body(), {"ttl_ms": 1500})
+            fake.add_answer(200, {"ttl_ms": 1500})
             await store.renew_lease(77)
-            self.assertEqual(served.asked[-1].path, "/api/kv-keep/77")
-            served.answer(404)
+            self.assertEqual(fake.requests[-1].path, "/api/kv-keep/77")
+            fake.add_answer(404)
             with self.assertRaises(LeaseExpired):
                 await store.renew_lease(77)
-            served.answer(200)
+            fake.add_answer(200)
             await store.end_lease(77)
-            self.assertEqual(served.asked[-1].method, "DELETE")
+            self.assertEqual(fake.requests[-1].method, "DELETE")
 
         with_server(body)
 
@@ -259,14 +262,14 @@
     ORDER = StartOrder("00000000000000aa.0.1.2", 3, "spec", "s1", 9000, 5, "t1")
 
     def test_starts(self) -> None:
-        async def body(served: Served) -> None:
-            orders = HttpWorkerOrders("i-1", "127.0.0.1", served.server.port)
-            served.answer(200, {"clock-ms": 1234})
+        async def body(fake: FakeServer) -> None:
+            orders = HttpWorkerOrders("i-1", "127.0.0.1", fake.server.port)
+            fake.add_answer(200, {"clock-ms": 1234})
             reply = await orders.start(self.ORDER, 1.0)
             self.assertEqual((reply.clock_ms, reply.refusal), (1234, None))
-            self.assertEqual(served.asked[-1].headers["saddlestack-target-instance"], "i-1")
+            self.assertEqual(fake.requests[-1].headers["saddlestack-target-instance"], "i-1")
             self.assertEqual(
-                served.body(),
+                fake.last_body(),
                 {
                     "task": "00000000000000aa.0.1.2",
                     "run": 3,
@@ -284,58 +287,54 @@
                 ("room", Refusal.CAPACITY),
                 ("ticket", Refusal.TICKET),
             ):
-                served.answer(409, {"clock-ms": 1, "reason": reason})
+                fake.add_answer(409, {"clock-ms": 1, "reason": reason})
                 self.assertIs((await orders.start(self.ORDER, 1.0)).refusal, refusal)
-            served.answer(400)
+            fake.add_answer(400)
             self.assertIs((await orders.start(self.ORDER, 1.0)).refusal, Refusal.INVALID)
 
         with_server(body)
 
-    def test_what_is_no_answer(self) -> None:
-        async def body(served: Served) -> None:
-            orders = HttpWorkerOrders("i-1", "127.0.0.1", served.server.port)
+    def test_failed_calls_raise_by_status(self) -> None:
+        async def body(fake: FakeServer) -> None:
+            orders = HttpWorkerOrders("i-1", "127.0.0.1", fake.server.port)
             for status, error in (
                 (421, WorkerReplaced),
                 (429, WorkerBusy),
                 (503, WorkerBusy),
                 (500, WorkerUnreachable),
             ):
-                served.answer(status)
+                fake.add_answer(status)
                 with self.assertRaises(error):
                     await orders.start(self.ORDER, 1.0)
-            served.answer(409, {"clock-ms": 1, "reason": "fence"})
+            fake.add_answer(409, {"clock-ms": 1, "reason": "fence"})
             with self.assertRaises(WorkerFenced):
                 await orders.stop("00000000000000aa.0.1.2", 3, 4, 1.0)
-            served.answers.append(5.0)
+            fake.answers.append(5.0)
             with self.assertRaises(WorkerUnreachable):
                 await orders.hold(5, None, 0, 0.0, 0.5)
 
         with_server(body)
 
-    def test_a_life_that_tells_its_birth_is_met_first_on_each_connection(self) -> None:
-        async def body(served: Served) -> None:
-            orders = HttpWorkerOrders(
-                incarnation_name("i-1", 1700), "127.0.0.1", served.server.port
-            )
-            served.answer(200, {"clock-ms": 5, "born": 1700, "running": [], "ended": []})
-            served.answer(200, {"clock-ms": 6})
+    def test_each_connection_begins_with_a_poll_if_the_start_time_is_known(self) -> None:
+        async def body(fake: FakeServer) -> None:
+            orders = HttpWorkerOrders(incarnation_name("i-1", 1700), "127.0.0.1", fake.server.port)
+            fake.add_answer(200, {"clock-ms": 5, "born": 1700, "running": [], "ended": []})
+            fake.add_answer(200, {"clock-ms": 6})
             self.assertEqual((await orders.start(self.ORDER, 1.0)).clock_ms, 6)
-            first, second = served.asked
+            first, second = fake.requests
             self.assertEqual(first.path, "/api/hold")
             self.assertEqual(msgspec.json.decode(first.body), {"fence": 5, "last-seen": 0})
             self.assertEqual(second.path, "/api/run-start")
             self.assertEqual(second.headers["saddlestack-target-instance"], "i-1")
-            served.answer(200, {"clock-ms": 7, "born": 1700})
+            fake.add_answer(200, {"clock-ms": 7, "born": 1700})
             report = await orders.hold(5, 9000, 57, 0.0, 1.0)
-            self.assertEqual((report.born, len(served.asked)), (1700, 3))
+            self.assertEqual((report.born, len(fake.requests)), (1700, 3))
 
         with_server(body)
 
-    def test_another_life_under_the_id_is_given_no_order_and_no_acknowledgement(self) -> None:
-        async def body(served: Served) -> None:
-            orders = HttpWorkerOrders(
-                incarnation_name("i-1", 1700), "127.0.0.1", served.server.port
-            )
+    def test_another_incarnation_with_the_id_gets_no_order_and_no_acknowledgement(self) -> None:
+        async def body(fake: FakeServer) -> None:
+            orders = HttpWorkerOrders(incarnation_name("i-1", 1700), "127.0.0.1", fake.server.port)
             calls: list[Callable[[], Awaitable[object]]] = [
                 lambda: orders.start(self.ORDER, 1.0),
                 lambda: orders.stop("00000000000000aa.0.1.2", 3, 5, 1.0),
@@ -343,16 +342,16 @@
                 lambda: orders.hold(5, 9000, 57, 0.0, 1.0),
             ]
             for call in calls:
-                served.answer(200, {"clock-ms": 5, "born": 1800, "ended": []})
+                fake.add_answer(200, {"clock-ms": 5, "born": 1800, "ended": []})
                 with self.assertRaises(WorkerReplaced):
                     await call()
-            bodies = [msgspec.json.decode(asked.body) for asked in served.asked]
+            bodies = [msgspec.json.decode(request.body) for request in fake.requests]
             self.assertEqual(bodies, [{"fence": 5, "last-seen": 0}] * len(calls))
 
         with_server(body)
 
-    def test_who_answers_the_first_look_on_a_connection(self) -> None:
-        async def body(served: Served) -> None:
+    def test_failures_of_the_first_poll_on_a_connection(self) -> None:
+        async def body(fake: FakeServer) -> None:
             for status, answer, error in (
                 (421, None, WorkerReplaced),
                 (503, None, WorkerBusy),
@@ -364,85 +363,86 @@
                 (200, {"clock-ms": 1, "born": 17.5}, WorkerUnreachable),
             ):
                 orders = HttpWorkerOrders(
-                    incarnation_name("i-1", 1700), "127.0.0.1", served.server.port
+                    incarnation_name("i-1", 1700), "127.0.0.1", fake.server.port
                 )
-                served.answer(status, answer)
+                fake.add_answer(status, answer)
                 with self.assertRaises(error):
                     await orders.start(self.ORDER, 1.0)
                 orders.close()
-            self.assertTrue(all(asked.path == "/api/hold" for asked in served.asked))
+            self.assertTrue(all(request.path == "/api/hold" for request in fake.requests))
 
         with_server(body)
 
-    def test_an_order_behind_a_first_look_that_tells_nothing_never_left(self) -> None:
-        async def body(served: Served) -> None:
+    def test_an_order_is_not_sent_after_an_unusable_first_poll(self) -> None:
+        async def body(fake: FakeServer) -> None:
             no_answers: list[Response | float] = [2.0, Response(500), Response(200, b"no answer")]
             for answer in no_answers:
                 orders = HttpWorkerOrders(
-                    incarnation_name("i-1", 1700), "127.0.0.1", served.server.port
+                    incarnation_name("i-1", 1700), "127.0.0.1", fake.server.port
                 )
-                served.answers.append(answer)
+                fake.answers.append(answer)
                 with self.assertRaises(WorkerNotReached):
                     await orders.start(self.ORDER, 1.0)
                 orders.close()
-            self.assertTrue(all(asked.path == "/api/hold" for asked in served.asked))
+            self.assertTrue(all(request.path == "/api/hold" for request in fake.requests))
 
         with_server(body)
 
-    def test_an_order_whose_connection_is_refused_never_left(self) -> None:
-        async def body(served: Served) -> None:
-            orders = HttpWorkerOrders("i-1", "127.0.0.1", served.server.port)
-            await served.server.stop()
+    def test_an_order_is_not_sent_if_the_connection_is_refused(self) -> None:
+        async def body(fake: FakeServer) -> None:
+            orders = HttpWorkerOrders("i-1", "127.0.0.1", fake.server.port)
+            await fake.server.stop()
             with self.assertRaises(WorkerNotReached):
                 await orders.start(self.ORDER, 1.0)
 
         with_server(body)
 
-    def test_an_order_without_answer_may_have_left(self) -> None:
-        async def body(served: Served) -> None:
-            orders = HttpWorkerOrders(
-                incarnation_name("i-1", 1700), "127.0.0.1", served.server.port
-            )
-            served.answer(200, {"clock-ms": 5, "born": 1700, "running": [], "ended": []})
-            served.answers.append(2.0)
+    def test_an_unanswered_order_may_have_been_sent(self) -> None:
+        async def body(fake: FakeServer) -> None:
+            orders = HttpWorkerOrders(incarnation_name("i-1", 1700), "127.0.0.1", fake.server.port)
+            fake.add_answer(200, {"clock-ms": 5, "born": 1700, "running": [], "ended": []})
+            fake.answers.append(2.0)
             with self.assertRaises(WorkerUnreachable) as caught:
                 await orders.start(self.ORDER, 1.0)
             self.assertNotIsInstance(caught.exception, WorkerNotReached)
 
         with_server(body)
 
-    def test_a_birth_that_is_told_on_one_side_alone_proves_nothing(self) -> None:
-        async def body(served: Served) -> None:
-            known = HttpWorkerOrders(incarnation_name("i-1", 1700), "127.0.0.1", served.server.port)
-            served.answer(200, {"clock-ms": 5})
+    def test_a_start_time_known_on_one_side_only_does_not_identify(self) -> None:
+        async def body(fake: FakeServer) -> None:
+            known = HttpWorkerOrders(incarnation_name("i-1", 1700), "127.0.0.1", fake.server.port)
+            fake.add_answer(200, {"clock-ms": 5})
             with self.assertRaises(WorkerUnreachable):
                 await known.start(self.ORDER, 1.0)
-            self.assertEqual([asked.path for asked in served.asked], ["/api/hold"])
-            unknown = HttpWorkerOrders("i-1", "127.0.0.1", served.server.port)
-            served.answer(200, {"clock-ms": 5, "born": 1800})
+            self.assertEqual([request.path for request in fake.requests], ["/api/hold"])
+            unknown = HttpWorkerOrders("i-1", "127.0.0.1", fake.server.port)
+            fake.add_answer(200, {"clock-ms": 5, "born": 1800})
             with self.assertRaises(WorkerUnreachable):
                 await unknown.hold(5, None, 0, 0.0, 1.0)
 
         with_server(body)
 
-    def test_the_adviser_knows_lives_by_their_id(self) -> None:
-        async def body(served: Served) -> None:
-            adviser = HttpAdviser("127.0.0.1", served.server.port)
-            life = incarnation_name("i-1", 1700)
+    def test_the_adviser_is_given_worker_ids(self) -> None:
+        async def body(fake: FakeServer) -> None:
+            adviser = HttpAdviser("127.0.0.1", fake.server.port)
+            incarnation = incarnation_name("i-1", 1700)
             good = [["i-1", "t1"], ["i-3", "t3"]]
-            served.answer(200, {"good": good, "valid-ms": 1000})
-            leaves = await adviser.advise("00000000000000aa.0.1", (life, "i-2"))
+            fake.add_answer(200, {"good": good, "valid-ms": 1000})
+            approvals = await adviser.advise("00000000000000aa.0.1", (incarnation, "i-2"))
+            self.assertEqual(
+                fake.last_body(), {"step": "00000000000000aa.0.1", "workers": ["i-1", "i-2"]}
+            )
             self.assertEqual(
-                served.body(), {"step": "00000000000000aa.0.1", "workers": ["i-1", "i-2"]}
+                [(approval.worker_id, approval.ticket) for approval in approvals],
+                [(incarnation, "t1")],
             )
-            self.assertEqual([(leave.worker_id, leave.ticket) for leave in leaves], [(life, "t1")])
 
         with_server(body)
 
     def test_reports(self) -> None:
-        async def body(served: Served) -> None:
-            orders = HttpWorkerOrders("i-1", "127.0.0.1", served.server.port)
-            served.answer(
+        async def body(fake: FakeServer) -> None:
+            orders = HttpWorkerOrders("i-1", "127.0.0.1", fake.server.port)
+            fake.add_answer(
                 200,
                 {
                     "clock-ms": 50,
@@ -452,7 +452,8 @@
             )
             report = await orders.hold(5, 9000, 57, 1.0, 2.0)
             self.assertEqual(
-                served.body(), {"fence": 5, "last-seen": 57, "deadline-ms": 9000, "wait-ms": 1000}
+                fake.last_body(),
+                {"fence": 5, "last-seen": 57, "deadline-ms": 9000, "wait-ms": 1000},
             )
             self.assertEqual((report.running[0].percent, report.running[0].figure), (41, 17.5))
             self.assertEqual((report.ended[0].number, report.ended[0].how), (58, EndKind.DONE))
@@ -460,16 +461,16 @@
 
         with_server(body)
 
-    def test_a_report_with_as_many_ends_as_fit_says_that_there_may_be_more(self) -> None:
-        async def body(served: Served) -> None:
-            orders = HttpWorkerOrders("i-1", "127.0.0.1", served.server.port)
+    def test_a_report_with_the_maximum_of_ends_says_that_there_may_be_more(self) -> None:
+        async def body(fake: FakeServer) -> None:
+            orders = HttpWorkerOrders("i-1", "127.0.0.1", fake.server.port)
             ends = [
                 [number, f"00000000000000aa.0.0.{number}", 1, "done", ""]
                 for number in range(1, MAX_ENDS_PER_REPORT + 1)
             ]
-            served.answer(200, {"clock-ms": 50, "running": [], "ended": ends})
+            fake.add_answer(200, {"clock-ms": 50, "running": [], "ended": ends})
             self.assertTrue((await orders.hold(5, None, 0, 0.0, 2.0)).more)
-            served.answer(200, {"clock-ms": 50, "running": [], "ended": ends[1:]})
+            fake.add_answer(200, {"clock-ms": 50, "running": [], "ended": ends[1:]})
             self.assertFalse((await orders.hold(5, None, 0, 0.0, 2.0)).more)
 
         with_server(body)
@@ -477,8 +478,8 @@
 
 class MachinesTest(unittest.TestCase):
     def test_upkeep(self) -> None:
-        async def body(served: Served) -> None:
-            machines = HttpMachines("127.0.0.1", served.server.port)
+        async def body(fake: FakeServer) -> None:
+            machines = HttpMachines("127.0.0.1", fake.server.port)
             for status, reason, outcome in (
                 (200, None, UpkeepOutcome.BEGUN),
                 (409, "busy", UpkeepOutcome.BUSY),
@@ -486,24 +487,25 @@
                 (409, "wave", UpkeepOutcome.NOT_IN_WAVE),
                 (400, None, UpkeepOutcome.UNKNOWN_MACHINE),
             ):
-                served.answer(status, None if reason is None else {"reason": reason})
+                fake.add_answer(status, None if reason is None else {"reason": reason})
                 self.assertIs(await machines.upkeep("m-1", 2, "entry-1", 12), outcome)
-            self.assertEqual(served.body(), {"machine": "m-1", "wave": 2})
-            self.assertEqual(served.asked[-1].headers["saddlestack-lease-holder"], "entry-1")
-            self.assertEqual(served.asked[-1].headers["saddlestack-fence-token"], "12")
+            self.assertEqual(fake.last_body(), {"machine": "m-1", "wave": 2})
+            self.assertEqual(fake.requests[-1].headers["saddlestack-lease-holder"], "entry-1")
+            self.assertEqual(fake.requests[-1].headers["saddlestack-fence-token"], "12")
 
         with_server(body)
 
     def test_advice(self) -> None:
-        async def body(served: Served) -> None:
-            adviser = HttpAdviser("127.0.0.1", served.server.port)
-            served.answer(200, {"good": [["i-1", "t-1"]], "valid-ms": 3000})
-            leaves = await adviser.advise("00000000000000aa.0.1", ("i-1", "i-2"))
+        async def body(fake: FakeServer) -> None:
+            adviser = HttpAdviser("127.0.0.1", fake.server.port)
+            fake.add_answer(200, {"good": [["i-1", "t-1"]], "valid-ms": 3000})
+            approvals = await adviser.advise("00000000000000aa.0.1", ("i-1", "i-2"))
             self.assertEqual(
-                served.body(), {"step": "00000000000000aa.0.1", "workers": ["i-1", "i-2"]}
+                fake.last_body(), {"step": "00000000000000aa.0.1", "workers": ["i-1", "i-2"]}
             )
             self.assertEqual(
-                (leaves[0].worker_id, leaves[0].ticket, leaves[0].valid_s), ("i-1", "t-1", 3.0)
+                (approvals[0].worker_id, approvals[0].ticket, approvals[0].valid_s),
+                ("i-1", "t-1", 3.0),
             )
 
         with_server(body)
@@ -538,7 +540,7 @@
         self.assertTrue(worker.draining)
         self.assertEqual(worker.remaining_ms, 1500)
 
-    def test_a_malformed_record_of_a_worker_is_refused(self) -> None:
+    def test_a_malformed_worker_record_is_rejected(self) -> None:
         documents = PlatformDocuments()
         self.assertEqual(documents.worker(Item("servers/i-1", encoded(), 3)).worker_id, "i-1")
         for name, value in worker_records().items():
@@ -550,7 +552,7 @@
             with self.subTest(f"id: {name}"), self.assertRaises(SaddlestackError):
                 documents.worker(Item(f"servers/{worker_id}", encoded(), 3))
 
-    def test_whatever_a_record_holds_it_is_read_or_refused(self) -> None:
+    def test_a_randomly_changed_record_is_decoded_or_rejected(self) -> None:
         rng = random.Random(7)
         documents = PlatformDocuments()
         for _ in range(5000):
@@ -560,7 +562,7 @@
                 self.assertTrue(parse_address(worker.address).port)
                 self.assertGreater(min(worker.capacity.cpu, worker.capacity.memory_mb), 0)
 
-    def test_records_that_leave_out_what_may_be_left_out_are_read(self) -> None:
+    def test_records_without_optional_fields_are_decoded(self) -> None:
         for field in ("labels", "clock-ms", "machine"):
             with self.subTest(field):
                 PlatformDocuments().worker(Item("servers/i-1", without(field), 3))
@@ -569,7 +571,7 @@
         self.assertEqual((worker.capacity, worker.remaining_ms), (Resources(16_000, 1, 0), 7))
         PlatformDocuments().worker(Item("servers/i-1", encoded(address="[fd00::1]:80"), 3))
 
-    def test_a_malformed_wave_or_configuration_is_refused(self) -> None:
+    def test_a_malformed_wave_or_configuration_is_rejected(self) -> None:
         documents = PlatformDocuments()
         wave = {"wave": 3, "machines": ["m-1"], "deadline-s": 20, "max-tasks": 2}
         self.assertEqual(documents.wave(Item("op/wave/3", msgspec.json.encode(wave), 3)).wave, 3)
@@ -594,21 +596,21 @@
             with self.subTest(name), self.assertRaises(SaddlestackError):
                 documents.configuration(value)
 
-    def test_bad_documents_are_named(self) -> None:
+    def test_an_error_names_the_document(self) -> None:
         with self.assertRaises(SaddlestackError) as caught:
             PlatformDocuments().configuration(b'{"version": "x"}')
         self.assertIn("op/config", str(caught.exception))
 
 
-class _Jobs:
-    """Notes what clients ask."""
+class RecordingJobs:
+    """A job service that records the clients' calls."""
 
     def __init__(self) -> None:
-        self.asked: list[tuple[str, str, object]] = []
+        self.calls: list[tuple[str, str, object]] = []
         self.state_: JobState | None = JobState.RUNNING
 
     async def submit(self, call, job_id, request):  # type: ignore[no-untyped-def]
-        self.asked.append((call.queue.name, job_id, request))
+        self.calls.append((call.queue.name, job_id, request))
         return AcceptedJob(
             job_id=job_id,
             account=call.account,
@@ -632,12 +634,12 @@
 
 class GatewayTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.jobs = _Jobs()
+        self.jobs = RecordingJobs()
         self.configuration = PlatformDocuments().configuration(msgspec.json.encode(CONFIGURATION))
         self.ready = True
         self.gateway = Gateway(self.jobs, lambda: self.configuration, lambda: self.ready)
 
-    def ask(
+    def call(
         self,
         method: str,
         path: str,
@@ -651,9 +653,11 @@
         request = Request(method, path, {}, headers, data)
         return run(self.gateway.handle(request))
 
-    def refused(self, kind: ErrorKind, *arguments: object, **options: object) -> SaddlestackError:
+    def assert_rejected(
+        self, kind: ErrorKind, *arguments: object, **options: object
+    ) -> SaddlestackError:
         with self.assertRaises(SaddlestackError) as caught:
-            self.ask(*arguments, **options)  # type: ignore[arg-type]
+            self.call(*arguments, **options)  # type: ignore[arg-type]
         self.assertIs(caught.exception.kind, kind)
         return caught.exception
 
@@ -679,8 +683,8 @@
             "may-miss": 1,
         }
         body = {"spec": "t", "steps": [step], "times": 3, "start-delay-ms": 5, "interval-ms": 7}
-        self.assertEqual(self.ask("POST", f"/a/{JOB}", body).status, 200)
-        queue, job_id, request = self.jobs.asked[0]
+        self.assertEqual(self.call("POST", f"/a/{JOB}", body).status, 200)
+        queue, job_id, request = self.jobs.calls[0]
         self.assertEqual((queue, job_id), ("checks", JOB))
         assert isinstance(request, JobRequest)
         self.assertEqual((request.times, request.first_at_ms, request.interval_ms), (3, 5, 7))
@@ -692,25 +696,25 @@
         self.assertEqual((made.image, made.target_ms, made.may_miss), ("x", 90, 1))
 
     def test_the_longest_prefix_wins(self) -> None:
-        self.ask("POST", f"/a/b/{JOB}", {"steps": [{"count": 1}]})
-        self.assertEqual(self.jobs.asked[0][0], "nested")
+        self.call("POST", f"/a/b/{JOB}", {"steps": [{"count": 1}]})
+        self.assertEqual(self.jobs.calls[0][0], "nested")
 
     def test_states_cancels_and_counts(self) -> None:
-        self.assertEqual(self.ask("GET", f"/a/{JOB}").body, b'{"state":"running"}')
-        self.assertEqual(self.ask("DELETE", f"/a/{JOB}").status, 200)
-        self.assertEqual(self.ask("GET", "/a/").body, b'{"pending":12}')
+        self.assertEqual(self.call("GET", f"/a/{JOB}").body, b'{"state":"running"}')
+        self.assertEqual(self.call("DELETE", f"/a/{JOB}").status, 200)
+        self.assertEqual(self.call("GET", "/a/").body, b'{"pending":12}')
         self.jobs.state_ = None
-        self.refused(ErrorKind.UNKNOWN_JOB, "GET", f"/a/{JOB}")
-        self.refused(ErrorKind.UNKNOWN_JOB, "DELETE", f"/a/{JOB}")
+        self.assert_rejected(ErrorKind.UNKNOWN_JOB, "GET", f"/a/{JOB}")
+        self.assert_rejected(ErrorKind.UNKNOWN_JOB, "DELETE", f"/a/{JOB}")
 
-    def test_who_may_call(self) -> None:
-        self.refused(ErrorKind.UNAUTHENTICATED, "GET", f"/a/{JOB}", key="nobody")
-        self.refused(ErrorKind.UNAUTHENTICATED, "GET", f"/a/{JOB}", key="")
-        self.assertEqual(self.ask("GET", f"/o/{JOB}", key="").status, 200)
-        self.refused(ErrorKind.NOT_FOUND, "GET", f"/nowhere/{JOB}")
-        self.refused(ErrorKind.NOT_FOUND, "GET", f"/a/{JOB}", host="other.example")
+    def test_callers_are_authenticated_and_routed(self) -> None:
+        self.assert_rejected(ErrorKind.UNAUTHENTICATED, "GET", f"/a/{JOB}", key="nobody")
+        self.assert_rejected(ErrorKind.UNAUTHENTICATED, "GET", f"/a/{JOB}", key="")
+        self.assertEqual(self.call("GET", f"/o/{JOB}", key="").status, 200)
+        self.assert_rejected(ErrorKind.NOT_FOUND, "GET", f"/nowhere/{JOB}")
+        self.assert_rejected(ErrorKind.NOT_FOUND, "GET", f"/a/{JOB}", host="other.example")
 
-    def test_bad_bodies_are_refused_with_their_place(self) -> None:
+    def test_bad_bodies_are_rejected_with_their_location(self) -> None:
         for body, kind, place in (
             (b"{", ErrorKind.MALFORMED, "body"),
             (b"\xff", ErrorKind.MALFORMED, "body"),
@@ -720,15 +724,15 @@
             ({"steps": [], "more": 1}, ErrorKind.INVALID, "body"),
             ({"spec": "x" * 3000, "steps": []}, ErrorKind.TOO_LARGE, ""),
         ):
-            error = self.refused(kind, "POST", f"/a/{JOB}", body)
+            error = self.assert_rejected(kind, "POST", f"/a/{JOB}", body)
             self.assertIn(place, str(error))
-        self.refused(ErrorKind.INVALID, "POST", "/a/notanid", {"steps": [{"count": 1}]})
-        self.refused(ErrorKind.NOT_FOUND, "PUT", f"/a/{JOB}")
-        self.assertEqual(self.jobs.asked, [])
+        self.assert_rejected(ErrorKind.INVALID, "POST", "/a/notanid", {"steps": [{"count": 1}]})
+        self.assert_rejected(ErrorKind.NOT_FOUND, "PUT", f"/a/{JOB}")
+        self.assertEqual(self.jobs.calls, [])
 
-    def test_without_a_configuration_nothing_is_unknown(self) -> None:
+    def test_without_a_configuration_calls_are_unavailable_not_unknown(self) -> None:
         self.gateway = Gateway(self.jobs, lambda: None, lambda: False)
-        error = self.refused(ErrorKind.CELL_UNAVAILABLE, "GET", f"/nowhere/{JOB}")
+        error = self.assert_rejected(ErrorKind.CELL_UNAVAILABLE, "GET", f"/nowhere/{JOB}")
         self.assertIsNotNone(error.retry_after)
 
     def test_readiness(self) -> None:
@@ -759,7 +763,7 @@
     }
 
     def fill(self, fields: dict[str, str]) -> str:
-        """A small part of the platform's filling: values, and parts for what is given."""
+        """Renders a template as the platform does: values, and sections for the given fields."""
         template = (ROOT / "deploy" / "settings.template").read_text()
         template = re.sub(
             r"\{\{#([a-z.-]+)\}\}(.*?)\{\{/\1\}\}",
@@ -774,7 +778,7 @@
 
         return re.sub(r"\{\{([a-z._-]+)(\|json)?\}\}", value, template)
 
-    def test_the_template_makes_good_settings(self) -> None:
+    def test_the_template_renders_valid_settings(self) -> None:
         settings = parse_json_with_comments(self.fill(self.FIELDS), EntrySettings, "settings")
         self.assertEqual(check(settings), [])
         self.assertEqual(settings.peer_ports, (7000, 7015))
@@ -783,7 +787,7 @@
         self.assertEqual((settings.cores, settings.cpu_share, settings.link_mbps), (2, 0.25, 20))
         self.assertAlmostEqual(settings.strength, 0.4)
 
-    def test_what_a_deployment_lacks_is_left_out(self) -> None:
+    def test_fields_that_a_deployment_lacks_are_omitted(self) -> None:
         fields = {**self.FIELDS, "advice": "", "cloud.address": "", "limits.link-mbps": ""}
         settings = parse_json_with_comments(self.fill(fields), EntrySettings, "settings")
         self.assertIsNone(settings.adviser)
@@ -801,7 +805,7 @@
         settings = parse_json_with_comments(self.fill(self.FIELDS), EntrySettings, "settings")
         self.assertEqual(role["metrics"], f"{settings.metrics_address.port}{METRICS_PATH}")
 
-    def test_every_fault_is_named(self) -> None:
+    def test_every_invalid_field_is_named(self) -> None:
         fields = {**self.FIELDS, "listen.front": "nowhere", "port-range": "9,7", "node": " "}
         settings = parse_json_with_comments(self.fill(fields), EntrySettings, "settings")
         faults = "; ".join(check(settings))
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -1,4 +1,7 @@
-"""Connections that go silent for good, without a reset, while new ones work: one test a kind."""
+"""Connections that become unresponsive for good, without a reset, while new ones work.
+
+There is a test for each kind of connection.
+"""
 
 from __future__ import annotations
 
@@ -39,8 +42,8 @@
     return Response(200, b"{}")
 
 
-class SilenceCase(unittest.TestCase):
-    """Runs a coroutine against a server behind a proxy that can swallow open connections."""
+class UnresponsiveCase(unittest.TestCase):
+    """Runs a coroutine against a server behind a proxy that can make connections unresponsive."""
 
     def play(
         self,
@@ -62,13 +65,13 @@
 
 
 async def fill(client: HttpClient, connections: int) -> None:
-    """Have a client keep so many open connections."""
+    """Fill a client's pool with idle connections."""
     calls = (client.request("GET", "/", timeout=CALL_S) for _ in range(connections))
     await asyncio.gather(*calls)
 
 
-class PooledConnectionTest(SilenceCase):
-    def test_one_call_finds_it_out_for_all_that_are_kept(self) -> None:
+class PooledConnectionTest(UnresponsiveCase):
+    def test_one_lost_call_closes_all_idle_connections(self) -> None:
         async def body(proxy: Proxy) -> None:
             client = HttpClient(HOST, proxy.port)
             await fill(client, 8)
@@ -81,7 +84,7 @@
 
         self.play(body)
 
-    def test_so_does_a_call_that_its_caller_gives_up(self) -> None:
+    def test_a_call_that_its_caller_cancels_closes_them_too(self) -> None:
         async def body(proxy: Proxy) -> None:
             client = HttpClient(HOST, proxy.port)
             await fill(client, 8)
@@ -95,7 +98,7 @@
 
         self.play(body)
 
-    def test_connections_that_were_heard_meanwhile_are_kept(self) -> None:
+    def test_connections_that_received_an_answer_meanwhile_are_kept(self) -> None:
         async def slow(request: Request) -> Response:
             if request.path == "/slow":
                 await asyncio.sleep(5.0)
@@ -114,7 +117,7 @@
 
         self.play(body, slow)
 
-    def test_orders_to_a_worker(self) -> None:
+    def test_one_lost_order_closes_all_connections_to_a_worker(self) -> None:
         async def worker(request: Request) -> Response:
             return Response(200, b'{"clock-ms":1,"running":[],"ended":[]}')
 
@@ -130,9 +133,9 @@
         self.play(body, worker)
 
 
-class StoreConnectionTest(SilenceCase):
-    def test_the_store_is_lost_for_less_than_a_leaders_lease(self) -> None:
-        """Noticed by a heartbeat; watches and writes under way are sent anew by the next one."""
+class StoreConnectionTest(UnresponsiveCase):
+    def test_the_store_is_unavailable_for_less_than_a_leaders_lease(self) -> None:
+        """A heartbeat detects the loss; the next one sends pending watches and writes again."""
 
         async def body(proxy: Proxy) -> None:
             store = KvStore(HOST, proxy.port)
@@ -141,12 +144,12 @@
             await health.start()
             await asyncio.sleep(1.0)
             proxy.set(Trouble.STALE)
-            lost_s = 0.0
+            max_outage_s = 0.0
             for _ in range(100):
                 await asyncio.sleep(0.01)
-                lost_s = max(lost_s, health.outage_s)
-            self.assertGreater(lost_s, 0.0)
-            self.assertLess(lost_s, HEARTBEAT_S)
+                max_outage_s = max(max_outage_s, health.outage_s)
+            self.assertGreater(max_outage_s, 0.0)
+            self.assertLess(max_outage_s, HEARTBEAT_S)
             self.assertTrue(health.is_available)
             await health.stop()
             store.close()
@@ -162,14 +165,14 @@
         async def main() -> None:
             accepted: list[PeerLink] = []
 
-            async def welcome(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+            async def accept(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
                 stream = FrameStream(reader, writer)
                 peer = await Handshake(PeerIdentity("there", "hall", 1), "key").accept(stream)
                 link = PeerLink(peer, stream, self.answer, ignore, idle_s=ACCEPTED_IDLE_S)
                 accepted.append(link)
                 await link.run()
 
-            server = await asyncio.start_server(welcome, HOST, 0)
+            server = await asyncio.start_server(accept, HOST, 0)
             proxy = Proxy(HOST, HOST, server.sockets[0].getsockname()[1])
             await proxy.start()
             try:
@@ -190,7 +193,7 @@
         self.running = asyncio.ensure_future(link.run())
         return link
 
-    def test_a_call_that_is_given_up_early_marks_its_link(self) -> None:
+    def test_a_call_that_is_cancelled_early_marks_its_link(self) -> None:
         async def body(proxy: Proxy, accepted: list[PeerLink]) -> None:
             link = await self.dial(proxy)
             await link.call("ping", {}, dict, 0.25)
@@ -204,22 +207,22 @@
 
         self.play(body)
 
-    def test_a_slow_link_is_used_again_and_loses_no_call(self) -> None:
+    def test_a_slow_link_is_used_again_and_fails_no_call(self) -> None:
         async def body(proxy: Proxy, accepted: list[PeerLink]) -> None:
             link = await self.dial(proxy)
             proxy.set(Trouble.DELAY, 0.2)
-            patient = asyncio.ensure_future(link.call("ping", {}, dict, 0.6))
+            pending = asyncio.ensure_future(link.call("ping", {}, dict, 0.6))
             with self.assertRaises(TimeoutError):
                 async with asyncio.timeout(0.25):
                     await link.call("ping", {}, dict, 0.6)
             self.assertTrue(link.is_unresponsive)
-            self.assertEqual(await patient, {})
+            self.assertEqual(await pending, {})
             self.assertFalse(link.is_unresponsive)
             link.close()
 
         self.play(body)
 
-    def test_the_accepting_side_does_not_keep_it_for_ever(self) -> None:
+    def test_the_accepting_side_closes_its_link(self) -> None:
         async def body(proxy: Proxy, accepted: list[PeerLink]) -> None:
             link = await self.dial(proxy)
             await link.call("ping", {}, dict, 0.25)
@@ -230,7 +233,7 @@
 
         self.play(body)
 
-    def test_a_lost_link_fails_its_open_calls(self) -> None:
+    def test_a_lost_link_fails_its_pending_calls(self) -> None:
         async def body(proxy: Proxy, accepted: list[PeerLink]) -> None:
             link = await self.dial(proxy)
             proxy.set(Trouble.STALE)
@@ -241,8 +244,8 @@
         self.play(body)
 
 
-class ServedConnectionTest(SilenceCase):
-    def test_one_that_is_never_heard_again_is_closed(self) -> None:
+class ServerConnectionTest(UnresponsiveCase):
+    def test_an_unresponsive_client_is_disconnected(self) -> None:
         async def body(proxy: Proxy) -> None:
             client = HttpClient(HOST, proxy.port)
             await client.request("GET", "/", timeout=CALL_S)
@@ -255,8 +258,8 @@
         self.play(body)
 
 
-class PoolSilenceTest(PoolTest):
-    def test_a_pool_whose_connections_all_went_silent_serves_on_under_its_leader(self) -> None:
+class PoolConnectionTest(PoolTest):
+    def test_a_pool_whose_connections_all_become_unresponsive_keeps_its_leader(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             leader = cluster.leader_name
             await cluster.submit(A, job(4, work_s=4.0))
@@ -274,4 +277,4 @@
 
 
 def ignore(link: PeerLink, beat: Beat) -> None:
-    """Nothing is done with heartbeats here."""
+    """Ignore a heartbeat."""
--- a/tests/test_stale_beliefs.py
+++ b/tests/test_stale_beliefs.py
@@ -1,4 +1,4 @@
-"""What a record says now, or a moment that has passed, is not the state of a life or a term."""
+"""Outdated records and times must not be taken for the state of an incarnation or a term."""
 
 from __future__ import annotations
 
@@ -30,23 +30,23 @@
 from tests.test_session import HOLD_S as SESSION_HOLD_S
 from tests.test_session import FakeOrders, Scene, SessionCase, SingleWorkerOwner
 
-HEARD_S = 1.0
-STALL_S = 5.0
+RECORD_DELAY_S = 1.0
+SUSPENSION_S = 5.0
 
 
-class StalledClock(Clock):
-    """A clock of a process that stood still for some seconds between two lines."""
+class SuspendedClock(Clock):
+    """A clock of a process that was suspended for some seconds between two statements."""
 
-    stalled_s = 0.0
+    suspended_s = 0.0
 
     def now(self) -> float:
-        return super().now() + self.stalled_s
+        return super().now() + self.suspended_s
 
 
-class NotingOrders(FakeOrders):
-    """Notes the deadlines of starts; the worker's clock goes on while the leader stands still."""
+class RecordingOrders(FakeOrders):
+    """Records the deadlines of starts; the worker's clock runs while the leader is suspended."""
 
-    clock: StalledClock
+    clock: SuspendedClock
     start_deadlines: list[int]
 
     async def start(self, order: StartOrder, timeout_s: float) -> StartReply:
@@ -60,41 +60,44 @@
         return replace(report, clock_ms=round(self.clock.now() * 1000))
 
 
-class StallTest(SessionCase):
-    def test_a_start_brings_no_lease_from_later_than_the_term_was_asked(self) -> None:
-        """A leader stands still right after it asked whether its term may still grant leases.
+class SuspendedLeaderTest(SessionCase):
+    def test_a_start_grants_no_lease_from_after_the_check_of_the_term(self) -> None:
+        """A leader is suspended right after it checked that its term may still grant leases.
 
-        ``_send_now`` takes the time of the lease after that question: the lease then lasts by the
-        stall longer than a successor counts. ``_hold`` takes it before.
+        If ``_send_now`` read the start time of the lease after that check, the lease would last
+        longer than a successor assumes, by the duration of the suspension. ``_hold`` reads the time
+        before the check.
         """
 
         async def body(scene: Scene) -> None:
-            orders = NotingOrders()
-            orders.clock = clock = StalledClock()
+            orders = RecordingOrders()
+            orders.clock = clock = SuspendedClock()
             orders.start_deadlines = []
-            asked: list[float] = []
+            check_times: list[float] = []
 
             def may_grant(owner: object) -> bool:
-                asked.append(clock.now())
-                clock.stalled_s += STALL_S
+                check_times.append(clock.now())
+                clock.suspended_s += SUSPENSION_S
                 return True
 
             await scene.session.close()
             session = WorkerSession(scene.session.worker, orders, scene.owner, clock, scene.leases)
             with unittest.mock.patch.object(SingleWorkerOwner, "may_grant", property(may_grant)):
-                # No look runs beside it, which would ask as well.
+                # No poll runs at the same time, which would check as well.
                 session.start(scene.plan().starts[0])
                 await asyncio.sleep(0.1)
             await session.close()
-            self.assertEqual((len(asked), len(orders.start_deadlines)), (1, 1))
-            self.assertLessEqual(orders.start_deadlines[0], (asked[0] + SESSION_HOLD_S) * 1000 + 10)
+            self.assertEqual((len(check_times), len(orders.start_deadlines)), (1, 1))
+            self.assertLessEqual(
+                orders.start_deadlines[0], (check_times[0] + SESSION_HOLD_S) * 1000 + 10
+            )
 
         self.play(body)
 
 
-class StartThatNeverLeftTest(SessionCase):
-    def test_a_start_that_never_left_waits_for_no_lease(self) -> None:
-        """The worker tells no clock, so that no start leaves; a new term counts it for a lease."""
+class UnsentStartTest(SessionCase):
+    def test_an_unsent_start_grants_no_lease(self) -> None:
+        """Without the worker's clock no start is sent, so a new term must not wait for a lease."""
 
         async def body(scene: Scene) -> None:
             await scene.session.close()
@@ -113,9 +116,9 @@
         self.play(body)
 
 
-class FalseClockAfterRestTest(SecondRunCase):
-    def test_a_late_start_by_a_false_record_after_a_long_rest(self) -> None:
-        """The clock was told 300 s ago and runs 2 % slow; a record claims all that it might say."""
+class FalseClockAfterIdleTimeTest(SecondRunCase):
+    def test_a_late_start_by_a_false_record_after_a_long_idle_time(self) -> None:
+        """The clock, reported 300 s ago, runs 2 % slow; a record claims the latest time allowed."""
 
         def clock_ms(floor: Floor, worker: FloorWorker) -> int:
             now = asyncio.get_running_loop().time()
@@ -135,7 +138,7 @@
             EntryCase().rewrite(
                 cluster, worker, clock_ms=cluster.floor.clock_ms(worker) + 3_600_000
             )
-            await asyncio.sleep(HEARD_S)
+            await asyncio.sleep(RECORD_DELAY_S)
             worker.late_orders, worker.late_s = 1, 5.0
             await cluster.submit(A, job(1, work_s=90.0, accelerators=8))
             await cluster.until(lambda: not worker.late_orders)
@@ -152,15 +155,15 @@
 
 
 class FalseNoticeTest(EntryCase):
-    def test_a_notice_of_another_writer_ends_with_the_workers_own_record(self) -> None:
-        """``leaves_s`` is kept after the worker says that it is ready: work is stopped for ever."""
+    def test_a_notice_of_another_writer_is_cleared_by_the_workers_own_record(self) -> None:
+        """A kept ``leaves_s`` would stop all work on a worker that is ready again."""
 
         async def body(cluster: PoolCluster) -> None:
             worker = next(iter(cluster.floor.workers.values()))
             self.rewrite(cluster, worker, state="draining", remaining_ms=100)
-            await asyncio.sleep(HEARD_S)
+            await asyncio.sleep(RECORD_DELAY_S)
             cluster.floor.record(worker)
-            await asyncio.sleep(HEARD_S)
+            await asyncio.sleep(RECORD_DELAY_S)
             await cluster.submit(A, job(1, work_s=3.0))
             await asyncio.sleep(10.0)
             self.assertEqual(cluster.floor.starts_of(A), 1)
@@ -170,11 +173,12 @@
 
 
 class HeartbeatInAWaveTest(EntryCase):
-    def test_what_runs_on_a_machine_of_a_wave_is_saved_before_it_goes_down(self) -> None:
-        """The worker writes its record every 1.5 s, ready as it is; ``note`` clears ``leaves_s``.
+    def test_runs_on_a_machine_of_a_wave_are_saved_before_it_goes_down(self) -> None:
+        """The worker writes its record as ready every 1.5 s, which must not clear ``leaves_s``.
 
-        Upkeep sets that time once, when it chooses the machine. Without it nothing is stopped: what
-        saves its progress is killed with the machine, and begins again from its last report.
+        Upkeep sets that time once, when it chooses the machine. Without it nothing is stopped:
+        tasks that save their progress are killed with the machine and start again from their last
+        report.
         """
 
         async def body(cluster: PoolCluster) -> None:
@@ -193,9 +197,10 @@
 
 class UnknownAddressTest(EntryCase):
     def test_a_record_of_another_writer_gives_no_address_to_an_inherited_run(self) -> None:
-        """Where an assignment names no address, that of the record is asked, and its 421 believed.
+        """An assignment without an address must not be checked at the address in the record.
 
-        Nothing tells that the life that was given the run ever was at that address.
+        A 421 from there proves nothing: nothing shows that the incarnation that was given the run
+        was ever at that address.
         """
 
         async def body(cluster: PoolCluster) -> None:
@@ -216,11 +221,11 @@
         self.play(body)
 
 
-class NoWayThereTest(EntryCase):
-    def test_a_life_that_nobody_can_ask_any_more_is_waited_for_until_its_lease_has_lapsed(
+class UnreachableIncarnationTest(EntryCase):
+    def test_the_lease_of_an_unreachable_incarnation_is_waited_for(
         self,
     ) -> None:
-        """Holds as it is. It does not rest on what is refused where records are read."""
+        """This holds whichever records are rejected as invalid."""
 
         async def body(cluster: PoolCluster) -> None:
             await asyncio.sleep(2 * INHERITED_S)
@@ -241,20 +246,20 @@
 
 
 class BusyAddressTest(UnknownAddressTest):
-    def test_a_busy_answer_at_that_address_is_not_this_lifes(self) -> None:
-        """The life at the false address is unhealthy for a while: it answers 503, then 421.
+    def test_a_busy_answer_at_that_address_is_not_of_this_incarnation(self) -> None:
+        """The incarnation at the wrong address is unhealthy for a while: it answers 503, then 421.
 
-        A busy answer counts as one of the life that is meant, since its record is listed; the 421
-        after it is believed.
+        If the busy answer counted as one of the expected incarnation, since its record is listed,
+        the 421 after it would be trusted.
         """
         reach = FloorOrders._reach
         busy_s = 3.0
 
         async def busy_at_first(orders: FloorOrders, timeout_s: float) -> None:
-            foreign = orders.address != orders.worker.address
-            if foreign:
-                began = seen.setdefault("began", asyncio.get_running_loop().time())
-                if asyncio.get_running_loop().time() < began + busy_s:
+            is_other_address = orders.address != orders.worker.address
+            if is_other_address:
+                started_s = seen.setdefault("began", asyncio.get_running_loop().time())
+                if asyncio.get_running_loop().time() < started_s + busy_s:
                     raise WorkerBusy("answered 503")
             await reach(orders, timeout_s)
 
@@ -266,9 +271,10 @@
 
 class RemovedMemberTest(EntryCase):
     def test_a_vm_whose_record_was_removed_is_listed_again(self) -> None:
-        """It may go on leading and renewing while a VM that has just started finds no record of it.
+        """It may continue to lead and renew while a VM that has just started finds no record of it.
 
-        ``is_listed`` goes by the lease of the record, which holds on without the record.
+        ``is_listed`` depends on the lease of the record, which stays valid after the record is
+        removed.
         """
 
         async def body(cluster: PoolCluster) -> None:
@@ -281,8 +287,8 @@
 
 
 class RemovedLeaderTest(SecondRunCase):
-    def test_a_leader_whose_record_was_removed_counts_as_one_that_may_renew(self) -> None:
-        """Its record goes 13 s before it loses the store; the next leader asks everybody else.
+    def test_a_leader_whose_record_was_removed_may_still_renew(self) -> None:
+        """Its record is removed 13 s before it loses the store; the next leader asks all other VMs.
 
         As ``test_a_leader_that_is_not_listed_counts_as_one_that_may_renew``, but the record is
         removed while the leader leads.
@@ -303,10 +309,11 @@
 
 
 class RelistedTest(unittest.TestCase):
-    def test_a_record_that_waits_for_its_service_and_goes_names_no_worker(self) -> None:
-        """It went while the store forgot its history: no change told of it, the listing did.
+    def test_a_record_removed_while_it_waits_for_its_service_adds_no_worker(self) -> None:
+        """It was removed while the store lost its history, so only the listing shows the removal.
 
-        ``replace`` looks for what is gone among the workers and the refused records alone.
+        ``replace`` must look for removed records also among those of unknown services, not only
+        among the workers and the invalid records.
         """
         floor_record = PlatformDocuments().worker(Item("servers/w", encoded(), 1))
         cluster_state = ClusterState()
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -33,7 +33,7 @@
 
         run(main())
 
-    def test_swap_needs_the_expected_version(self) -> None:
+    def test_a_swap_requires_the_expected_version(self) -> None:
         async def body(store: StandinStore, client: StoreClient) -> None:
             version = await client.swap("k", b"one", 0)
             with self.assertRaises(VersionConflict):
@@ -44,7 +44,7 @@
 
         self.with_store(body)
 
-    def test_a_watch_tells_of_a_change_or_of_none(self) -> None:
+    def test_a_watch_returns_a_change_or_none(self) -> None:
         async def body(store: StandinStore, client: StoreClient) -> None:
             self.assertIsNone(await client.watch("k", 0, 1.0))
             watching = asyncio.ensure_future(client.watch("k", 0, 30.0))
@@ -56,7 +56,7 @@
 
         self.with_store(body)
 
-    def test_down_is_unavailable_and_a_lost_answer_is_doubt(self) -> None:
+    def test_a_store_that_is_down_is_unavailable_and_a_lost_answer_is_in_doubt(self) -> None:
         async def body(store: StandinStore, client: StoreClient) -> None:
             store.faults.down = True
             with self.assertRaises(StoreUnavailable):
@@ -69,7 +69,7 @@
 
         self.with_store(body)
 
-    def test_calls_stay_within_the_share(self) -> None:
+    def test_calls_stay_within_the_rate_share(self) -> None:
         async def body(store: StandinStore, client: StoreClient) -> None:
             client.share_among(8)
             loop = asyncio.get_running_loop()
@@ -82,7 +82,7 @@
 
         self.with_store(body)
 
-    def test_values_over_the_limit_are_refused(self) -> None:
+    def test_values_over_the_limit_are_rejected(self) -> None:
         async def body(store: StandinStore, client: StoreClient) -> None:
             with self.assertRaises(Exception) as caught:
                 await client.swap("k", b"x" * 1_000_001, 0)
@@ -90,7 +90,7 @@
 
         self.with_store(body)
 
-    def test_keys_under_a_lease_vanish_when_it_lapses(self) -> None:
+    def test_keys_under_a_lease_are_removed_when_it_expires(self) -> None:
         async def body(store: StandinStore, client: StoreClient) -> None:
             http = client._http
             lease = json.loads(
@@ -106,7 +106,7 @@
 
 
 class Writer:
-    """A group commit of a list of words, with a term."""
+    """A writer that group-commits a list of words under a term."""
 
     def __init__(self, client: StoreClient, name: str, term: int = 1) -> None:
         self.words: list[str] = []
@@ -145,7 +145,7 @@
     def words(self, store: StandinStore) -> list[str]:
         return sorted(json.loads(store.value("words") or b"{}")["words"])
 
-    def test_changes_that_gather_are_one_write(self) -> None:
+    def test_concurrent_changes_are_one_write(self) -> None:
         async def body(store: StandinStore, client: StoreClient) -> None:
             writer = Writer(client, "a")
             await asyncio.gather(*(writer.add(f"w{i:02d}") for i in range(50)))
@@ -154,7 +154,7 @@
 
         self.with_store(body)
 
-    def test_a_lost_answer_is_resolved_and_nothing_doubles(self) -> None:
+    def test_a_lost_answer_is_resolved_without_duplicates(self) -> None:
         for fault in ("lose_answers", "lose_writes"):
 
             async def body(store: StandinStore, client: StoreClient, fault: str = fault) -> None:
@@ -189,7 +189,7 @@
 
         self.with_store(body)
 
-    def test_an_outage_delays_and_loses_nothing(self) -> None:
+    def test_an_outage_delays_writes_and_loses_none(self) -> None:
         async def body(store: StandinStore, client: StoreClient) -> None:
             writer = Writer(client, "a")
             store.faults.down = True
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -39,7 +39,7 @@
 
 
 class HttpTest(unittest.TestCase):
-    def test_the_time_to_come_back_is_in_whole_seconds_and_may_be_none(self) -> None:
+    def test_retry_after_is_in_whole_seconds_and_may_be_zero(self) -> None:
         for seconds, text in ((0.0, "0"), (0.3, "1"), (1.0, "1"), (1.2, "2")):
             error = SaddlestackError(ErrorKind.STORE_UNAVAILABLE, "away", retry_after=seconds)
             self.assertEqual(error_response(error).headers["retry-after"], text)
@@ -73,7 +73,7 @@
 
         self.serve(body)
 
-    def test_garbage_gets_its_error_and_harms_no_other_connection(self) -> None:
+    def test_garbage_is_answered_with_an_error_and_affects_no_other_connection(self) -> None:
         async def body(server: HttpServer) -> None:
             client = HttpClient(HOST, server.port)
             await client.request("GET", "/before", timeout=5)
@@ -85,7 +85,7 @@
 
         self.serve(body)
 
-    def test_an_oversized_body_is_refused(self) -> None:
+    def test_an_oversized_body_is_rejected(self) -> None:
         async def body(server: HttpServer) -> None:
             head = b"POST /x HTTP/1.1\r\nhost: x\r\ncontent-length: 5000\r\n\r\n"
             answer = await self.raw(server, head + b"y" * 5000)
@@ -93,14 +93,14 @@
 
         self.serve(body, max_body=1000)
 
-    def test_oversized_headers_are_refused(self) -> None:
+    def test_oversized_headers_are_rejected(self) -> None:
         async def body(server: HttpServer) -> None:
             answer = await self.raw(server, b"GET / HTTP/1.1\r\nx: " + b"y" * 40_000)
             self.assertRegex(answer.split(b"\r\n")[0], rb"HTTP/1.1 4(00|13) ")
 
         self.serve(body)
 
-    def test_a_slow_sender_is_cut_off_after_the_idle_time(self) -> None:
+    def test_a_slow_sender_is_disconnected_after_the_idle_timeout(self) -> None:
         async def body(server: HttpServer) -> None:
             loop = asyncio.get_running_loop()
             began = loop.time()
@@ -118,7 +118,7 @@
 
         self.serve(body)
 
-    def test_connections_beyond_the_bound_are_closed(self) -> None:
+    def test_connections_beyond_the_limit_are_closed(self) -> None:
         async def body(server: HttpServer) -> None:
             _, first = await asyncio.open_connection(HOST, server.port)
             await asyncio.sleep(0.01)
@@ -131,7 +131,7 @@
 
         self.serve(body, max_connections=1)
 
-    def test_not_sent_and_answer_lost_are_told_apart(self) -> None:
+    def test_not_sent_and_answer_lost_are_distinguished(self) -> None:
         async def main() -> None:
             async def cut(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
                 await reader.read(10)
@@ -149,7 +149,7 @@
 
         run(main())
 
-    def test_draining_answers_what_is_in_hand(self) -> None:
+    def test_draining_answers_the_requests_in_progress(self) -> None:
         async def main() -> None:
             async def slow(request: Request) -> Response:
                 await asyncio.sleep(5)
@@ -158,10 +158,10 @@
             server = HttpServer(slow)
             await server.start(HOST, 0)
             client = HttpClient(HOST, server.port)
-            asking = asyncio.ensure_future(client.request("GET", "/", timeout=30))
+            pending = asyncio.ensure_future(client.request("GET", "/", timeout=30))
             await asyncio.sleep(1)
             await server.drain()
-            self.assertEqual((await asking).body, b'"done"')
+            self.assertEqual((await pending).body, b'"done"')
             client.close()
             await server.stop()
 
@@ -182,30 +182,30 @@
             server = await asyncio.start_server(accept, HOST, 0)
             port = server.sockets[0].getsockname()[1]
             reader, writer = await asyncio.open_connection(HOST, port)
-            one, other = FrameStream(reader, writer), await accepted
-            await body(one, other)
-            one.close()
-            other.close()
+            near, far = FrameStream(reader, writer), await accepted
+            await body(near, far)
+            near.close()
+            far.close()
             server.close()
 
         run(main())
 
-    def test_both_sides_prove_the_key(self) -> None:
-        async def body(one: FrameStream, other: FrameStream) -> None:
-            dial = Handshake(PeerIdentity("a", "h", 1), "the shared key").dial(one)
-            accept = Handshake(PeerIdentity("b", "h", 2), "the shared key").accept(other)
+    def test_both_sides_prove_that_they_know_the_key(self) -> None:
+        async def body(near: FrameStream, far: FrameStream) -> None:
+            dial = Handshake(PeerIdentity("a", "h", 1), "the shared key").dial(near)
+            accept = Handshake(PeerIdentity("b", "h", 2), "the shared key").accept(far)
             there, here = await asyncio.gather(dial, accept)
             self.assertEqual((there.vm, here.vm, here.incarnation), ("b", "a", 1))
 
         self.pair(body)
 
-    def test_another_key_is_refused(self) -> None:
-        async def body(one: FrameStream, other: FrameStream) -> None:
+    def test_a_wrong_key_is_rejected(self) -> None:
+        async def body(near: FrameStream, far: FrameStream) -> None:
             dial = asyncio.ensure_future(
-                Handshake(PeerIdentity("a", "h", 1), "wrong key").dial(one)
+                Handshake(PeerIdentity("a", "h", 1), "wrong key").dial(near)
             )
             with self.assertRaises(SaddlestackError) as caught:
-                await Handshake(PeerIdentity("b", "h", 2), "the shared key").accept(other)
+                await Handshake(PeerIdentity("b", "h", 2), "the shared key").accept(far)
             self.assertIs(caught.exception.kind, ErrorKind.UNAUTHENTICATED)
             dial.cancel()
 
@@ -214,15 +214,15 @@
     def test_oversized_and_garbage_frames_are_errors(self) -> None:
         for data in (struct.pack(">I", MAX_FRAME + 1), struct.pack(">I", 3) + b"\xc1\xc1\xc1"):
 
-            async def body(one: FrameStream, other: FrameStream, data: bytes = data) -> None:
-                one._writer.write(data)
+            async def body(near: FrameStream, far: FrameStream, data: bytes = data) -> None:
+                near._writer.write(data)
                 with self.assertRaises(SaddlestackError):
-                    await other.read()
+                    await far.read()
 
             self.pair(body)
 
-    def test_calls_are_answered_each_with_its_own_reply(self) -> None:
-        async def body(one: FrameStream, other: FrameStream) -> None:
+    def test_each_call_gets_its_own_reply(self) -> None:
+        async def body(near: FrameStream, far: FrameStream) -> None:
             async def serve(method: str, raw: msgspec.Raw) -> object:
                 number: int = msgspec.msgpack.decode(raw)
                 await asyncio.sleep(1.0 / number)
@@ -233,8 +233,8 @@
             def ignore(link: PeerLink, beat: Beat) -> None:
                 return
 
-            a = PeerLink(PeerIdentity("b", "h", 1), one, serve, ignore)
-            b = PeerLink(PeerIdentity("a", "h", 1), other, serve, ignore)
+            a = PeerLink(PeerIdentity("b", "h", 1), near, serve, ignore)
+            b = PeerLink(PeerIdentity("a", "h", 1), far, serve, ignore)
             runs = [asyncio.ensure_future(link.run()) for link in (a, b)]
             numbers = [1, 5, 2, 4, 3]
             replies = await asyncio.gather(*(a.call("echo", n, int, 5) for n in numbers))
@@ -244,7 +244,7 @@
             self.assertEqual((caught.exception.kind, caught.exception.retry_after), ("no_room", 2))
             waiting = asyncio.ensure_future(a.call("echo", 1, int, 5))
             await asyncio.sleep(0.1)
-            other.close()
+            far.close()
             with self.assertRaises(LinkLost):
                 await waiting
             for task in runs:
@@ -255,9 +255,9 @@
     def test_a_frame_round_trips(self) -> None:
         call = Call(call=1, method="m", body=msgspec.Raw(to_msgpack({"a": 1})))
 
-        async def body(one: FrameStream, other: FrameStream) -> None:
-            one.write(call)
-            got = await other.read()
+        async def body(near: FrameStream, far: FrameStream) -> None:
+            near.write(call)
+            got = await far.read()
             assert isinstance(got, Call)
             self.assertEqual((got.call, got.method, bytes(got.body)), (1, "m", bytes(call.body)))
 
