--- a/src/saddlestack/control/health.py
+++ b/src/saddlestack/control/health.py
@@ -7,7 +7,8 @@
 Existing connections may go dead for good while new ones work. So an overdue heartbeat opens new
 connections, and the next heartbeat shows whether the store or the connection failed: when 16 pooled
 connections went dead, the store counted as unavailable for 0.15 s instead of 2.95 s, which is
-longer than a leader's lease of 1 s (``tests/test_silence.py``, without either change).
+longer than a leader's lease of 1 s (``tests/test_unresponsive_connections.py``, without either
+change).
 """
 
 from __future__ import annotations
