--- a/src/saddlestack/daemon.py
+++ b/src/saddlestack/daemon.py
@@ -87,7 +87,7 @@
         self.ownership = self._add(Ownership(context))
         self.router = self._add(Router(context))
         self.intake = self._add(Intake(context))
-        self.configuration.listen(self._configured)
+        self.configuration.subscribe(self._configured)
         self._show_metrics()
 
     def _show_metrics(self) -> None:
--- a/src/saddlestack/services/audit.py
+++ b/src/saddlestack/services/audit.py
@@ -15,7 +15,7 @@
 from saddlestack.platform.store import StoreClient
 from saddlestack.services import names
 from saddlestack.services.context import Context
-from saddlestack.services.groupcommit import GroupCommit, Written
+from saddlestack.services.groupcommit import GroupCommit, WriterStamp
 
 log = logging.getLogger("saddlestack.audit")
 
@@ -47,7 +47,7 @@
             context.rng,
             build=self._build,
             merge=self._merge,
-            written=self._written,
+            read_stamp=self._read_stamp,
             committed=self._committed,
         )
 
@@ -101,6 +101,6 @@
         for record in self._kept:
             self._records.pop(record, None)
 
-    def _written(self, value: bytes) -> Written:
+    def _read_stamp(self, value: bytes) -> WriterStamp:
         page = from_json(value, AuditPage)
-        return Written(page.writer, page.sequence)
+        return WriterStamp(page.writer, page.sequence)
--- a/src/saddlestack/services/cellstate.py
+++ b/src/saddlestack/services/cellstate.py
@@ -25,18 +25,18 @@
     Hooks,
     JobEntry,
     Message,
-    TakenMessage,
+    ReclaimedMessage,
 )
-from saddlestack.services.evidence import Evidence
 from saddlestack.services.groupcommit import Fenced
 from saddlestack.services.ledger import JobRecord, Ledger
 from saddlestack.services.link import EndpointLink, Lease, lease_for
+from saddlestack.services.recovery import RecoveryTracker
 from saddlestack.wire.messages import CellBeat
 
 log = logging.getLogger("saddlestack.scheduler")
 
 REPLY_WAIT_S = 1.5
-RECOVER_S = 1.5
+RECOVERY_TIMEOUT_S = 1.5
 
 
 class CellState(Service):
@@ -74,8 +74,8 @@
         self._links: dict[str, EndpointLink] = {}
         self._lease = self._new_lease()
         self._dispatch = Dispatch(self._links, self.clock.now)
-        self._freeing: dict[str, set[asyncio.Task[None]]] = {}
-        self._evidence = Evidence(self._policy.resources.index)
+        self._stopping: dict[str, set[asyncio.Task[None]]] = {}
+        self._recovery = RecoveryTracker(self._policy.resources.index)
         self._leaving: frozenset[str] = frozenset()
         self._paused = False
         self._last_tick = 0.0
@@ -96,13 +96,13 @@
         """Every record, for the scheduler that follows in this VM."""
         return [entry.record for entry in self._entries.values()]
 
-    def _depose(self, reason: str) -> None:
+    def _step_down(self, reason: str) -> None:
         log.warning(
             "deposed",
             extra={"event": "deposed", "cell": self.cell, "term": self.term, "reason": reason},
         )
         self.frozen = True
-        self._hooks.deposed(self.cell)
+        self._hooks.on_leadership_lost(self.cell)
 
     def _finish(
         self,
@@ -117,7 +117,7 @@
         record.finished = self.clock.wall()
         record.error = None if kind is None else kind.value
         record.message = message
-        kept = self._keep(entry)
+        persisted = self._persist(entry)
         log.info(
             "job ended",
             extra={
@@ -128,7 +128,7 @@
                 "term": self.term,
             },
         )
-        self.tasks.spawn(self._conclude(entry, kept))
+        self.tasks.spawn(self._notify_and_acknowledge(entry, persisted))
 
     def _finish_cancelled(self, entry: JobEntry) -> None:
         """A cancelled job is "not run" only where no attempt of it ever ran."""
@@ -139,42 +139,44 @@
         else:
             self._finish(entry, JobState.CANCELLED, ErrorKind.CANCELLED, "cancelled; not run")
 
-    async def _conclude(self, entry: JobEntry, kept: asyncio.Future[None]) -> None:
+    async def _notify_and_acknowledge(
+        self, entry: JobEntry, persisted: asyncio.Future[None]
+    ) -> None:
         with contextlib.suppress(Fenced, TimeoutError):
             async with asyncio.timeout(REPLY_WAIT_S):
-                await asyncio.shield(kept)
-        self._wake(entry)
+                await asyncio.shield(persisted)
+        self._notify_waiters(entry)
         with contextlib.suppress(Fenced):
-            await kept
+            await persisted
             if self._ledger is not None:
                 vms = [part.vm for part in entry.record.parts]
                 await self._dispatch.acknowledge(
                     entry.record.spec.job_id, entry.record.attempt, vms
                 )
 
-    def _keep(self, entry: JobEntry) -> asyncio.Future[None]:
+    def _persist(self, entry: JobEntry) -> asyncio.Future[None]:
         if self._ledger is None:
             future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
             future.set_result(None)
-            entry.kept = None
+            entry.persisted = None
             return future
-        entry.kept = self._ledger.put(entry.record)
-        entry.kept.add_done_callback(self._check_fenced)
-        return entry.kept
+        entry.persisted = self._ledger.put(entry.record)
+        entry.persisted.add_done_callback(self._check_fenced)
+        return entry.persisted
 
     def _check_fenced(self, future: asyncio.Future[None]) -> None:
         if not future.cancelled() and future.exception() is not None and not self.frozen:
-            self._depose("the ledger is fenced")
+            self._step_down("the ledger is fenced")
 
-    async def _until_kept(self, entry: JobEntry) -> None:
+    async def _wait_persisted(self, entry: JobEntry) -> None:
         """Wait until the latest state is in the store, but not for long."""
-        if entry.kept is None:
+        if entry.persisted is None:
             return
         with contextlib.suppress(Fenced, TimeoutError):
             async with asyncio.timeout(REPLY_WAIT_S):
-                await asyncio.shield(entry.kept)
+                await asyncio.shield(entry.persisted)
 
-    def _wake(self, entry: JobEntry) -> None:
+    def _notify_waiters(self, entry: JobEntry) -> None:
         for waiter in entry.waiters:
             if not waiter.done():
                 waiter.set_result(None)
@@ -196,28 +198,28 @@
         entry.operation = task
         return task
 
-    def _take_back(
+    def _stop_parts(
         self, entry: JobEntry, attempt: int, vms: list[str], op: Op, *, report: bool = False
     ) -> None:
         """Stop parts; launches onto the same VMs wait until that is done."""
-        task = self._chain(entry, [], self._take_back_task(entry, attempt, vms, op, report))
+        task = self._chain(entry, [], self._stop_parts_task(entry, attempt, vms, op, report))
         for vm in vms:
-            tasks = self._freeing.setdefault(vm, set())
+            tasks = self._stopping.setdefault(vm, set())
             tasks.add(task)
             task.add_done_callback(tasks.discard)
 
-    async def _take_back_task(
+    async def _stop_parts_task(
         self, entry: JobEntry, attempt: int, vms: list[str], op: Op, report: bool
     ) -> None:
         job_id = entry.record.spec.job_id
         record = entry.record
         incarnations = record.incarnations if len(record.incarnations) == len(vms) else ()
-        taken = await self._dispatch.take_back(job_id, attempt, vms, op, incarnations)
+        taken = await self._dispatch.stop_parts(job_id, attempt, vms, op, incarnations)
         if report:
-            entry.unconfirmed = record.spec.run_once and not taken.confirmed
+            entry.stop_unconfirmed = record.spec.run_once and not taken.confirmed
             if record.spec.checkpoint:
                 record.progress = max(record.progress, taken.progress)
-            self._mailbox.put(TakenMessage(job_id, attempt, tuple(vms), taken.confirmed))
+            self._mailbox.put(ReclaimedMessage(job_id, attempt, tuple(vms), taken.confirmed))
         elif taken.confirmed:
             await self._dispatch.acknowledge(job_id, attempt, vms)
 
@@ -242,10 +244,10 @@
         entry.record.state = JobState.QUEUED
         entry.record.parts = ()
         entry.record.started = None
-        entry.ended.clear()
+        entry.done_vms.clear()
         entry.answer = None
-        entry.broken = False
-        self._keep(entry)
+        entry.worker_lost = False
+        self._persist(entry)
 
     def _deadline(self, spec: JobSpec) -> float | None:
         """A job's deadline on the policy's clock."""
@@ -260,9 +262,9 @@
     def _in_policy(self, job_id: str) -> bool:
         return job_id in self._policy.waiting or job_id in self._policy.running
 
-    def _patience(self) -> float:
+    def _recovery_timeout(self) -> float:
         """How long to wait for the endpoints of a gang that was in hand before."""
-        return self._lease.lease_s * 2 if self.interim else RECOVER_S
+        return self._lease.lease_s * 2 if self.interim else RECOVERY_TIMEOUT_S
 
     def _new_policy(self, document: Document) -> Cell:
         return Cell(
--- a/src/saddlestack/services/claims.py
+++ b/src/saddlestack/services/claims.py
@@ -18,7 +18,7 @@
 from saddlestack.platform.store import StoreClient, StoreUnavailable
 from saddlestack.services import names
 from saddlestack.services.context import Context
-from saddlestack.services.groupcommit import GroupCommit, Written
+from saddlestack.services.groupcommit import GroupCommit, WriterStamp
 from saddlestack.services.ledger import bucket_of
 from saddlestack.services.membership import Membership, rendezvous
 from saddlestack.services.rpc import Rpc
@@ -26,10 +26,10 @@
 from saddlestack.wire.streams import LinkLost
 
 CLAIM_BUCKETS = 8
-PATIENT_S = 4.0
-IMPATIENT_S = 1.5
+RUN_ONCE_TIMEOUT_S = 4.0
+CLAIM_TIMEOUT_S = 1.5
 FORWARD_SLACK_S = 0.5
-MAX_CLAIMS_A_BUCKET = 10_000
+MAX_CLAIMS_PER_BUCKET = 10_000
 RETRY_AFTER_S = 2.0
 
 
@@ -53,7 +53,7 @@
 
     def __init__(self, owner: Claims, store: StoreClient, number: int, context: Context) -> None:
         self.known: dict[str, Claim] = {}
-        self.wanted: dict[str, Claim] = {}
+        self.pending: dict[str, Claim] = {}
         self._built: dict[str, Claim] = {}
         self._owner = owner
         self._writer = f"{context.vm}#{context.incarnation}"
@@ -64,13 +64,13 @@
             context.rng,
             build=self._build,
             merge=self._merge,
-            written=self._written,
+            read_stamp=self._read_stamp,
             committed=self._committed,
         )
 
     def _build(self, sequence: int) -> bytes:
         oldest = self._owner.oldest_kept()
-        merged = {**self.wanted, **self.known}
+        merged = {**self.pending, **self.known}
         self._built = {job_id: claim for job_id, claim in merged.items() if claim.at >= oldest}
         return to_json(ClaimValue(writer=self._writer, sequence=sequence, claims=self._built))
 
@@ -82,9 +82,9 @@
         other = from_json(value, ClaimValue)
         self.known = dict(other.claims)
 
-    def _written(self, value: bytes) -> Written:
+    def _read_stamp(self, value: bytes) -> WriterStamp:
         other = from_json(value, ClaimValue)
-        return Written(other.writer, other.sequence)
+        return WriterStamp(other.writer, other.sequence)
 
 
 class Claims(Service):
@@ -123,34 +123,38 @@
         writer = self._writer_of(job_id)
         if writer != self._context.vm:
             body = ClaimRequest(job_id, cell, patient)
-            timeout = PATIENT_S + FORWARD_SLACK_S if patient else IMPATIENT_S + FORWARD_SLACK_S
+            timeout = (
+                RUN_ONCE_TIMEOUT_S + FORWARD_SLACK_S
+                if patient
+                else CLAIM_TIMEOUT_S + FORWARD_SLACK_S
+            )
             try:
                 reply = await self._membership.call(writer, "claim", body, ClaimReply, timeout)
             except (LinkLost, SaddlestackError):
                 pass
             else:
                 return reply.cell
-        return await self._claim_here(job_id, cell, patient=patient)
+        return await self._claim_locally(job_id, cell, patient=patient)
 
     def _writer_of(self, job_id: str) -> str:
         bucket = bucket_of(job_id, CLAIM_BUCKETS)
         return rendezvous(f"claims/{bucket}", self._membership.alive())[0]
 
     async def _serve_claim(self, body: ClaimRequest) -> ClaimReply:
-        return ClaimReply(await self._claim_here(body.job_id, body.cell, patient=body.patient))
+        return ClaimReply(await self._claim_locally(body.job_id, body.cell, patient=body.patient))
 
-    async def _claim_here(self, job_id: str, cell: str, *, patient: bool) -> str:
+    async def _claim_locally(self, job_id: str, cell: str, *, patient: bool) -> str:
         bucket = self._buckets[bucket_of(job_id, CLAIM_BUCKETS)]
         known = bucket.known.get(job_id)
         if known is not None:
             return known.cell
-        if len(bucket.known) >= MAX_CLAIMS_A_BUCKET:
+        if len(bucket.known) >= MAX_CLAIMS_PER_BUCKET:
             raise SaddlestackError(
                 ErrorKind.QUEUE_FULL, "too many requests are remembered", retry_after=60.0
             )
-        bucket.wanted.setdefault(job_id, Claim(cell, self.clock.wall()))
+        bucket.pending.setdefault(job_id, Claim(cell, self.clock.wall()))
         try:
-            async with asyncio.timeout(PATIENT_S if patient else IMPATIENT_S):
+            async with asyncio.timeout(RUN_ONCE_TIMEOUT_S if patient else CLAIM_TIMEOUT_S):
                 await asyncio.shield(bucket.commit.commit())
         except TimeoutError:
             raise SaddlestackError(
@@ -159,7 +163,7 @@
                 retry_after=RETRY_AFTER_S,
             ) from None
         finally:
-            bucket.wanted.pop(job_id, None)
+            bucket.pending.pop(job_id, None)
         return bucket.known[job_id].cell
 
     async def find(self, job_id: str) -> str | None:
--- a/src/saddlestack/services/configuration.py
+++ b/src/saddlestack/services/configuration.py
@@ -45,8 +45,8 @@
 CHECK_S = 0.25
 FOLLOW_S = 2.0
 PROBE_S = 2.0
-READ_ANYWAY_S = 30.0
-DOUBT_TRIES = 40
+POLL_S = 30.0
+MAX_SETTLE_ATTEMPTS = 40
 HISTORY = 20
 MAX_IN_FORCE_WAIT_S = 30.0
 
@@ -66,7 +66,7 @@
         self._version = 0
         self._pulling = False
         self.document = Document()
-        self.known = asyncio.Event()
+        self.loaded = asyncio.Event()
         rpc = context.registry.get(names.RPC, Rpc)
         rpc.add("pull_document", PullDocument, self._serve_pull)
 
@@ -74,9 +74,9 @@
         """Begin to watch."""
         self.tasks.spawn(self._watch_forever())
         self.tasks.spawn(self._follow_peers())
-        self.tasks.spawn(self._read_anyway())
+        self.tasks.spawn(self._poll_forever())
 
-    def listen(self, listener: Listener) -> None:
+    def subscribe(self, listener: Listener) -> None:
         """Be told of each new document."""
         self._listeners.append(listener)
 
@@ -131,7 +131,7 @@
         entry = await self._read_for_confirm()
         base = _document(entry)
         if base.revision != plan.base_revision:
-            self._take(entry)
+            self._apply_entry(entry)
             raise SaddlestackError(
                 ErrorKind.CONFLICT,
                 f"the plan was made against revision {plan.base_revision}; "
@@ -169,13 +169,13 @@
                 retry_after=PROBE_S,
             ) from error
         except WriteInDoubt:
-            await self._settle(entry, after, record)
+            await self._resolve_write(entry, after, record)
             return
-        self._take(Entry(KEY, to_json(after), version))
+        self._apply_entry(Entry(KEY, to_json(after), version))
 
-    async def _settle(self, entry: Entry, after: Document, record: AuditRecord) -> None:
+    async def _resolve_write(self, entry: Entry, after: Document, record: AuditRecord) -> None:
         """Find out whether a write that was not answered took effect."""
-        for attempt in range(DOUBT_TRIES):
+        for attempt in range(MAX_SETTLE_ATTEMPTS):
             await asyncio.sleep(retry_delay(attempt, self._context.rng) + CHECK_S)
             try:
                 now = await self._store.get(KEY)
@@ -184,7 +184,7 @@
             if now.version == entry.version:
                 await self._swap(entry, after, record)
                 return
-            self._take(now)
+            self._apply_entry(now)
             if any(kept.record == record.record for kept in _document(now).history):
                 return
             raise SaddlestackError(ErrorKind.CONFLICT, "another change came first: plan again")
@@ -226,14 +226,14 @@
 
     # Following
 
-    def _take(self, entry: Entry) -> None:
+    def _apply_entry(self, entry: Entry) -> None:
         self._version = max(self._version, entry.version)
         self.apply(_document(entry))
 
     def apply(self, document: Document) -> None:
         """Put a document in force if it is newer than the one that is."""
-        first = not self.known.is_set()
-        self.known.set()
+        first = not self.loaded.is_set()
+        self.loaded.set()
         if document.revision <= self.document.revision and not first:
             return
         if document.revision < self.document.revision:
@@ -261,25 +261,25 @@
                 continue
             attempt = 0
             if entry is not None:
-                self._take(entry)
+                self._apply_entry(entry)
 
     async def _first_read(self) -> None:
         attempt = 0
-        while not self.known.is_set():
+        while not self.loaded.is_set():
             try:
-                self._take(await self._store.get(KEY))
+                self._apply_entry(await self._store.get(KEY))
             except StoreUnavailable:
                 await asyncio.sleep(retry_delay(attempt, self._context.rng) + CHECK_S)
                 attempt += 1
 
-    async def _read_anyway(self) -> None:
+    async def _poll_forever(self) -> None:
         """A slow read on every VM, so that no hall depends on its watcher alone."""
         while True:
             jitter = self._context.rng.uniform(0.5, 1.5)
-            probing = PROBE_S if not self._store.available else READ_ANYWAY_S
+            probing = PROBE_S if not self._store.available else POLL_S
             await asyncio.sleep(probing * jitter)
             try:
-                self._take(await self._store.get(KEY))
+                self._apply_entry(await self._store.get(KEY))
             except StoreUnavailable:
                 continue
 
--- a/src/saddlestack/services/dispatch.py
+++ b/src/saddlestack/services/dispatch.py
@@ -15,13 +15,13 @@
 from saddlestack.errors import ErrorKind
 from saddlestack.models import JobSpec, Part
 from saddlestack.platform.endpoint import Command, CommandResult, Op
-from saddlestack.services.link import EndpointGone, EndpointLink, LeaseRefused
+from saddlestack.services.link import EndpointLink, EndpointUnreachable, LeaseRefused
 
 START_TRIES_S = 8.0
 START_PAUSE_S = 0.2
 
 
-class Launched(enum.StrEnum):
+class LaunchOutcome(enum.StrEnum):
     """How a launch ended."""
 
     STARTED = "started"
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TakenBack:
+class StopResult:
     """What taking a gang back showed.
 
     :param confirmed: every part answered and runs no more.
@@ -70,7 +70,7 @@
         self._links = links
         self._now = now
 
-    async def launch(self, order: LaunchOrder) -> Launched:
+    async def launch(self, order: LaunchOrder) -> LaunchOutcome:
         """Start a gang whole, or not at all.
 
         :rtype: Launched
@@ -80,21 +80,21 @@
         prepared = await self._all(order, Op.PREPARE)
         if not all(result is not None and result.ok for result in prepared):
             await self._undo(order)
-            return Launched.NOT_STARTED
+            return LaunchOutcome.NOT_STARTED
         incarnations = tuple(self._incarnation(part.vm) for part in order.parts)
         if order.spec.run_once and not await order.commit(incarnations):
             await self._undo(order)
-            return Launched.NOT_STARTED
+            return LaunchOutcome.NOT_STARTED
         return await self._start(order, incarnations)
 
-    async def take_back(
+    async def stop_parts(
         self,
         job_id: str,
         attempt: int,
         vms: Iterable[str],
         op: Op,
         incarnations: tuple[int, ...] = (),
-    ) -> TakenBack:
+    ) -> StopResult:
         """Stop every part of a gang.
 
         :param op: ``CHECKPOINT``, ``STOP`` or ``CANCEL``.
@@ -109,7 +109,7 @@
             for i, vm in enumerate(names)
         ]
         answered = [result for result in results if result is not None]
-        return TakenBack(
+        return StopResult(
             confirmed=len(answered) == len(names)
             and all(same_life)
             and all(r.ok for r in answered),
@@ -124,25 +124,25 @@
         command = Command(op=Op.ACK, job=job_id, attempt=attempt)
         await asyncio.gather(*(self._send(vm, command) for vm in vms))
 
-    async def _run_single(self, order: LaunchOrder) -> Launched:
+    async def _run_single(self, order: LaunchOrder) -> LaunchOutcome:
         (result,) = await self._all(order, Op.RUN)
         if result is not None and result.ok:
-            return Launched.STARTED
+            return LaunchOutcome.STARTED
         if result is not None:
-            return Launched.NOT_STARTED
-        taken = await self._take_back(order, Op.STOP)
-        return Launched.NOT_STARTED if taken.never_started else Launched.BROKEN
+            return LaunchOutcome.NOT_STARTED
+        taken = await self._stop_parts(order, Op.STOP)
+        return LaunchOutcome.NOT_STARTED if taken.never_started else LaunchOutcome.BROKEN
 
-    async def _start(self, order: LaunchOrder, incarnations: tuple[int, ...]) -> Launched:
+    async def _start(self, order: LaunchOrder, incarnations: tuple[int, ...]) -> LaunchOutcome:
         until = self._now() + START_TRIES_S
         started = await asyncio.gather(
             *(self._start_part(order, i, until) for i in range(len(order.parts)))
         )
         if all(started):
-            return Launched.STARTED
+            return LaunchOutcome.STARTED
         vms = [part.vm for part in order.parts]
-        taken = await self.take_back(order.spec.job_id, order.attempt, vms, Op.STOP, incarnations)
-        return Launched.NOT_STARTED if taken.never_started else Launched.BROKEN
+        taken = await self.stop_parts(order.spec.job_id, order.attempt, vms, Op.STOP, incarnations)
+        return LaunchOutcome.NOT_STARTED if taken.never_started else LaunchOutcome.BROKEN
 
     async def _start_part(self, order: LaunchOrder, index: int, until: float) -> bool:
         command = self._command(order, index, Op.START)
@@ -155,11 +155,11 @@
             await asyncio.sleep(START_PAUSE_S)
 
     async def _undo(self, order: LaunchOrder) -> None:
-        await self._take_back(order, Op.CANCEL)
+        await self._stop_parts(order, Op.CANCEL)
 
-    async def _take_back(self, order: LaunchOrder, op: Op) -> TakenBack:
+    async def _stop_parts(self, order: LaunchOrder, op: Op) -> StopResult:
         vms = [part.vm for part in order.parts]
-        return await self.take_back(order.spec.job_id, order.attempt, vms, op)
+        return await self.stop_parts(order.spec.job_id, order.attempt, vms, op)
 
     async def _all(self, order: LaunchOrder, op: Op) -> list[CommandResult | None]:
         return await asyncio.gather(
@@ -195,7 +195,7 @@
             if command.op in {Op.PREPARE, Op.RUN}:
                 return CommandResult(ok=False, error=ErrorKind.STALE_TERM.value)
             return None
-        except EndpointGone:
+        except EndpointUnreachable:
             return None
 
     def _incarnation(self, vm: str) -> int:
--- a/src/saddlestack/services/entries.py
+++ b/src/saddlestack/services/entries.py
@@ -15,7 +15,7 @@
     JobView,
 )
 from saddlestack.platform.endpoint import SyncReply
-from saddlestack.services.dispatch import Launched
+from saddlestack.services.dispatch import LaunchOutcome
 from saddlestack.services.ledger import JobRecord
 from saddlestack.services.link import EndpointLink
 
@@ -25,30 +25,30 @@
     """A job in the scheduler's hands.
 
     :param operation: the latest launch or take-back; the next one waits for it.
-    :param broken: a worker was lost while the gang was being launched.
-    :param unconfirmed: run-once work was taken back and not every part confirmed it.
-    :param kept: the latest write of the record; ``None`` while there is no ledger.
-    :param ended: parts of the current attempt that are done, by VM.
+    :param worker_lost: a worker was lost while the gang was being launched.
+    :param stop_unconfirmed: run-once work was taken back and not every part confirmed it.
+    :param persisted: the latest write of the record; ``None`` while there is no ledger.
+    :param done_vms: parts of the current attempt that are done, by VM.
     """
 
     record: JobRecord
     operation: asyncio.Task[None] | None = None
     launching: int = 0
-    broken: bool = False
-    unconfirmed: bool = False
+    worker_lost: bool = False
+    stop_unconfirmed: bool = False
     cancelled: bool = False
-    kept: asyncio.Future[None] | None = None
-    ended: set[str] = field(default_factory=set)
+    persisted: asyncio.Future[None] | None = None
+    done_vms: set[str] = field(default_factory=set)
     answer: Answer | None = None
-    damaged: int = 0
-    failures: int = 0
+    damaged_answers: int = 0
+    failed_starts: int = 0
     waiters: list[asyncio.Future[None]] = field(default_factory=list)
 
     @property
     def durable(self) -> bool:
         """Whether the latest state is known to be in the store."""
-        kept = self.kept
-        return kept is not None and kept.done() and kept.exception() is None
+        persisted = self.persisted
+        return persisted is not None and persisted.done() and persisted.exception() is None
 
     def view(self) -> JobView:
         """What a caller is told."""
@@ -75,7 +75,7 @@
 
 
 @dataclass(slots=True)
-class NewsMessage:
+class SyncMessage:
     """An endpoint answered."""
 
     link: EndpointLink
@@ -83,7 +83,7 @@
 
 
 @dataclass(slots=True)
-class LostMessage:
+class EndpointLostMessage:
     """An endpoint stopped answering."""
 
     link: EndpointLink
@@ -95,11 +95,11 @@
 
     job_id: str
     attempt: int
-    outcome: Launched
+    outcome: LaunchOutcome
 
 
 @dataclass(slots=True)
-class TakenMessage:
+class ReclaimedMessage:
     """A reclaim ended: the gang runs no more, or that is not known."""
 
     job_id: str
@@ -140,10 +140,10 @@
 Message = (
     SubmitMessage
     | CancelMessage
-    | NewsMessage
-    | LostMessage
+    | SyncMessage
+    | EndpointLostMessage
     | LaunchedMessage
-    | TakenMessage
+    | ReclaimedMessage
     | RequeueMessage
     | ResolvedMessage
     | ConfigureMessage
@@ -155,12 +155,12 @@
 class Hooks:
     """What a scheduler tells its owner.
 
-    :param deposed: another VM has a higher term, or the ledger is fenced.
+    :param on_leadership_lost: another VM has a higher term, or the ledger is fenced.
     :param verify: whether this VM still owns the cell; asked after a pause.
     :param announce: the cell's summary changed.
     """
 
-    deposed: Callable[[str], None]
+    on_leadership_lost: Callable[[str], None]
     verify: Callable[[str, int], Awaitable[bool]]
     announce: Callable[[], None]
 
--- a/src/saddlestack/services/gangs.py
+++ b/src/saddlestack/services/gangs.py
@@ -13,31 +13,31 @@
 from saddlestack.platform.endpoint import Op, TaskState, TaskStatus
 from saddlestack.policy.gang import Decision, Expire, Loss, Reclaim, ReclaimMethod, Start
 from saddlestack.services.cellstate import CellState
-from saddlestack.services.dispatch import Launched, LaunchOrder
+from saddlestack.services.dispatch import LaunchOrder, LaunchOutcome
 from saddlestack.services.entries import (
     JobEntry,
     LaunchedMessage,
+    ReclaimedMessage,
     RequeueMessage,
-    TakenMessage,
 )
 from saddlestack.services.groupcommit import Fenced
 from saddlestack.services.link import EndpointLink
-from saddlestack.services.output import whole_answer
+from saddlestack.services.output import verified_answer
 
 log = logging.getLogger("saddlestack.scheduler")
 
 COMMIT_WAIT_S = 5.0
-RELAUNCH_S = 0.25
-MAX_RELAUNCH_S = 5.0
-DAMAGED_TRIES = 5
+RELAUNCH_DELAY_S = 0.25
+MAX_RELAUNCH_DELAY_S = 5.0
+MAX_DAMAGED_ANSWERS = 5
 
 
 class Gangs(CellState):
     """Starts, watches and stops gangs as the policy decides and endpoints report."""
 
-    def _task_news(self, link: EndpointLink, status: TaskStatus) -> None:
+    def _handle_task_status(self, link: EndpointLink, status: TaskStatus) -> None:
         entry = self._entries.get(status.job)
-        if entry is None or self._evidence.open(status.job):
+        if entry is None or self._recovery.is_pending(status.job):
             return
         current = self._attempt(entry)
         active = status.state in {TaskState.PREPARED, TaskState.RUNNING}
@@ -45,22 +45,22 @@
             op = Op.STOP if active else Op.ACK
             if not (entry.record.state.final and not entry.durable and not active):
                 self.tasks.spawn(
-                    self._dispatch.take_back(status.job, status.attempt, [link.name], op)
+                    self._dispatch.stop_parts(status.job, status.attempt, [link.name], op)
                 )
             return
         if status.attempt != current or status.job not in self._policy.running:
             return
-        if active and not entry.launching and not self._stands_on(status.job, link.name):
+        if active and not entry.launching and not self._has_part_on(status.job, link.name):
             self.tasks.spawn(
-                self._dispatch.take_back(status.job, status.attempt, [link.name], Op.STOP)
+                self._dispatch.stop_parts(status.job, status.attempt, [link.name], Op.STOP)
             )
             return
         if status.state is TaskState.DONE:
             self._part_done(entry, link, status)
         elif status.state is TaskState.STOPPED and not entry.launching:
-            self._gang_broken(entry)
+            self._handle_stopped_part(entry)
 
-    def _stands_on(self, job_id: str, vm: str) -> bool:
+    def _has_part_on(self, job_id: str, vm: str) -> bool:
         """Whether a running gang has a part on a worker."""
         index = self._policy.resources.index[vm]
         return any(worker == index for worker, _ in self._policy.running[job_id].shares)
@@ -73,17 +73,17 @@
         gang = self._policy.running[status.job]
         leader = self._policy.resources.workers[gang.shares[0][0]].name
         if link.name == leader:
-            answer = whole_answer(status)
+            answer = verified_answer(status)
             if answer is None:
-                self._damaged(entry, link)
+                self._answer_damaged(entry, link)
                 return
             entry.answer = answer
-        entry.ended.add(link.name)
-        self._maybe_done(entry)
+        entry.done_vms.add(link.name)
+        self._finish_if_done(entry)
 
-    def _damaged(self, entry: JobEntry, link: EndpointLink) -> None:
+    def _answer_damaged(self, entry: JobEntry, link: EndpointLink) -> None:
         """An answer that is short, or another's: fetch it again, never pass it on."""
-        entry.damaged += 1
+        entry.damaged_answers += 1
         log.warning(
             "answer damaged",
             extra={
@@ -92,7 +92,7 @@
                 "endpoint": link.name,
             },
         )
-        if entry.damaged <= DAMAGED_TRIES:
+        if entry.damaged_answers <= MAX_DAMAGED_ANSWERS:
             link.resync()
             return
         self._policy.finished(entry.record.spec.job_id, self.clock.now())
@@ -100,13 +100,13 @@
             entry, JobState.UNKNOWN, ErrorKind.ANSWER_DAMAGED, "the answer never came whole"
         )
 
-    def _maybe_done(self, entry: JobEntry) -> None:
+    def _finish_if_done(self, entry: JobEntry) -> None:
         job_id = entry.record.spec.job_id
         gang = self._policy.running.get(job_id)
         if gang is None or entry.launching or entry.answer is None:
             return
         vms = {self._policy.resources.workers[w].name for w, _ in gang.shares}
-        if entry.ended >= vms:
+        if entry.done_vms >= vms:
             self._policy.finished(job_id, self.clock.now())
             entry.record.answer = entry.answer
             self._finish(entry, JobState.DONE)
@@ -119,7 +119,7 @@
             return
         up = link is not None and link.reachable
         told = (link is not None and link.leaving) or name in self._leaving
-        leaving = told or self._evidence.holds(name)
+        leaving = told or self._recovery.may_hold_parts(name)
         resources = self._policy.resources
         if resources.up[index] and not up:
             for loss in self._policy.vm_lost(name, self.clock.now()):
@@ -135,16 +135,16 @@
         entry = self._entries[loss.job_id]
         if entry.launching:
             self._policy.waiting.pop(loss.job_id, None)
-            entry.broken = True
+            entry.worker_lost = True
             return
         others = [part.vm for part in entry.record.parts if part.vm != vm]
-        self._take_back(entry, loss.attempt, others, Op.STOP)
+        self._stop_parts(entry, loss.attempt, others, Op.STOP)
         if loss.state is JobState.UNKNOWN:
             self._finish(entry, JobState.UNKNOWN, ErrorKind.OUTCOME_UNKNOWN, f"VM {vm} was lost")
         else:
             self._queued_again(entry)
 
-    def _gang_broken(self, entry: JobEntry) -> None:
+    def _handle_stopped_part(self, entry: JobEntry) -> None:
         """A part stopped by itself: stop the others, and queue again or give up."""
         job_id = entry.record.spec.job_id
         gang = self._policy.running.get(job_id)
@@ -153,17 +153,17 @@
         vms = [self._policy.resources.workers[w].name for w, _ in gang.shares]
         progress = gang.progress
         self._policy.cancel(job_id)
-        self._take_back(entry, gang.attempt, vms, Op.STOP)
-        self._after_break(entry, gang.attempt, progress)
+        self._stop_parts(entry, gang.attempt, vms, Op.STOP)
+        self._after_failed_attempt(entry, gang.attempt, progress)
 
-    def _after_break(self, entry: JobEntry, attempt: int, progress: float) -> None:
+    def _after_failed_attempt(self, entry: JobEntry, attempt: int, progress: float) -> None:
         entry.record.attempt = attempt
         if entry.record.spec.run_once:
             self._finish(
                 entry, JobState.UNKNOWN, ErrorKind.OUTCOME_UNKNOWN, "a part was lost as it ran"
             )
             return
-        self._queue_after_pause(entry, progress)
+        self._requeue_with_backoff(entry, progress)
 
     def _decide(self) -> None:
         if self.frozen or self._paused or not self.ready:
@@ -190,11 +190,11 @@
 
     def _launch(self, entry: JobEntry, start: Start) -> None:
         entry.launching = start.attempt
-        entry.ended.clear()
+        entry.done_vms.clear()
         entry.answer = None
         entry.record.parts = start.parts
         entry.record.attempt = start.attempt
-        waits = [task for part in start.parts for task in self._freeing.get(part.vm, ())]
+        waits = [task for part in start.parts for task in self._stopping.get(part.vm, ())]
         self._chain(entry, waits, self._launch_task(entry, start))
 
     async def _launch_task(self, entry: JobEntry, start: Start) -> None:
@@ -206,8 +206,8 @@
             start.resumed,
             lambda incarnations: self._commit_start(entry, incarnations),
         )
-        if entry.unconfirmed:
-            outcome = Launched.BROKEN
+        if entry.stop_unconfirmed:
+            outcome = LaunchOutcome.BROKEN
         else:
             outcome = await self._dispatch.launch(order)
         self._mailbox.put(LaunchedMessage(start.job_id, start.attempt, outcome))
@@ -219,10 +219,10 @@
         entry.record.state = JobState.STARTING
         entry.record.incarnations = incarnations
         entry.record.started = self.clock.wall()
-        kept = self._keep(entry)
+        persisted = self._persist(entry)
         try:
             async with asyncio.timeout(COMMIT_WAIT_S):
-                await asyncio.shield(kept)
+                await asyncio.shield(persisted)
         except (TimeoutError, Fenced):
             return False
         return True
@@ -232,50 +232,50 @@
         if entry.launching != message.attempt:
             return
         entry.launching = 0
-        if message.outcome is not Launched.NOT_STARTED:
+        if message.outcome is not LaunchOutcome.NOT_STARTED:
             entry.record.ever_started = True
-        if message.outcome is Launched.BROKEN and entry.record.spec.run_once:
-            self._give_up(entry, "a part of it did not start")
-        elif entry.broken or message.job_id not in self._policy.running:
-            self._launched_but_lost(entry, message)
-        elif message.outcome is Launched.STARTED:
+        if message.outcome is LaunchOutcome.BROKEN and entry.record.spec.run_once:
+            self._finish_unknown(entry, "a part of it did not start")
+        elif entry.worker_lost or message.job_id not in self._policy.running:
+            self._launched_after_loss(entry, message)
+        elif message.outcome is LaunchOutcome.STARTED:
             self._now_running(entry)
-        elif message.outcome is Launched.NOT_STARTED:
+        elif message.outcome is LaunchOutcome.NOT_STARTED:
             self._not_started(entry)
         else:
             progress = self._policy.running[message.job_id].progress
             self._policy.cancel(message.job_id)
-            self._after_break(entry, message.attempt, progress)
+            self._after_failed_attempt(entry, message.attempt, progress)
 
-    def _give_up(self, entry: JobEntry, reason: str) -> None:
+    def _finish_unknown(self, entry: JobEntry, reason: str) -> None:
         """Run-once work that may have run never starts again."""
         if self._in_policy(entry.record.spec.job_id):
             self._policy.cancel(entry.record.spec.job_id)
         self._finish(entry, JobState.UNKNOWN, ErrorKind.OUTCOME_UNKNOWN, reason)
 
     def _now_running(self, entry: JobEntry) -> None:
-        entry.failures = 0
+        entry.failed_starts = 0
         entry.record.state = JobState.RUNNING
         entry.record.started = self.clock.wall()
         if entry.cancelled:
             self._stop_cancelled(entry)
             return
-        self._keep(entry)
-        self._maybe_done(entry)
+        self._persist(entry)
+        self._finish_if_done(entry)
 
     def _not_started(self, entry: JobEntry) -> None:
         """Nothing ran: queue it again after a little."""
         job_id = entry.record.spec.job_id
         progress = self._policy.running[job_id].progress
         self._policy.cancel(job_id)
-        self._queue_after_pause(entry, progress)
+        self._requeue_with_backoff(entry, progress)
 
-    def _queue_after_pause(self, entry: JobEntry, progress: float) -> None:
+    def _requeue_with_backoff(self, entry: JobEntry, progress: float) -> None:
         """A start that failed is tried again, each time after a longer pause."""
         entry.record.progress = progress
-        entry.failures += 1
+        entry.failed_starts += 1
         self._queued_again(entry)
-        pause = min(MAX_RELAUNCH_S, RELAUNCH_S * 2.0 ** min(entry.failures - 1, 8))
+        pause = min(MAX_RELAUNCH_DELAY_S, RELAUNCH_DELAY_S * 2.0 ** min(entry.failed_starts - 1, 8))
         self.tasks.spawn(self._requeue_after(entry.record.spec.job_id, pause))
 
     async def _requeue_after(self, job_id: str, pause: float) -> None:
@@ -287,50 +287,52 @@
         if not entry.record.state.final and not self._in_policy(job_id):
             self._restore(entry, entry.record.progress)
 
-    def _launched_but_lost(self, entry: JobEntry, message: LaunchedMessage) -> None:
+    def _launched_after_loss(self, entry: JobEntry, message: LaunchedMessage) -> None:
         """A worker was lost, or the room reclaimed, while the gang was being launched."""
-        entry.broken = False
-        if message.outcome is Launched.NOT_STARTED:
+        entry.worker_lost = False
+        if message.outcome is LaunchOutcome.NOT_STARTED:
             if not self._in_policy(message.job_id):
-                self._queue_after_pause(entry, entry.record.progress)
+                self._requeue_with_backoff(entry, entry.record.progress)
             return
         if self._in_policy(message.job_id):
             return
         vms = [part.vm for part in entry.record.parts]
-        self._take_back(entry, message.attempt, vms, Op.STOP)
-        self._after_break(entry, message.attempt, entry.record.progress)
+        self._stop_parts(entry, message.attempt, vms, Op.STOP)
+        self._after_failed_attempt(entry, message.attempt, entry.record.progress)
 
     def _reclaim(self, entry: JobEntry, reclaim: Reclaim) -> None:
         op = Op.CHECKPOINT if reclaim.method is ReclaimMethod.CHECKPOINT else Op.STOP
         vms = [part.vm for part in entry.record.parts]
-        self._take_back(entry, reclaim.attempt, vms, op, report=True)
+        self._stop_parts(entry, reclaim.attempt, vms, op, report=True)
         entry.record.state = JobState.QUEUED
-        self._keep(entry)
+        self._persist(entry)
 
-    def _taken(self, message: TakenMessage) -> None:
+    def _reclaimed(self, message: ReclaimedMessage) -> None:
         entry = self._entries[message.job_id]
         gang = self._policy.waiting.get(message.job_id)
         if entry.record.state.final:
             return
         if not message.confirmed and entry.record.spec.run_once:
             if not entry.launching:
-                self._give_up(entry, "a part did not confirm that it stopped")
+                self._finish_unknown(entry, "a part did not confirm that it stopped")
             return
         if gang is not None:
             gang.progress = entry.record.progress
-        kept = self._keep(entry)
+        persisted = self._persist(entry)
         if message.confirmed:
-            self.tasks.spawn(self._acknowledge_when(kept, message))
+            self.tasks.spawn(self._acknowledge_when(persisted, message))
 
-    async def _acknowledge_when(self, kept: asyncio.Future[None], message: TakenMessage) -> None:
+    async def _acknowledge_when(
+        self, persisted: asyncio.Future[None], message: ReclaimedMessage
+    ) -> None:
         """Endpoints may forget a checkpoint once its progress is in the ledger."""
         with contextlib.suppress(Fenced):
-            await kept
+            await persisted
             await self._dispatch.acknowledge(message.job_id, message.attempt, message.vms)
 
     def _stop_cancelled(self, entry: JobEntry) -> None:
         """Stop a running job that its caller cancelled: parts of it ran."""
         vms = [part.vm for part in entry.record.parts]
         self._policy.cancel(entry.record.spec.job_id)
-        self._take_back(entry, entry.record.attempt, vms, Op.STOP)
+        self._stop_parts(entry, entry.record.attempt, vms, Op.STOP)
         self._finish(entry, JobState.UNKNOWN, ErrorKind.OUTCOME_UNKNOWN, "cancelled while it ran")
--- a/src/saddlestack/services/groupcommit.py
+++ b/src/saddlestack/services/groupcommit.py
@@ -34,7 +34,7 @@
 
 
 @dataclass(slots=True)
-class Written:
+class WriterStamp:
     """What a value in the store says of its writer."""
 
     writer: str
@@ -52,7 +52,7 @@
     :param build: the value to write now, given the sequence number to put into it.
     :param merge: takes in a value that somebody else wrote; raises :class:`Fenced` where
         that ends this writer.
-    :param written: reads writer and sequence out of a value.
+    :param read_stamp: reads writer and sequence out of a value.
     :param committed: told when the value built last is in the store.
     """
 
@@ -65,7 +65,7 @@
         *,
         build: Callable[[int], bytes],
         merge: Callable[[bytes], None],
-        written: Callable[[bytes], Written],
+        read_stamp: Callable[[bytes], WriterStamp],
         committed: Callable[[], None] | None = None,
         gather_s: float = GATHER_S,
     ) -> None:
@@ -76,7 +76,7 @@
         self._rng = rng
         self._build = build
         self._merge = merge
-        self._written = written
+        self._read_stamp = read_stamp
         self._committed = committed
         self._gather_s = gather_s
         self._round = _Round()
@@ -172,7 +172,7 @@
         if entry.version == self.version:
             return False
         if entry.version:
-            seen = self._written(entry.value)
+            seen = self._read_stamp(entry.value)
             if (seen.writer, seen.sequence) == (self._writer, self._sequence):
                 self.version = entry.version
                 return True
--- a/src/saddlestack/services/intake.py
+++ b/src/saddlestack/services/intake.py
@@ -124,7 +124,7 @@
 
     def _require_configuration(self) -> None:
         """A VM that just started knows no accounts yet: it can't tell who asks."""
-        if not self._configuration.known.is_set():
+        if not self._configuration.loaded.is_set():
             raise SaddlestackError(
                 ErrorKind.CELL_UNAVAILABLE, "this VM is starting; not run", retry_after=1
             )
@@ -235,9 +235,9 @@
                 raise
         if not spec.run_once:
             return cell, False
-        return await self._known_or_refused(spec), True
+        return await self._find_run_once(spec), True
 
-    async def _known_or_refused(self, spec: JobSpec) -> str:
+    async def _find_run_once(self, spec: JobSpec) -> str:
         """Run-once work without the store: only what some cell already knows is answered.
 
         :raises SaddlestackError: not run, where every cell says that it does not know it;
@@ -268,7 +268,7 @@
             while True:
                 left = self._allowed_wait(until)
                 try:
-                    view = await self._router.ask(cell, spec.job_id, min(left, 5.0))
+                    view = await self._router.get_job(cell, spec.job_id, min(left, 5.0))
                 except SaddlestackError as error:
                     if error.kind is not ErrorKind.NOT_FOUND:
                         raise
@@ -288,7 +288,7 @@
         wait = request.number("wait", 0.0, most=MAX_WAIT_S)
         until = self.clock.now() + wait
         while True:
-            view = await self._router.ask(cell, job_id, min(self._allowed_wait(until), 5.0))
+            view = await self._router.get_job(cell, job_id, min(self._allowed_wait(until), 5.0))
             if view.state.final or self._allowed_wait(until) <= 0:
                 return self._job_response(view)
 
@@ -417,7 +417,7 @@
     def _not_ready(self) -> str:
         if self._stop_at is not None:
             return "stopping"
-        if not self._configuration.known.is_set():
+        if not self._configuration.loaded.is_set():
             return "the configuration is not known yet"
         if not self._membership.cells():
             return "no cell is scheduled yet"
--- a/src/saddlestack/services/inventory.py
+++ b/src/saddlestack/services/inventory.py
@@ -51,7 +51,7 @@
         await super().stop()
         self._client.close()
 
-    def listen(self, listener: Callable[[], None]) -> None:
+    def subscribe(self, listener: Callable[[], None]) -> None:
         """Be told when the list changed."""
         self._listeners.append(listener)
 
@@ -78,9 +78,9 @@
         self.listed = any(vm.name == self._context.vm for vm in entries)
         membership = self._context.registry.get(names.MEMBERSHIP, Membership)
         for vm in entries:
-            membership.know(
+            membership.add_peer(
                 Peer(name=vm.name, data_hall=vm.data_hall, address=vm.address, port=vm.peer_port)
             )
-        membership.forget({vm.name for vm in entries})
+        membership.remove_unlisted({vm.name for vm in entries})
         for listener in self._listeners:
             listener()
--- a/src/saddlestack/services/ledger.py
+++ b/src/saddlestack/services/ledger.py
@@ -14,7 +14,7 @@
 from saddlestack.codec import from_json, to_json
 from saddlestack.models import Answer, JobSpec, JobState, JobView, Model, MutableModel, Part
 from saddlestack.platform.store import MAX_VALUE, StoreClient
-from saddlestack.services.groupcommit import Fenced, GroupCommit, Written
+from saddlestack.services.groupcommit import Fenced, GroupCommit, WriterStamp
 
 BUCKETS = 4
 FULL_BYTES = int(MAX_VALUE * 0.8)
@@ -98,7 +98,7 @@
             ledger.rng,
             build=self._build,
             merge=self._merge,
-            written=self._written,
+            read_stamp=self._read_stamp,
         )
 
     def _build(self, sequence: int) -> bytes:
@@ -116,9 +116,9 @@
         if other.term > self._ledger.term:
             raise Fenced(f"term {other.term} has written {self.commit.key}")
 
-    def _written(self, value: bytes) -> Written:
+    def _read_stamp(self, value: bytes) -> WriterStamp:
         other = from_json(value, BucketValue)
-        return Written(other.writer, other.sequence)
+        return WriterStamp(other.writer, other.sequence)
 
 
 class Ledger:
--- a/src/saddlestack/services/link.py
+++ b/src/saddlestack/services/link.py
@@ -33,7 +33,7 @@
 MAX_BATCH = 256
 
 
-class EndpointGone(Exception):
+class EndpointUnreachable(Exception):
     """The endpoint did not answer; the command may have been carried out."""
 
 
@@ -68,7 +68,7 @@
     """Keeps an endpoint's lease, hears its news and batches commands to it.
 
     :param revision: the configuration revision in force, asked for with each message.
-    :param on_news: told of each answer.
+    :param on_sync: told of each answer.
     :param on_lost: told once when the endpoint stopped answering.
     :param on_refused: told when the endpoint refuses the lease.
     """
@@ -82,7 +82,7 @@
         context: Context,
         *,
         revision: Callable[[], int],
-        on_news: Callable[[EndpointLink, SyncReply], None],
+        on_sync: Callable[[EndpointLink, SyncReply], None],
         on_lost: Callable[[EndpointLink], None],
         on_refused: Callable[[EndpointLink, SaddlestackError], None],
     ) -> None:
@@ -91,18 +91,18 @@
         self.incarnation = 0
         self.leaving = False
         self.reachable = False
-        self.first = asyncio.Event()
+        self.first_sync = asyncio.Event()
         self._client = client
         self._lease = lease
         self._context = context
         self._revision = revision
-        self._on_news = on_news
+        self._on_sync = on_sync
         self._on_lost = on_lost
         self._on_refused = on_refused
         self._after = -1
         self._resync = False
-        self._silent_since: float | None = None
-        self._told_lost = False
+        self._failing_since: float | None = None
+        self._is_lost = False
         self._queue: list[tuple[Command, asyncio.Future[CommandResult]]] = []
         self._sending = False
         self._breaker = Breaker()
@@ -117,7 +117,7 @@
     @property
     def lost(self) -> bool:
         """Whether the endpoint has not answered for so long that it counts as gone."""
-        return self._told_lost
+        return self._is_lost
 
     async def command(self, command: Command) -> CommandResult:
         """Send a command; commands that wait go in one request.
@@ -140,7 +140,7 @@
     async def close(self) -> None:
         """End; waiting commands fail."""
         await self._tasks.cancel()
-        self._fail(self._queue, EndpointGone("closed"))
+        self._fail(self._queue, EndpointUnreachable("closed"))
         self._client.close()
 
     # Commands
@@ -155,7 +155,7 @@
 
     async def _send(self, batch: list[tuple[Command, asyncio.Future[CommandResult]]]) -> None:
         if not self._breaker.allows(self._context.clock.now()):
-            self._fail(batch, EndpointGone(f"{self.name}: breaker open"))
+            self._fail(batch, EndpointUnreachable(f"{self.name}: breaker open"))
             return
         body = CommandsBody(
             self._lease.holder,
@@ -167,11 +167,11 @@
             reply = await self._client.command(body, COMMAND_TIMEOUT_S)
         except (NotSent, AnswerLost) as error:
             self._breaker.failed(self._context.clock.now())
-            self._fail(batch, EndpointGone(f"{self.name}: {error}"))
+            self._fail(batch, EndpointUnreachable(f"{self.name}: {error}"))
         except SaddlestackError as error:
             self._fail(batch, LeaseRefused(f"{self.name}: {error}"))
         except asyncio.CancelledError:
-            self._fail(batch, EndpointGone("closed"))
+            self._fail(batch, EndpointUnreachable("closed"))
             raise
         else:
             self._breaker.succeeded()
@@ -183,7 +183,7 @@
         results: tuple[CommandResult, ...],
     ) -> None:
         if len(results) != len(batch):
-            self._fail(batch, EndpointGone(f"{self.name}: {len(results)} results"))
+            self._fail(batch, EndpointUnreachable(f"{self.name}: {len(results)} results"))
             return
         for (_, future), result in zip(batch, results, strict=True):
             if not future.done():
@@ -205,7 +205,7 @@
                 reply = await self._sync()
             except (NotSent, AnswerLost):
                 failures += 1
-                self._note_silence()
+                self._record_failure()
                 await asyncio.sleep(retry_delay(failures, self._context.rng) + 0.1)
             except SaddlestackError as error:
                 failures += 1
@@ -229,30 +229,30 @@
         return await self._client.sync(body, wait + SYNC_SLACK_S)
 
     def _take(self, reply: SyncReply) -> None:
-        self._silent_since = None
-        self._told_lost = False
+        self._failing_since = None
+        self._is_lost = False
         self._breaker.succeeded()
         self.reachable = True
         self.incarnation = reply.incarnation
         self.leaving = reply.leaving
         self._after = -1 if self._resync and not reply.full else reply.sequence
         self._resync = self._resync and not reply.full
-        self._on_news(self, reply)
-        self.first.set()
+        self._on_sync(self, reply)
+        self.first_sync.set()
 
     def _refused(self, error: SaddlestackError) -> None:
         if error.kind in {ErrorKind.STALE_TERM, ErrorKind.STALE_REVISION}:
             self._on_refused(self, error)
         else:
-            self._note_silence()
+            self._record_failure()
 
-    def _note_silence(self) -> None:
+    def _record_failure(self) -> None:
         now = self._context.clock.now()
         self._after = -1
-        if self._silent_since is None:
-            self._silent_since = now
-        if now - self._silent_since >= LOST_AFTER_S and not self._told_lost:
-            self._told_lost = True
+        if self._failing_since is None:
+            self._failing_since = now
+        if now - self._failing_since >= LOST_AFTER_S and not self._is_lost:
+            self._is_lost = True
             self.reachable = False
             log.warning("endpoint lost", extra={"event": "endpoint_lost", "endpoint": self.name})
             self._on_lost(self)
--- a/src/saddlestack/services/membership.py
+++ b/src/saddlestack/services/membership.py
@@ -33,7 +33,7 @@
 
 BEAT_S = 1.0
 HALL_BEAT_S = 3.0
-SOON_S = 0.25
+SUMMARY_DELAY_S = 0.25
 """How soon a change of a cell's room is told; it may change many times a second."""
 SUSPECT_S = 2.5
 DEAD_S = 4.0
@@ -102,11 +102,11 @@
         self._wake = asyncio.Event()
         self.changed = asyncio.Event()
         self.port = 0
-        self._ended_bytes = 0
-        self._wanted: set[str] = set()
-        self._wanted_of = -1
-        self._told_halls = float("-inf")
-        self._soon = False
+        self._closed_bytes = 0
+        self._far_peers: set[str] = set()
+        self._far_peers_count = -1
+        self._hall_beat_sent_at = float("-inf")
+        self._is_beat_pending = False
 
     async def start(self) -> None:
         """Listen and begin to beat."""
@@ -114,7 +114,7 @@
         self._server = await asyncio.start_server(self._accept, peer.address, peer.port)
         self.port = self._server.sockets[0].getsockname()[1]
         for known in self._context.settings.peers:
-            self.know(known)
+            self.add_peer(known)
         self.tasks.spawn(self._beat_forever())
 
     async def stop(self) -> None:
@@ -134,7 +134,7 @@
 
     # What others ask
 
-    def know(self, peer: Peer) -> None:
+    def add_peer(self, peer: Peer) -> None:
         """Learn of another entry VM, or of its new address."""
         if peer.name == self._me.vm:
             return
@@ -145,13 +145,13 @@
             self._members[peer.name] = member
         member.address, member.port = peer.address, peer.port
 
-    def forget(self, listed: set[str]) -> None:
+    def remove_unlisted(self, listed: set[str]) -> None:
         """Drop members that are not alive and that the VM list no longer has."""
         for name, member in list(self._members.items()):
-            gone = member.health is Health.DEAD or self._not_judged(member)
+            gone = member.health is Health.DEAD or self._is_unmonitored(member)
             if gone and name not in listed:
                 del self._members[name]
-                self._wanted_of = -1
+                self._far_peers_count = -1
 
     def announce(self, beat: Beat) -> None:
         """Set what the next heartbeats say, and send one at once where it changed."""
@@ -165,16 +165,16 @@
         self._own = beat
         if urgent:
             self._wake.set()
-        elif not self._soon:
-            self._soon = True
-            asyncio.get_running_loop().call_later(SOON_S, self._wake.set)
+        elif not self._is_beat_pending:
+            self._is_beat_pending = True
+            asyncio.get_running_loop().call_later(SUMMARY_DELAY_S, self._wake.set)
 
     @property
     def bytes(self) -> int:
         """Bytes sent to other daemons and received from them."""
         links = [m.link for m in self._members.values() if m.link is not None]
         now = sum(link.stream.bytes_in + link.stream.bytes_out for link in links)
-        return self._ended_bytes + now
+        return self._closed_bytes + now
 
     @property
     def members(self) -> list[Member]:
@@ -189,7 +189,7 @@
         names_ = [
             member.name
             for member in self._members.values()
-            if (member.health in {Health.ALIVE, Health.SUSPECT} or self._not_judged(member))
+            if (member.health in {Health.ALIVE, Health.SUSPECT} or self._is_unmonitored(member))
             and (data_hall is None or member.data_hall == data_hall)
         ]
         if data_hall is None or data_hall == self._me.data_hall:
@@ -278,10 +278,10 @@
     def _wants_link(self, member: Member) -> bool:
         if member.data_hall == self._me.data_hall:
             return True
-        if len(self._members) != self._wanted_of:
-            self._wanted_of = len(self._members)
-            self._wanted = self._far_links()
-        return member.name in self._wanted
+        if len(self._members) != self._far_peers_count:
+            self._far_peers_count = len(self._members)
+            self._far_peers = self._far_links()
+        return member.name in self._far_peers
 
     def _far_links(self) -> set[str]:
         """The VMs of other halls to link to: a few a hall, by rendezvous."""
@@ -296,29 +296,29 @@
 
     async def _beat_forever(self) -> None:
         while True:
-            self._look_after_links()
-            self._judge()
+            self._restore_links()
+            self._update_health()
             try:
                 async with asyncio.timeout(BEAT_S):
                     await self._wake.wait()
             except TimeoutError:
                 pass
-            self._soon = False
+            self._is_beat_pending = False
             self._wake.clear()
             self._beat_all()
 
     def _beat_all(self) -> None:
         now = self.clock.now()
         far = self._own
-        if now - self._told_halls >= HALL_BEAT_S:
-            self._told_halls = now
+        if now - self._hall_beat_sent_at >= HALL_BEAT_S:
+            self._hall_beat_sent_at = now
             far = msgspec.structs.replace(self._own, hall=self._hall_cells())
         for member in self._members.values():
             if member.link is not None:
                 near = member.data_hall == self._me.data_hall
                 member.link.beat(self._own if near else far)
 
-    def _look_after_links(self) -> None:
+    def _restore_links(self) -> None:
         for member in self._members.values():
             linked = member.link is not None and not member.link.closed
             if not linked and self._wants_link(member) and member.name not in self._dialling:
@@ -338,7 +338,7 @@
                     return
                 dead = member.health is Health.DEAD
                 await self.clock.sleep(REDIAL_DEAD_S if dead else REDIAL_S)
-                self._judge()
+                self._update_health()
         finally:
             self._dialling.discard(member.name)
 
@@ -346,14 +346,14 @@
         try:
             reader, writer = await self._context.dialer.open(member.address, member.port)
         except OSError:
-            self._note_refused(member)
+            self._mark_broken(member)
             return
         stream = FrameStream(reader, writer)
         try:
             peer = await self._handshake.dial(stream)
         except (OSError, EOFError, SaddlestackError) as error:
             stream.close()
-            self._note_refused(member)
+            self._mark_broken(member)
             log.warning(
                 "handshake failed",
                 extra={"event": "handshake_failed", "peer": member.name, "reason": str(error)},
@@ -362,9 +362,9 @@
         if peer.vm != member.name:
             stream.close()
             return
-        self._adopt(peer, stream, None)
+        self._attach(peer, stream, None)
 
-    def _note_refused(self, member: Member) -> None:
+    def _mark_broken(self, member: Member) -> None:
         if member.broken is None:
             member.broken = self.clock.now()
 
@@ -381,11 +381,11 @@
             stream.close()
             self._writers.discard(writer)
             return
-        link = self._adopt(peer, stream, writer)
+        link = self._attach(peer, stream, writer)
         if link is None:
             stream.close()
 
-    def _adopt(
+    def _attach(
         self, peer: PeerName, stream: FrameStream, writer: asyncio.StreamWriter | None
     ) -> PeerLink | None:
         member = self._members.get(peer.vm)
@@ -400,9 +400,9 @@
             member.hall = ()
             member.leaving = False
         member.incarnation = peer.incarnation
-        link = PeerLink(peer, stream, self._rpc.serve, self._heard)
+        link = PeerLink(peer, stream, self._rpc.serve, self._handle_beat)
         member.link = link
-        self._hear(member)
+        self._mark_alive(member)
         link.beat(self._own)
         self.tasks.spawn(self._run_link(member, link, writer))
         return link
@@ -416,15 +416,15 @@
             if writer is not None:
                 self._writers.discard(writer)
         if member.link is link:
-            self._ended_bytes += link.stream.bytes_in + link.stream.bytes_out
+            self._closed_bytes += link.stream.bytes_in + link.stream.bytes_out
             member.link = None
             if member.broken is None:
                 member.broken = self.clock.now()
-            self._look_after_links()
+            self._restore_links()
 
     # Health
 
-    def _heard(self, link: PeerLink, beat: Beat) -> None:
+    def _handle_beat(self, link: PeerLink, beat: Beat) -> None:
         member = self._members.get(link.peer.vm)
         if member is None or member.incarnation != link.peer.incarnation:
             return
@@ -438,26 +438,26 @@
         member.cells = beat.cells
         if beat.hall is not None:
             member.hall = beat.hall
-        self._hear(member)
+        self._mark_alive(member)
         if changed:
             self.changed.set()
 
-    def _hear(self, member: Member) -> None:
+    def _mark_alive(self, member: Member) -> None:
         member.heard = self.clock.now()
         member.broken = None
         if member.health is not Health.ALIVE:
             self._set_health(member, Health.ALIVE)
 
-    def _not_judged(self, member: Member) -> bool:
+    def _is_unmonitored(self, member: Member) -> bool:
         """Whether nothing is expected of a VM: another hall's, without a link to it."""
         linked = member.link is not None and not member.link.closed
         far = member.data_hall != self._me.data_hall
         return far and not linked and not self._wants_link(member)
 
-    def _judge(self) -> None:
+    def _update_health(self) -> None:
         now = self.clock.now()
         for member in self._members.values():
-            if self._not_judged(member):
+            if self._is_unmonitored(member):
                 member.health = Health.UNKNOWN
                 continue
             if member.health is Health.DEAD:
--- a/src/saddlestack/services/output.py
+++ b/src/saddlestack/services/output.py
@@ -6,7 +6,7 @@
 from saddlestack.platform.endpoint import TaskStatus, digest_of
 
 
-def whole_answer(status: TaskStatus) -> Answer | None:
+def verified_answer(status: TaskStatus) -> Answer | None:
     """The answer of a finished leader part, or ``None`` where it is short or another's.
 
     :rtype: Answer | None
--- a/src/saddlestack/services/ownership.py
+++ b/src/saddlestack/services/ownership.py
@@ -64,26 +64,26 @@
         self._configuration = context.registry.get(names.CONFIGURATION, Configuration)
         self._inventory = context.registry.get(names.INVENTORY, Inventory)
         self._schedulers: dict[str, Scheduler] = {}
-        self._taking: set[str] = set()
+        self._takeovers: set[str] = set()
         self._terms: dict[str, int] = {}
         self._claims = 0
         self._started = 0.0
         self._sites: list[CellSite] = []
         self._sites_of: tuple[DataHall, ...] | None = None
         self.leaving = False
-        self._configuration.listen(self._configured)
-        self._inventory.listen(self._listed)
+        self._configuration.subscribe(self._configured)
+        self._inventory.subscribe(self._inventory_changed)
 
     async def start(self) -> None:
         """Begin to look after the hall's cells."""
         self._started = self.clock.now()
-        self.tasks.spawn(self._look_forever())
+        self.tasks.spawn(self._check_forever())
 
     async def stop(self) -> None:
         """Stop every scheduler, without handing over."""
         await super().stop()
         for scheduler in list(self._schedulers.values()):
-            self._forget(scheduler)
+            self._remove_scheduler(scheduler)
             await scheduler.stop()
 
     @property
@@ -97,7 +97,7 @@
         self.announce()
         for scheduler in list(self._schedulers.values()):
             await scheduler.hand_over(HAND_OVER_S)
-            self._forget(scheduler)
+            self._remove_scheduler(scheduler)
             await scheduler.stop()
         self.announce()
 
@@ -122,57 +122,57 @@
 
     # Looking after cells
 
-    async def _look_forever(self) -> None:
+    async def _check_forever(self) -> None:
         while True:
             await asyncio.sleep(CHECK_S)
-            self._remember_terms()
-            if self.leaving or not self._configuration.known.is_set():
+            self._record_terms()
+            if self.leaving or not self._configuration.loaded.is_set():
                 continue
-            if self._young() and not (self._inventory.listed and self._membership.settled()):
+            if self._is_starting() and not (self._inventory.listed and self._membership.settled()):
                 continue
             for site in self.sites():
-                self._look_after(site)
+                self._check_cell(site)
             self.announce()
 
-    def _young(self) -> bool:
+    def _is_starting(self) -> bool:
         return self.clock.now() - self._started < SETTLE_S
 
-    def _remember_terms(self) -> None:
+    def _record_terms(self) -> None:
         for member in self._membership.members:
             for beat in member.cells:
                 self._terms[beat.cell] = max(self._terms.get(beat.cell, 0), beat.term)
 
-    def _look_after(self, site: CellSite) -> None:
+    def _check_cell(self, site: CellSite) -> None:
         cell = site.plan.name
-        if cell in self._taking:
+        if cell in self._takeovers:
             return
         mine = self._schedulers.get(cell)
         if mine is not None:
             if mine.interim and self._store.available:
-                self._begin_taking(site)
+                self._begin_takeover(site)
             elif self._outranked(mine):
-                self._deposed(cell)
+                self._drop_cell(cell)
             return
         owner = self._membership.owner(cell)
         first = rendezvous(cell, self._membership.candidates())[:1]
         if owner is None and first == [self._context.vm]:
-            self._begin_taking(site)
+            self._begin_takeover(site)
 
     def _outranked(self, mine: Scheduler) -> bool:
         owner = self._membership.owner(mine.cell)
         return owner is not None and owner.vm != self._context.vm and owner.beat.term > mine.term
 
-    def _begin_taking(self, site: CellSite) -> None:
-        self._taking.add(site.plan.name)
-        self.tasks.spawn(self._take_and_note(site))
+    def _begin_takeover(self, site: CellSite) -> None:
+        self._takeovers.add(site.plan.name)
+        self.tasks.spawn(self._run_takeover(site))
 
-    async def _take_and_note(self, site: CellSite) -> None:
+    async def _run_takeover(self, site: CellSite) -> None:
         try:
-            await self._take(site)
+            await self._take_over(site)
         finally:
-            self._taking.discard(site.plan.name)
+            self._takeovers.discard(site.plan.name)
 
-    async def _take(self, site: CellSite) -> None:
+    async def _take_over(self, site: CellSite) -> None:
         cell = site.plan.name
         began = self.clock.now()
         try:
@@ -181,7 +181,7 @@
             await asyncio.sleep(CHECK_S)
             return
         except StoreUnavailable:
-            await self._take_for_the_interim(site)
+            await self._serve_interim(site)
             return
         inherited = await self._end_interim(cell)
         ledger = self._ledger(cell, term)
@@ -221,7 +221,7 @@
                 raise VersionMoved from None
         return mine.term
 
-    async def _take_for_the_interim(self, site: CellSite) -> None:
+    async def _serve_interim(self, site: CellSite) -> None:
         """The store is down: serve from memory under the last known term."""
         cell = site.plan.name
         term = self._terms.get(cell, 0)
@@ -239,7 +239,7 @@
         if interim is None:
             return []
         records = interim.records()
-        self._forget(interim)
+        self._remove_scheduler(interim)
         await interim.stop()
         return records
 
@@ -264,7 +264,7 @@
             term,
             self._configuration.document,
             ledger,
-            Hooks(self._deposed, self._verify, self.announce),
+            Hooks(self._drop_cell, self._verify, self.announce),
             inherited,
         )
         self._schedulers[cell] = scheduler
@@ -273,14 +273,14 @@
         await scheduler.start()
         self.announce()
 
-    def _deposed(self, cell: str) -> None:
+    def _drop_cell(self, cell: str) -> None:
         scheduler = self._schedulers.get(cell)
         if scheduler is not None:
-            self._forget(scheduler)
+            self._remove_scheduler(scheduler)
             self.tasks.spawn(scheduler.stop())
             self.announce()
 
-    def _forget(self, scheduler: Scheduler) -> None:
+    def _remove_scheduler(self, scheduler: Scheduler) -> None:
         if self._schedulers.get(scheduler.cell) is scheduler:
             del self._schedulers[scheduler.cell]
             self._context.registry.remove(scheduler.name)
@@ -304,12 +304,12 @@
         for scheduler in list(self._schedulers.values()):
             site = known.get(scheduler.cell)
             if site is None or site != scheduler.site:
-                self._deposed(scheduler.cell)
+                self._drop_cell(scheduler.cell)
             else:
                 scheduler.configure(document, self._leaving_vms())
         self.announce()
 
-    def _listed(self) -> None:
+    def _inventory_changed(self) -> None:
         for scheduler in self._schedulers.values():
             self._connect(scheduler)
 
--- a/src/saddlestack/services/router.py
+++ b/src/saddlestack/services/router.py
@@ -38,12 +38,12 @@
 SUBMIT_TIMEOUT_S = 6.0
 ASK_SLACK_S = 4.0
 ASK_CHUNK_S = 20.0
-OWNER_PATIENCE_S = 15.0
-MOVED = frozenset({ErrorKind.CELL_UNAVAILABLE, ErrorKind.STOPPING})
+OWNER_TIMEOUT_S = 15.0
+MOVED_KINDS = frozenset({ErrorKind.CELL_UNAVAILABLE, ErrorKind.STOPPING})
 
 
 @dataclass(slots=True)
-class Patience:
+class RetryState:
     """How long a call may look for a cell's scheduler, and what it met.
 
     :param failed: VM and term of the scheduler that was tried last.
@@ -116,7 +116,7 @@
         body = Submit(cell, spec, claimed)
         return await self._call(cell, "submit", body, JobView, SUBMIT_TIMEOUT_S)
 
-    async def ask(self, cell: str, job_id: str, wait_s: float) -> JobView:
+    async def get_job(self, cell: str, job_id: str, wait_s: float) -> JobView:
         """A job's state, waiting up to ``wait_s`` for its end, across take-overs.
 
         :raises SaddlestackError: not known, or its scheduler can't be reached.
@@ -141,7 +141,9 @@
         """Jobs of an account in every cell that answers, newest first."""
         replies = await asyncio.gather(
             *(
-                self._quietly(owner.vm, "list", ListJobs(owner.beat.cell, account, limit), JobList)
+                self._call_or_none(
+                    owner.vm, "list", ListJobs(owner.beat.cell, account, limit), JobList
+                )
                 for owner in self._membership.cells()
             )
         )
@@ -152,7 +154,9 @@
         """The state of every cell that answers."""
         replies = await asyncio.gather(
             *(
-                self._quietly(owner.vm, "status", CellStatusRequest(owner.beat.cell), CellStatus)
+                self._call_or_none(
+                    owner.vm, "status", CellStatusRequest(owner.beat.cell), CellStatus
+                )
                 for owner in self._membership.cells()
             )
         )
@@ -165,7 +169,7 @@
         """
         owners = self._membership.cells()
         answers = await asyncio.gather(
-            *(self._knows(owner.vm, owner.beat.cell, job_id) for owner in owners)
+            *(self._has_job(owner.vm, owner.beat.cell, job_id) for owner in owners)
         )
         found = next((o.beat.cell for o, a in zip(owners, answers, strict=True) if a), None)
         document = self._configuration.document
@@ -173,7 +177,7 @@
         heard = {o.beat.cell for o, a in zip(owners, answers, strict=True) if a is not None}
         return found, heard >= configured
 
-    async def _knows(self, vm: str, cell: str, job_id: str) -> bool | None:
+    async def _has_job(self, vm: str, cell: str, job_id: str) -> bool | None:
         """Whether a scheduler knows a job; ``None`` where it does not answer."""
         try:
             await self._membership.call(vm, "ask", Ask(cell, job_id, 0.0), JobView, ASK_SLACK_S)
@@ -183,7 +187,7 @@
             return False if error.kind is ErrorKind.NOT_FOUND else None
         return True
 
-    async def _quietly(self, vm: str, method: str, body: object, reply: type[T]) -> T | None:
+    async def _call_or_none(self, vm: str, method: str, body: object, reply: type[T]) -> T | None:
         try:
             return await self._membership.call(vm, method, body, reply, ASK_SLACK_S)
         except (LinkLost, SaddlestackError):
@@ -193,31 +197,31 @@
         self, cell: str, method: str, body: object, reply: type[T], timeout: float
     ) -> T:
         """Call a cell's scheduler, following it when it moves."""
-        patience = Patience(self.clock.now() + OWNER_PATIENCE_S)
+        retries = RetryState(self.clock.now() + OWNER_TIMEOUT_S)
         self._budget.record_first_try()
         while True:
             owner = self._membership.owner(cell)
-            if owner is not None and self._may_try(owner, patience):
+            if owner is not None and self._may_try(owner, retries):
                 try:
                     return await self._membership.call(owner.vm, method, body, reply, timeout)
                 except LinkLost:
-                    patience.lost = True
+                    retries.lost = True
                 except SaddlestackError as error:
-                    if error.kind not in MOVED:
+                    if error.kind not in MOVED_KINDS:
                         raise
-                patience.failed = (owner.vm, owner.beat.term)
-                patience.attempt += 1
-            if self.clock.now() >= patience.until:
-                raise self._gave_up(cell, patience)
-            await asyncio.sleep(0.05 + retry_delay(min(patience.attempt, 3), self._context.rng))
+                retries.failed = (owner.vm, owner.beat.term)
+                retries.attempt += 1
+            if self.clock.now() >= retries.until:
+                raise self._timeout_error(cell, retries)
+            await asyncio.sleep(0.05 + retry_delay(min(retries.attempt, 3), self._context.rng))
 
-    def _may_try(self, owner: OwnedCell, patience: Patience) -> bool:
+    def _may_try(self, owner: OwnedCell, retries: RetryState) -> bool:
         """A cell that moved is always tried; the same scheduler again only within the budget."""
-        again = patience.failed == (owner.vm, owner.beat.term)
+        again = retries.failed == (owner.vm, owner.beat.term)
         return not again or self._budget.retry(self.clock.now())
 
-    def _gave_up(self, cell: str, patience: Patience) -> SaddlestackError:
-        if patience.lost:
+    def _timeout_error(self, cell: str, retries: RetryState) -> SaddlestackError:
+        if retries.lost:
             return SaddlestackError(
                 ErrorKind.OUTCOME_UNKNOWN,
                 f"the scheduler of cell {cell} did not answer; ask again under the same request",
@@ -243,7 +247,7 @@
         return await self._scheduler(body.cell).submit(body.spec)
 
     async def _serve_ask(self, body: Ask) -> JobView:
-        return await self._scheduler(body.cell).ask(body.job_id, body.wait_s)
+        return await self._scheduler(body.cell).get_job(body.job_id, body.wait_s)
 
     async def _serve_cancel(self, body: CancelJob) -> JobView:
         return await self._scheduler(body.cell).cancel(body.job_id)
--- a/src/saddlestack/services/scheduler.py
+++ b/src/saddlestack/services/scheduler.py
@@ -22,15 +22,15 @@
 from saddlestack.services.entries import (
     CancelMessage,
     ConfigureMessage,
+    EndpointLostMessage,
     JobEntry,
     LaunchedMessage,
-    LostMessage,
     Message,
-    NewsMessage,
+    ReclaimedMessage,
     RequeueMessage,
     ResolvedMessage,
     SubmitMessage,
-    TakenMessage,
+    SyncMessage,
     TickMessage,
     answer,
     refuse,
@@ -65,10 +65,10 @@
         if self._ledger is not None:
             await self._ledger.close()
         for entry in self._entries.values():
-            self._wake(entry)
-        self._turn_away()
+            self._notify_waiters(entry)
+        self._reject_pending()
 
-    def _turn_away(self) -> None:
+    def _reject_pending(self) -> None:
         """Requests that were never looked at were truly not taken in."""
         error = SaddlestackError(
             ErrorKind.CELL_UNAVAILABLE, f"cell {self.cell} moved", retry_after=1
@@ -101,8 +101,8 @@
             self._lease,
             self._context,
             revision=lambda: self._document.revision,
-            on_news=lambda link, reply: self._mailbox.put(NewsMessage(link, reply)),
-            on_lost=lambda link: self._mailbox.put(LostMessage(link)),
+            on_sync=lambda link, reply: self._mailbox.put(SyncMessage(link, reply)),
+            on_lost=lambda link: self._mailbox.put(EndpointLostMessage(link)),
             on_refused=self._lease_refused,
         )
 
@@ -119,17 +119,17 @@
         reply: asyncio.Future[JobEntry] = asyncio.get_running_loop().create_future()
         self._mailbox.put(SubmitMessage(spec, reply))
         entry = await reply
-        await self._until_kept(entry)
+        await self._wait_persisted(entry)
         return entry.view()
 
-    async def ask(self, job_id: str, wait_s: float) -> JobView:
+    async def get_job(self, job_id: str, wait_s: float) -> JobView:
         """Tell of a job, waiting until it is final or time is up.
 
         :raises SaddlestackError: there is no such job here.
         """
         self._require_open()
         entry = self._entries.get(job_id)
-        if entry is None and not self._heard_all():
+        if entry is None and not self._has_complete_state():
             raise SaddlestackError(
                 ErrorKind.CELL_UNAVAILABLE,
                 f"cell {self.cell} is served without the store and has not heard every endpoint",
@@ -153,7 +153,7 @@
                 raise SaddlestackError(
                     ErrorKind.CELL_UNAVAILABLE, f"cell {self.cell} moved", retry_after=1
                 )
-        await self._until_kept(entry)
+        await self._wait_persisted(entry)
         return entry.view()
 
     def _require_open(self) -> None:
@@ -171,7 +171,7 @@
         reply: asyncio.Future[JobEntry] = asyncio.get_running_loop().create_future()
         self._mailbox.put(CancelMessage(job_id, reply))
         entry = await reply
-        await self._until_kept(entry)
+        await self._wait_persisted(entry)
         return entry.view()
 
     def jobs(self, account: str | None, limit: int) -> tuple[JobView, ...]:
@@ -234,7 +234,7 @@
         try:
             await self._recover()
         except Fenced as error:
-            self._depose(str(error))
+            self._step_down(str(error))
             return
         self._last_tick = self.clock.now()
         self.tasks.spawn(self._tick())
@@ -253,7 +253,7 @@
                     break
                 message = following
             self._decide()
-            self._tell()
+            self._publish_summary()
 
     async def _tick(self) -> None:
         while True:
@@ -265,15 +265,15 @@
             self._submit(message)
         elif isinstance(message, CancelMessage):
             self._cancel(message)
-        elif isinstance(message, NewsMessage):
-            self._news(message.link, message.reply)
-        elif isinstance(message, LostMessage):
-            self._evidence.lost(message.link.name)
+        elif isinstance(message, SyncMessage):
+            self._handle_sync(message.link, message.reply)
+        elif isinstance(message, EndpointLostMessage):
+            self._recovery.discard_listing(message.link.name)
             self._refresh_vm(message.link.name)
         elif isinstance(message, LaunchedMessage):
             self._launched(message)
-        elif isinstance(message, TakenMessage):
-            self._taken(message)
+        elif isinstance(message, ReclaimedMessage):
+            self._reclaimed(message)
         elif isinstance(message, RequeueMessage):
             self._requeue(message.job_id)
         elif isinstance(message, ResolvedMessage):
@@ -302,7 +302,7 @@
             self._paused = False
             self._last_tick = self.clock.now()
         else:
-            self._depose("another VM took the cell during a pause")
+            self._step_down("another VM took the cell during a pause")
 
     def _lease_refused(self, link: EndpointLink, error: SaddlestackError) -> None:
         if error.kind is ErrorKind.STALE_TERM and not self.interim and not self._paused:
@@ -330,7 +330,7 @@
         record = JobRecord(spec=spec, cell=self.cell, submitted=self.clock.wall())
         entry = JobEntry(record)
         self._entries[spec.job_id] = entry
-        self._keep(entry)
+        self._persist(entry)
         answer(message.reply, entry)
 
     def _refusal(self, spec: JobSpec) -> SaddlestackError | None:
@@ -382,7 +382,7 @@
         for name in self._policy.resources.index:
             self._refresh_vm(name)
 
-    def _tell(self) -> None:
+    def _publish_summary(self) -> None:
         beat = self.beat()
         if beat != self._beat:
             self._beat = beat
--- a/src/saddlestack/services/takeover.py
+++ b/src/saddlestack/services/takeover.py
@@ -12,15 +12,15 @@
 from saddlestack.platform.endpoint import Op, SyncReply, TaskStatus
 from saddlestack.platform.store import StoreUnavailable
 from saddlestack.policy.retry import retry_delay
-from saddlestack.services.cellstate import RECOVER_S
+from saddlestack.services.cellstate import RECOVERY_TIMEOUT_S
 from saddlestack.services.entries import (
     JobEntry,
     ResolvedMessage,
 )
-from saddlestack.services.evidence import Finding, Verdict
 from saddlestack.services.gangs import Gangs
 from saddlestack.services.ledger import JobRecord
 from saddlestack.services.link import EndpointLink
+from saddlestack.services.recovery import GangCondition, RecoveryResult
 
 LEDGER_RETRY_S = 0.5
 
@@ -28,29 +28,29 @@
 class Takeover(Gangs):
     """Rebuilds a cell's state from its ledger and from what its endpoints list."""
 
-    def _news(self, link: EndpointLink, reply: SyncReply) -> None:
+    def _handle_sync(self, link: EndpointLink, reply: SyncReply) -> None:
         if self._links.get(link.name) is not link:
             return
         if reply.full:
-            self._full_news(link, reply)
+            self._handle_full_sync(link, reply)
         for status in reply.tasks:
-            self._task_news(link, status)
+            self._handle_task_status(link, status)
         self._refresh_vm(link.name)
 
-    def _full_news(self, link: EndpointLink, reply: SyncReply) -> None:
+    def _handle_full_sync(self, link: EndpointLink, reply: SyncReply) -> None:
         """Everything an endpoint has: what it lacks of a running gang is gone."""
         here = {(status.job, status.attempt) for status in reply.tasks}
-        self._evidence.heard(link.name, reply)
+        self._recovery.record_listing(link.name, reply)
         for status in reply.tasks:
             if status.job not in self._entries and status.spec is not None:
-                self._unknown_task(status)
+                self._add_unknown_task(status)
         for gang in list(self._policy.gangs_on()[self._policy.resources.index[link.name]].values()):
             entry = self._entries[gang.job_id]
             if (gang.job_id, gang.attempt) not in here and not entry.launching:
-                self._gang_broken(entry)
+                self._handle_stopped_part(entry)
         self._resolve_ready()
 
-    def _unknown_task(self, status: TaskStatus) -> None:
+    def _add_unknown_task(self, status: TaskStatus) -> None:
         """A task that this scheduler never heard of, from before a take-over."""
         if status.spec is None:
             return
@@ -63,7 +63,7 @@
             submitted=self.clock.wall(),
         )
         self._entries[status.job] = JobEntry(record)
-        self._evidence.expect(status.job, status.parts, self.clock.now() + self._patience())
+        self._recovery.add(status.job, status.parts, self.clock.now() + self._recovery_timeout())
 
     async def _recover(self) -> None:
         records = await self._read_ledger()
@@ -74,7 +74,7 @@
         for name in self._policy.resources.index:
             self._policy.vm_lost(name, self.clock.now())
         self._restore_records(records.values())
-        await self._hear_endpoints()
+        await self._wait_for_endpoints()
 
     async def _read_ledger(self) -> dict[str, JobRecord]:
         if self._ledger is None:
@@ -88,56 +88,56 @@
                 attempt += 1
 
     def _restore_records(self, records: Iterable[JobRecord]) -> None:
-        until = self.clock.now() + self._patience()
+        until = self.clock.now() + self._recovery_timeout()
         for record in sorted(records, key=lambda record: record.submitted):
             entry = JobEntry(record)
             self._entries[record.spec.job_id] = entry
             if self._ledger is not None:
-                kept: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-                kept.set_result(None)
-                entry.kept = kept
+                persisted: asyncio.Future[None] = asyncio.get_running_loop().create_future()
+                persisted.set_result(None)
+                entry.persisted = persisted
             if record.state.final:
                 continue
             vms = tuple(part.vm for part in record.parts)
-            self._evidence.expect(record.spec.job_id, vms, until)
+            self._recovery.add(record.spec.job_id, vms, until)
 
-    async def _hear_endpoints(self) -> None:
-        until = self.clock.now() + RECOVER_S
+    async def _wait_for_endpoints(self) -> None:
+        until = self.clock.now() + RECOVERY_TIMEOUT_S
         while self.clock.now() < until:
             links = list(self._links.values())
             if len(links) == len(self._policy.resources.index) and all(
-                link.first.is_set() for link in links
+                link.first_sync.is_set() for link in links
             ):
                 break
             await asyncio.sleep(0.02)
 
     def _resolve_ready(self) -> None:
-        for job_id in self._evidence.complete():
+        for job_id in self._recovery.ready_jobs():
             self._resolve(job_id)
 
     def _resolve_late(self) -> None:
-        for job_id in self._evidence.overdue(self.clock.now()):
+        for job_id in self._recovery.overdue(self.clock.now()):
             self._resolve(job_id)
 
     def _resolve(self, job_id: str) -> None:
         """Decide what became of a job that was in hand before the take-over."""
         entry = self._entries[job_id]
         written = entry.record.attempt
-        finding = self._evidence.judge(job_id, written)
-        entry.record.attempt = finding.attempt
-        if finding.verdict is Verdict.RUNNING:
-            self._adopt(entry, finding)
-        elif finding.verdict is Verdict.NEVER_SENT and entry.record.state is JobState.QUEUED:
+        result = self._recovery.resolve(job_id, written)
+        entry.record.attempt = result.attempt
+        if result.condition is GangCondition.RUNNING:
+            self._adopt(entry, result)
+        elif result.condition is GangCondition.NEVER_SENT and entry.record.state is JobState.QUEUED:
             self._restore(entry, entry.record.progress)
         else:
-            self._take_apart(entry, finding.vms, finding.verdict, written)
-        for vm in finding.vms:
+            self._stop_remaining(entry, result.vms, result.condition, written)
+        for vm in result.vms:
             self._refresh_vm(vm)
 
-    def _adopt(self, entry: JobEntry, finding: Finding) -> None:
+    def _adopt(self, entry: JobEntry, result: RecoveryResult) -> None:
         """Take a gang that runs, or has just ended, into this scheduler's hands."""
         record = entry.record
-        parts = finding.parts
+        parts = result.parts
         for part in parts:
             self._refresh_vm(part.vm)
         record.parts = parts
@@ -153,20 +153,20 @@
             attempt=record.attempt,
             progress=record.progress,
         )
-        self._keep(entry)
-        for vm, status in finding.done:
+        self._persist(entry)
+        for vm, status in result.done:
             link = self._links.get(vm)
             if link is not None and status.job in self._policy.running:
                 self._part_done(entry, link, status)
 
-    def _take_apart(
-        self, entry: JobEntry, vms: tuple[str, ...], verdict: Verdict, written: int
+    def _stop_remaining(
+        self, entry: JobEntry, vms: tuple[str, ...], condition: GangCondition, written: int
     ) -> None:
         """Stop what is left of a gang; the answers say whether anything ran."""
-        self._chain(entry, [], self._take_apart_task(entry, vms, verdict, written))
+        self._chain(entry, [], self._stop_remaining_task(entry, vms, condition, written))
 
-    async def _take_apart_task(
-        self, entry: JobEntry, vms: tuple[str, ...], verdict: Verdict, written: int
+    async def _stop_remaining_task(
+        self, entry: JobEntry, vms: tuple[str, ...], condition: GangCondition, written: int
     ) -> None:
         """Stop what is left, and find out whether anything of it ran.
 
@@ -176,7 +176,7 @@
         record = entry.record
         was_written = record.state in {JobState.STARTING, JobState.RUNNING}
         moved_on = record.ever_started or (was_written and record.attempt > written)
-        taken = await self._dispatch.take_back(
+        taken = await self._dispatch.stop_parts(
             record.spec.job_id,
             record.attempt,
             vms,
@@ -184,8 +184,8 @@
             record.incarnations if len(record.incarnations) == len(vms) else (),
         )
         proven = taken.never_started and bool(vms) and bool(record.incarnations)
-        untouched = (verdict is Verdict.NEVER_SENT or proven) and not moved_on
-        saved = verdict is Verdict.CHECKPOINTED and taken.confirmed
+        untouched = (condition is GangCondition.NEVER_SENT or proven) and not moved_on
+        saved = condition is GangCondition.CHECKPOINTED and taken.confirmed
         if record.spec.run_once and not untouched and not saved:
             state = JobState.UNKNOWN
         else:
@@ -205,8 +205,8 @@
         else:
             self._restore(entry, message.progress)
 
-    def _heard_all(self) -> bool:
+    def _has_complete_state(self) -> bool:
         """Whether what this scheduler does not know is not there: always with a ledger."""
         if not self.interim:
             return True
-        return all(link.first.is_set() or link.lost for link in self._links.values())
+        return all(link.first_sync.is_set() or link.lost for link in self._links.values())
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -13,7 +13,7 @@
     VersionMoved,
     WriteInDoubt,
 )
-from saddlestack.services.groupcommit import Fenced, GroupCommit, Written
+from saddlestack.services.groupcommit import Fenced, GroupCommit, WriterStamp
 from saddlestack.standins.loop import run
 from saddlestack.standins.store import StandinStore
 from tests import support as support
@@ -119,7 +119,7 @@
             random.Random(1),
             build=self.build,
             merge=self.merge,
-            written=self.written,
+            read_stamp=self.written,
         )
 
     def build(self, sequence: int) -> bytes:
@@ -132,9 +132,9 @@
             raise Fenced("a higher term has written")
         self.words = sorted({*self.words, *other["words"]})
 
-    def written(self, value: bytes) -> Written:
+    def written(self, value: bytes) -> WriterStamp:
         other = json.loads(value)
-        return Written(other["w"], other["s"])
+        return WriterStamp(other["w"], other["s"])
 
     def add(self, word: str) -> asyncio.Future[None]:
         self.words.append(word)
