--- a/src/saddlestack/services/cellstate.py
+++ b/src/saddlestack/services/cellstate.py
@@ -1,4 +1,4 @@
-"""The state of a cell's scheduler, and the steps that all its parts share."""
+"""The state of a cell's scheduler, and operations that its subclasses share."""
 
 from __future__ import annotations
 
@@ -25,26 +25,27 @@
     Hooks,
     JobEntry,
     Message,
-    TakenMessage,
+    ReclaimedMessage,
 )
-from saddlestack.services.evidence import Evidence
 from saddlestack.services.groupcommit import Fenced
 from saddlestack.services.ledger import JobRecord, Ledger
 from saddlestack.services.link import EndpointLink, Lease, lease_for
+from saddlestack.services.recovery import RecoveryTracker
 from saddlestack.wire.messages import CellBeat
 
 log = logging.getLogger("saddlestack.scheduler")
 
 REPLY_WAIT_S = 1.5
-RECOVER_S = 1.5
+RECOVERY_TIMEOUT_S = 1.5
 
 
 class CellState(Service):
-    """What a scheduler knows of its cell: policy, jobs, endpoints, ledger.
+    """A scheduler's view of its cell: policy, jobs, endpoint links and ledger.
 
     :param ledger: the cell's ledger, or ``None`` while the store is down and the cell is
         served from memory.
-    :param inherited: records from an earlier, ledgerless time of this VM.
+    :param inherited: records of this VM's earlier scheduler that served the cell without a
+        ledger.
     """
 
     def __init__(
@@ -74,8 +75,8 @@
         self._links: dict[str, EndpointLink] = {}
         self._lease = self._new_lease()
         self._dispatch = Dispatch(self._links, self.clock.now)
-        self._freeing: dict[str, set[asyncio.Task[None]]] = {}
-        self._evidence = Evidence(self._policy.resources.index)
+        self._stopping: dict[str, set[asyncio.Task[None]]] = {}
+        self._recovery = RecoveryTracker(self._policy.resources.index)
         self._leaving: frozenset[str] = frozenset()
         self._paused = False
         self._last_tick = 0.0
@@ -93,16 +94,16 @@
         return sum(link.bytes for link in self._links.values())
 
     def records(self) -> list[JobRecord]:
-        """Every record, for the scheduler that follows in this VM."""
+        """Every job record, for the next scheduler of the cell in this VM."""
         return [entry.record for entry in self._entries.values()]
 
-    def _depose(self, reason: str) -> None:
+    def _step_down(self, reason: str) -> None:
         log.warning(
-            "deposed",
+            "leadership lost",
             extra={"event": "deposed", "cell": self.cell, "term": self.term, "reason": reason},
         )
         self.frozen = True
-        self._hooks.deposed(self.cell)
+        self._hooks.on_leadership_lost(self.cell)
 
     def _finish(
         self,
@@ -111,13 +112,13 @@
         kind: ErrorKind | None = None,
         message: str | None = None,
     ) -> None:
-        """Give a job its final state, keep it, then let callers and endpoints know."""
+        """Set a job's final state and persist it, then notify callers and endpoints."""
         record = entry.record
         record.state = state
         record.finished = self.clock.wall()
         record.error = None if kind is None else kind.value
         record.message = message
-        kept = self._keep(entry)
+        persisted = self._persist(entry)
         log.info(
             "job ended",
             extra={
@@ -128,10 +129,10 @@
                 "term": self.term,
             },
         )
-        self.tasks.spawn(self._conclude(entry, kept))
+        self.tasks.spawn(self._notify_and_acknowledge(entry, persisted))
 
     def _finish_cancelled(self, entry: JobEntry) -> None:
-        """A cancelled job is "not run" only where no attempt of it ever ran."""
+        """Finish a cancelled job; it is reported as not run only if no attempt ever ran."""
         if entry.record.ever_started:
             self._finish(
                 entry, JobState.UNKNOWN, ErrorKind.OUTCOME_UNKNOWN, "cancelled; a part of it ran"
@@ -139,42 +140,44 @@
         else:
             self._finish(entry, JobState.CANCELLED, ErrorKind.CANCELLED, "cancelled; not run")
 
-    async def _conclude(self, entry: JobEntry, kept: asyncio.Future[None]) -> None:
+    async def _notify_and_acknowledge(
+        self, entry: JobEntry, persisted: asyncio.Future[None]
+    ) -> None:
         with contextlib.suppress(Fenced, TimeoutError):
             async with asyncio.timeout(REPLY_WAIT_S):
-                await asyncio.shield(kept)
-        self._wake(entry)
+                await asyncio.shield(persisted)
+        self._notify_waiters(entry)
         with contextlib.suppress(Fenced):
-            await kept
+            await persisted
             if self._ledger is not None:
                 vms = [part.vm for part in entry.record.parts]
                 await self._dispatch.acknowledge(
                     entry.record.spec.job_id, entry.record.attempt, vms
                 )
 
-    def _keep(self, entry: JobEntry) -> asyncio.Future[None]:
+    def _persist(self, entry: JobEntry) -> asyncio.Future[None]:
         if self._ledger is None:
             future: asyncio.Future[None] = asyncio.get_running_loop().create_future()
             future.set_result(None)
-            entry.kept = None
+            entry.persisted = None
             return future
-        entry.kept = self._ledger.put(entry.record)
-        entry.kept.add_done_callback(self._check_fenced)
-        return entry.kept
+        entry.persisted = self._ledger.put(entry.record)
+        entry.persisted.add_done_callback(self._check_fenced)
+        return entry.persisted
 
     def _check_fenced(self, future: asyncio.Future[None]) -> None:
         if not future.cancelled() and future.exception() is not None and not self.frozen:
-            self._depose("the ledger is fenced")
+            self._step_down("the ledger is fenced")
 
-    async def _until_kept(self, entry: JobEntry) -> None:
-        """Wait until the latest state is in the store, but not for long."""
-        if entry.kept is None:
+    async def _wait_persisted(self, entry: JobEntry) -> None:
+        """Wait until the latest state is in the store, for at most ``REPLY_WAIT_S``."""
+        if entry.persisted is None:
             return
         with contextlib.suppress(Fenced, TimeoutError):
             async with asyncio.timeout(REPLY_WAIT_S):
-                await asyncio.shield(entry.kept)
+                await asyncio.shield(entry.persisted)
 
-    def _wake(self, entry: JobEntry) -> None:
+    def _notify_waiters(self, entry: JobEntry) -> None:
         for waiter in entry.waiters:
             if not waiter.done():
                 waiter.set_result(None)
@@ -190,39 +193,42 @@
     def _chain(
         self, entry: JobEntry, waits: list[asyncio.Task[None]], work: Awaitable[None]
     ) -> asyncio.Task[None]:
-        """Run work on a job after its earlier operation and some others."""
+        """Run an operation on a job after its previous operation and after ``waits``."""
         before = [task for task in (entry.operation, *waits) if task is not None]
         task = self.tasks.spawn(_after(before, work))
         entry.operation = task
         return task
 
-    def _take_back(
+    def _stop_parts(
         self, entry: JobEntry, attempt: int, vms: list[str], op: Op, *, report: bool = False
     ) -> None:
-        """Stop parts; launches onto the same VMs wait until that is done."""
-        task = self._chain(entry, [], self._take_back_task(entry, attempt, vms, op, report))
+        """Stop parts of a job; launches onto the same VMs wait until that is done.
+
+        :param report: post a :class:`ReclaimedMessage` when done.
+        """
+        task = self._chain(entry, [], self._stop_parts_task(entry, attempt, vms, op, report))
         for vm in vms:
-            tasks = self._freeing.setdefault(vm, set())
+            tasks = self._stopping.setdefault(vm, set())
             tasks.add(task)
             task.add_done_callback(tasks.discard)
 
-    async def _take_back_task(
+    async def _stop_parts_task(
         self, entry: JobEntry, attempt: int, vms: list[str], op: Op, report: bool
     ) -> None:
         job_id = entry.record.spec.job_id
         record = entry.record
         incarnations = record.incarnations if len(record.incarnations) == len(vms) else ()
-        taken = await self._dispatch.take_back(job_id, attempt, vms, op, incarnations)
+        stopped = await self._dispatch.stop_parts(job_id, attempt, vms, op, incarnations)
         if report:
-            entry.unconfirmed = record.spec.run_once and not taken.confirmed
+            entry.stop_unconfirmed = record.spec.run_once and not stopped.confirmed
             if record.spec.checkpoint:
-                record.progress = max(record.progress, taken.progress)
-            self._mailbox.put(TakenMessage(job_id, attempt, tuple(vms), taken.confirmed))
-        elif taken.confirmed:
+                record.progress = max(record.progress, stopped.progress)
+            self._mailbox.put(ReclaimedMessage(job_id, attempt, tuple(vms), stopped.confirmed))
+        elif stopped.confirmed:
             await self._dispatch.acknowledge(job_id, attempt, vms)
 
     def _restore(self, entry: JobEntry, progress: float) -> None:
-        """Put a job back into the policy's queue."""
+        """Return a job to the policy's queue."""
         record = entry.record
         record.progress = progress
         if entry.cancelled:
@@ -236,33 +242,33 @@
             resumed=record.ever_started and record.spec.checkpoint,
             deadline=self._deadline(record.spec),
         )
-        self._queued_again(entry)
+        self._mark_queued(entry)
 
-    def _queued_again(self, entry: JobEntry) -> None:
+    def _mark_queued(self, entry: JobEntry) -> None:
         entry.record.state = JobState.QUEUED
         entry.record.parts = ()
         entry.record.started = None
-        entry.ended.clear()
+        entry.done_vms.clear()
         entry.answer = None
-        entry.broken = False
-        self._keep(entry)
+        entry.worker_lost = False
+        self._persist(entry)
 
     def _deadline(self, spec: JobSpec) -> float | None:
-        """A job's deadline on the policy's clock."""
+        """A job's deadline, on the policy's clock."""
         if spec.deadline is None:
             return None
         return self.clock.now() + spec.deadline - self.clock.wall()
 
     def _submitted(self, record: JobRecord) -> float:
-        """The submission on the policy's clock."""
+        """A job's submission time, on the policy's clock."""
         return self.clock.now() - max(0.0, self.clock.wall() - record.submitted)
 
     def _in_policy(self, job_id: str) -> bool:
         return job_id in self._policy.waiting or job_id in self._policy.running
 
-    def _patience(self) -> float:
-        """How long to wait for the endpoints of a gang that was in hand before."""
-        return self._lease.lease_s * 2 if self.interim else RECOVER_S
+    def _recovery_timeout(self) -> float:
+        """Seconds to wait for the endpoints of a gang that was started before the takeover."""
+        return self._lease.lease_s * 2 if self.interim else RECOVERY_TIMEOUT_S
 
     def _new_policy(self, document: Document) -> Cell:
         return Cell(
@@ -293,5 +299,5 @@
 
 
 def queue_limits(document: Document) -> dict[str, int]:
-    """Waiting jobs allowed, by account."""
+    """The most waiting jobs allowed, by account."""
     return {account.name: account.limits.queued for account in document.accounts}
