--- a/src/saddlestack/soak/assessment.py
+++ b/src/saddlestack/soak/assessment.py
@@ -13,12 +13,17 @@
 import msgspec
 
 from saddlestack.interfaces.workers import EndKind
-from saddlestack.soak.account import Broken, ClientJob, Promise, PromiseTimes, judge
 from saddlestack.soak.disturbances import Disturbances
-from saddlestack.soak.excuses import Excuses, JudgedStandstill
 from saddlestack.soak.faults import Fault
 from saddlestack.soak.hosts import WorkerHosts
-from saddlestack.soak.load import Load, Told
+from saddlestack.soak.invariants import (
+    ClientJob,
+    Invariant,
+    InvariantTimes,
+    Violation,
+    check_invariants,
+)
+from saddlestack.soak.load import Load, SubmittedJob
 from saddlestack.soak.logsearch import lines_of, orders_of
 from saddlestack.soak.meters import Meters
 from saddlestack.soak.platform import SoakPlatform, Term
@@ -30,14 +35,15 @@
     LagReport,
     SoakReport,
     StandstillReport,
+    TimeSummary,
     VmReport,
-    Waits,
     objective_s,
 )
-from saddlestack.soak.runs import RunAccount, RunBook
+from saddlestack.soak.runnable_periods import AcceptedRequest
+from saddlestack.soak.runs import RunHistory, RunRecord
 from saddlestack.soak.shape import FaultKind, JobKind, SoakShape
-from saddlestack.soak.standstills import Scene, standstills
-from saddlestack.soak.turns import AcceptedWork
+from saddlestack.soak.stall_causes import ClassifiedStall, StallClassifier
+from saddlestack.soak.stalls import SoakHistory, find_stalls
 from saddlestack.standins.pool.workers import TaskPlan
 from saddlestack.work import JobState, Resources
 
@@ -52,7 +58,7 @@
 
 
 @dataclass(slots=True)
-class Evidence:
+class Observations:
     """Everything that saw something of a soak.
 
     :param began_s: its start, on the clock of the event loop.
@@ -75,144 +81,155 @@
 
 
 def assess(
-    evidence: Evidence,
+    observations: Observations,
     seed: int,
     seconds: float,
     program: Program,
     entries: Sequence[EntryProcess],
 ) -> SoakReport:
     """Judge, and tell what was measured."""
-    book = RunBook.of(evidence.hosts.records)
-    faults = [*evidence.faults, *crashes_by_tasks(book)]
-    stood = _standstills(evidence, book, entries, faults)
-    broken = _judge(evidence, entries, faults) + _broken_standstills(stood)
+    book = RunHistory.of(observations.hosts.records)
+    faults = [*observations.faults, *crashes_by_tasks(book)]
+    stall = _standstills(observations, book, entries, faults)
+    broken = _judge(observations, entries, faults) + _broken_standstills(stall)
     broken.sort(key=lambda each: each.at_s)
-    shape = evidence.shape
+    shape = observations.shape
     return SoakReport(
         shape=shape.name,
         seed=seed,
         seconds=seconds,
         program=str(program.src),
-        started_at=time.strftime("%Y-%m-%d %H:%M:%S", time.localtime(evidence.began_at))
-        + f",{int(evidence.began_at % 1 * 1000):03d}",
-        took_s=evidence.took_s,
+        started_at=time.strftime("%Y-%m-%d %H:%M:%S", time.localtime(observations.began_at))
+        + f",{int(observations.began_at % 1 * 1000):03d}",
+        took_s=observations.took_s,
         vms=shape.vms,
         workers=shape.workers,
-        kinds=[_kind(kind, evidence.load.jobs, book) for kind in shape.kinds],
-        busiest=_busiest(evidence),
-        memory_mb=evidence.meters.memory_mb,
-        stand_ins=_stand_ins(evidence),
-        faults=[_since_start(fault, evidence.began_s) for fault in evidence.faults],
-        terms=[_since_start(term, evidence.began_s) for term in evidence.platform.terms.terms],
-        broken=_explained(broken, evidence, entries),
-        troubled=_troubles(evidence),
-        standstills=[_standstill(each, evidence.began_s) for each in stood],
+        kinds=[_kind(kind, observations.load.jobs, book) for kind in shape.kinds],
+        busiest=_busiest(observations),
+        memory_mb=observations.meters.memory_mb,
+        stand_ins=_stand_ins(observations),
+        faults=[_since_start(fault, observations.began_s) for fault in observations.faults],
+        terms=[
+            _since_start(term, observations.began_s) for term in observations.platform.terms.terms
+        ],
+        broken=_explained(broken, observations, entries),
+        troubled=_troubles(observations),
+        standstills=[_standstill(each, observations.began_s) for each in stall],
     )
 
 
-def _troubles(evidence: Evidence) -> list[str]:
+def _troubles(observations: Observations) -> list[str]:
     """What was wrong with the stand-ins themselves."""
     found = []
-    if not evidence.hosts.alive:
+    if not observations.hosts.alive:
         found.append("a process that plays workers has ended")
-    if not evidence.platform.alive:
+    if not observations.platform.alive:
         found.append("the process that plays the store has ended")
     return found
 
 
-def crashes_by_tasks(book: RunBook) -> list[Fault]:
+def crashes_by_tasks(book: RunHistory) -> list[Fault]:
     """The crashes of workers that tasks caused: to all that ran there they are faults as any."""
-    lives = sorted(book.lives.values(), key=lambda life: life.began_s)
+    incarnations = sorted(book.incarnations.values(), key=lambda incarnation: incarnation.began_s)
     found = []
-    for life in lives:
-        if not life.crashed_by:
+    for incarnation in incarnations:
+        if not incarnation.crashed_by:
             continue
-        later = (each.began_s for each in lives if each.machine == life.machine)
-        back_s = next((began_s for began_s in later if began_s > life.ended_s), life.ended_s)
+        later = (each.began_s for each in incarnations if each.machine == incarnation.machine)
+        back_s = next(
+            (began_s for began_s in later if began_s > incarnation.ended_s), incarnation.ended_s
+        )
         found.append(
             Fault(
                 FaultKind.WORKER_CRASH,
-                back_s - life.ended_s,
-                life.ended_s,
+                back_s - incarnation.ended_s,
+                incarnation.ended_s,
                 back_s,
-                life.machine,
-                f"by {life.crashed_by}",
+                incarnation.machine,
+                f"by {incarnation.crashed_by}",
             )
         )
     return found
 
 
 def _judge(
-    evidence: Evidence, entries: Sequence[EntryProcess], faults: Sequence[Fault]
-) -> list[Broken]:
-    terms = evidence.platform.terms
+    observations: Observations, entries: Sequence[EntryProcess], faults: Sequence[Fault]
+) -> list[Violation]:
+    terms = observations.platform.terms
     halls = {entry.name: entry.site.hall for entry in entries}
     disturbances = Disturbances(faults, halls)
-    return judge(
-        evidence.hosts.records,
-        [_client_job(told) for told in evidence.load.jobs],
-        PromiseTimes(drain_s=evidence.shape.times.drain_s),
-        lambda fence, at_s: disturbances.in_touch(terms.vm_of(fence), at_s),
-        calm=disturbances.calm,
-        guaranteed={each.name: each.guaranteed for each in evidence.shape.accounts},
+    return check_invariants(
+        observations.hosts.records,
+        [_client_job(told) for told in observations.load.jobs],
+        InvariantTimes(drain_s=observations.shape.times.drain_s),
+        lambda fence, at_s: disturbances.is_undisturbed(terms.vm_of(fence), at_s),
+        is_fault_free=disturbances.is_fault_free,
+        guaranteed={each.name: each.guaranteed for each in observations.shape.accounts},
     )
 
 
 def _standstills(
-    evidence: Evidence, book: RunBook, entries: Sequence[EntryProcess], faults: Sequence[Fault]
-) -> list[JudgedStandstill]:
+    observations: Observations,
+    book: RunHistory,
+    entries: Sequence[EntryProcess],
+    faults: Sequence[Fault],
+) -> list[ClassifiedStall]:
     """All jobs that stood still, with what explains each."""
-    shape = evidence.shape
+    shape = observations.shape
     worker = shape.worker
-    epoch_s = evidence.began_s - evidence.began_at
-    works = [_accepted_work(told) for told in evidence.load.jobs if told.accepted_s is not None]
+    epoch_s = observations.began_s - observations.began_at
+    works = [_accepted_work(told) for told in observations.load.jobs if told.accepted_s is not None]
     room = Resources(worker.cpu, worker.memory_mb, worker.accelerators)
-    requests = {told.job_id: told.request for told in evidence.load.jobs}
-    scene = Scene(book, works, requests, room, epoch_s, evidence.began_s + evidence.took_s)
-    found = standstills(scene)
+    requests = {told.job_id: told.request for told in observations.load.jobs}
+    history = SoakHistory(
+        book, works, requests, room, epoch_s, observations.began_s + observations.took_s
+    )
+    found = find_stalls(history)
     orders = orders_of(
         [entry.log for entry in entries], {each.job_id for each in found}, epoch_s, MOST_ORDERS
     )
     halls = {entry.name: entry.site.hall for entry in entries}
-    excuses = Excuses(scene, faults, evidence.platform.terms.terms, halls, shape.times)
-    return [excuses.judge(each, orders.get(each.job_id, [])) for each in found]
+    excuses = StallClassifier(
+        history, faults, observations.platform.terms.terms, halls, shape.times
+    )
+    return [excuses.classify(each, orders.get(each.job_id, [])) for each in found]
 
 
-def _accepted_work(told: Told) -> AcceptedWork:
+def _accepted_work(told: SubmittedJob) -> AcceptedRequest:
     assert told.accepted_s is not None
-    return AcceptedWork(
+    return AcceptedRequest(
         told.job_id, told.request, told.accepted_s, told.kind.attempts, told.closed_s
     )
 
 
-def _broken_standstills(stood: Sequence[JudgedStandstill]) -> list[Broken]:
+def _broken_standstills(stall: Sequence[ClassifiedStall]) -> list[Violation]:
     found = []
-    for each in stood:
+    for each in stall:
         if each.excuses:
             continue
-        what = each.stood
+        what = each.stall
         detail = (
             f"for {what.until_s - what.since_s:.1f} s, {what.pool.used} of {what.pool.total} "
             f"accelerators in use, {what.beside} runs of others began"
         )
-        found.append(Broken(Promise.STANDS_STILL, what.since_s, what.job_id, (), detail))
+        found.append(Violation(Invariant.STANDS_STILL, what.since_s, what.job_id, (), detail))
     return found
 
 
-def _standstill(judged: JudgedStandstill, start_s: float) -> StandstillReport:
-    stood = judged.stood
+def _standstill(judged: ClassifiedStall, start_s: float) -> StandstillReport:
+    stall = judged.stall
     return StandstillReport(
-        job_id=stood.job_id,
-        since_s=stood.since_s - start_s,
-        until_s=stood.until_s - start_s,
-        used=stood.pool.used,
-        total=stood.pool.total,
-        beside=stood.beside,
+        job_id=stall.job_id,
+        since_s=stall.since_s - start_s,
+        until_s=stall.until_s - start_s,
+        used=stall.pool.used,
+        total=stall.pool.total,
+        beside=stall.beside,
         excuses=[excuse.value for excuse in judged.excuses],
     )
 
 
-def _client_job(told: Told) -> ClientJob:
+def _client_job(told: SubmittedJob) -> ClientJob:
     return ClientJob(
         job_id=told.job_id,
         request=told.request,
@@ -230,12 +247,12 @@
 
 
 def _explained(
-    broken: list[Broken], evidence: Evidence, entries: Sequence[EntryProcess]
+    broken: list[Violation], observations: Observations, entries: Sequence[EntryProcess]
 ) -> list[BrokenReport]:
     jobs = {each.job_id for each in broken[:EXPLAINED]}
     lines = lines_of([entry.log for entry in entries], jobs, MAX_LINES)
-    start_s = evidence.began_s
-    vm_of = evidence.platform.terms.vm_of
+    start_s = observations.began_s
+    vm_of = observations.platform.terms.vm_of
     return [
         BrokenReport(
             promise=each.promise.value,
@@ -248,10 +265,10 @@
     ]
 
 
-def _kind(kind: JobKind, jobs: Sequence[Told], book: RunBook) -> KindReport:
+def _kind(kind: JobKind, jobs: Sequence[SubmittedJob], book: RunHistory) -> KindReport:
     mine = [told for told in jobs if told.kind is kind]
     accepted = [told for told in mine if told.accepted_s is not None]
-    runs: dict[str, list[RunAccount]] = defaultdict(list)
+    runs: dict[str, list[RunRecord]] = defaultdict(list)
     for run in book.runs:
         runs[run.task.job_id].append(run)
     completed = [told for told in accepted if told.state is JobState.COMPLETED]
@@ -266,8 +283,10 @@
         unfinished=sum(not told.over for told in accepted),
         tasks=sum(told.request.steps[0].count for told in accepted),
         runs=sum(len(runs[told.job_id]) for told in mine),
-        acceptance=Waits.of([(told.accepted_s or 0.0) - told.submitted_s for told in accepted]),
-        begins=Waits.of(
+        acceptance=TimeSummary.of(
+            [(told.accepted_s or 0.0) - told.submitted_s for told in accepted]
+        ),
+        begins=TimeSummary.of(
             [
                 first - told.submitted_s
                 for told in accepted
@@ -279,13 +298,13 @@
     )
 
 
-def _first_work_s(runs: Sequence[RunAccount]) -> float:
+def _first_work_s(runs: Sequence[RunRecord]) -> float:
     """When a first task worked: members of a gang begin when all are there."""
-    begins = [run.works_s if run.gang else run.began_s for run in runs]
+    begins = [run.work_began_s if run.gang else run.began_s for run in runs]
     return min((each for each in begins if each is not None), default=math.inf)
 
 
-def _is_in_time(told: Told, runs: Sequence[RunAccount]) -> bool:
+def _is_in_time(told: SubmittedJob, runs: Sequence[RunRecord]) -> bool:
     ends = [run.ended_s for run in runs if run.how is EndKind.DONE]
     if not ends:
         return False
@@ -293,42 +312,42 @@
     return max(ends) - told.submitted_s <= objective_s(told.kind, work_s)
 
 
-def _busiest(evidence: Evidence) -> list[VmReport]:
-    took_s = evidence.took_s
+def _busiest(observations: Observations) -> list[VmReport]:
+    took_s = observations.took_s
     found = [
         VmReport(
             name,
             use.processor_s / took_s,
             use.highest,
-            use.highest_s - evidence.began_s,
+            use.highest_s - observations.began_s,
             use.memory_mb,
         )
-        for name, use in evidence.meters.uses.items()
+        for name, use in observations.meters.uses.items()
     ]
     return sorted(found, key=lambda vm: vm.highest, reverse=True)[:BUSIEST]
 
 
-def _stand_ins(evidence: Evidence) -> list[LagReport]:
+def _stand_ins(observations: Observations) -> list[LagReport]:
     """The load of this process, with the clients, and of those of the store and the workers."""
-    took_s = evidence.took_s
-    meters = evidence.meters
-    of_store = evidence.platform.loads
+    took_s = observations.took_s
+    meters = observations.meters
+    of_store = observations.platform.loads
     found = [
-        LagReport("clients", Waits.of(meters.lags_s), meters.own_processor_s / took_s),
+        LagReport("clients", TimeSummary.of(meters.lags_s), meters.own_processor_s / took_s),
         LagReport(
             "store",
-            Waits.of([load.lag_s for load in of_store]),
+            TimeSummary.of([load.lag_s for load in of_store]),
             max((load.processor_s for load in of_store), default=0.0) / took_s,
             sum(load.calls for load in of_store) / took_s,
         ),
     ]
-    loads = evidence.hosts.loads
+    loads = observations.hosts.loads
     for host in sorted({load.host for load in loads}):
         mine = [load for load in loads if load.host == host]
         found.append(
             LagReport(
                 f"workers {host}",
-                Waits.of([load.lag_s for load in mine]),
+                TimeSummary.of([load.lag_s for load in mine]),
                 max(load.processor_s for load in mine) / took_s,
                 sum(load.calls for load in mine) / took_s,
             )
--- a/src/saddlestack/soak/troubles.py
+++ b/src/saddlestack/soak/call_faults.py
@@ -18,10 +18,10 @@
     LoseAnswers,
 )
 
-WayTrouble = DelayOrders | LoseAnswers | Hang | AnswerErrors
+CallFault = DelayOrders | LoseAnswers | Hang | AnswerErrors
 """Troubles that befall single calls."""
 
-KINDS = {
+CALL_KINDS = {
     paths.START: CallKind.START,
     paths.STOP: CallKind.STOP,
     paths.LOOK: CallKind.LOOK,
@@ -35,7 +35,7 @@
 
 
 @dataclass(slots=True)
-class Troubles:
+class CallFaults:
     """The troubles of one machine's way, each until its time is over."""
 
     rng: random.Random
@@ -52,22 +52,22 @@
         changed, self._cuts_changed = self._cuts_changed, asyncio.Event()
         changed.set()
 
-    def of_call(self, kind: CallKind | None) -> WayTrouble | None:
+    def draw_fault(self, kind: CallKind | None) -> CallFault | None:
         """What befalls a call, drawn by chance."""
         for command in self._present():
-            if isinstance(command, WayTrouble) and self._hits(command, kind):
+            if isinstance(command, CallFault) and self._hits(command, kind):
                 return command
         return None
 
-    async def pass_request(self, fence: int) -> bool:
+    async def wait_for_request(self, fence: int) -> bool:
         """Wait while requests are held back; whether this one was."""
         return await self._wait(fence, CutWay.REQUESTS)
 
-    async def pass_answer(self, fence: int) -> None:
+    async def wait_for_answer(self, fence: int) -> None:
         """Wait while answers are held back."""
         await self._wait(fence, CutWay.ANSWERS)
 
-    def _hits(self, command: WayTrouble, kind: CallKind | None) -> bool:
+    def _hits(self, command: CallFault, kind: CallKind | None) -> bool:
         if isinstance(command, DelayOrders | LoseAnswers) and kind not in command.calls:
             return False
         return self.rng.random() < command.share
--- a/src/saddlestack/soak/disturbances.py
+++ b/src/saddlestack/soak/disturbances.py
@@ -33,11 +33,11 @@
         self._faults = faults
         self._halls = halls
 
-    def in_touch(self, vm: str, at_s: float) -> bool:
+    def is_undisturbed(self, vm: str, at_s: float) -> bool:
         """Whether nothing had disturbed a VM for a while."""
         return not any(self._disturbs(fault, vm) for fault in self._faults if _near(fault, at_s))
 
-    def calm(self, at_s: float) -> bool:
+    def is_fault_free(self, at_s: float) -> bool:
         """Whether no fault at all was near."""
         return not any(_near(fault, at_s) for fault in self._faults)
 
--- a/src/saddlestack/soak/ends.py
+++ b/src/saddlestack/soak/ends.py
@@ -31,7 +31,7 @@
         self._listed.append(ListedEnd(EndedTask(self._count, task, run, how, saved), at_s))
         self.wake()
 
-    def forget(self, seen: int) -> list[ListedEnd]:
+    def acknowledge(self, seen: int) -> list[ListedEnd]:
         """Ends up to a number are acknowledged: those that were listed still."""
         known = [listed for listed in self._listed if listed.row.number <= seen]
         self._listed = [listed for listed in self._listed if listed.row.number > seen]
--- a/src/saddlestack/soak/faults.py
+++ b/src/saddlestack/soak/faults.py
@@ -27,17 +27,19 @@
     detail: str = ""
 
 
-Play = Callable[[Fault, random.Random], Awaitable[None]]
+FaultAction = Callable[[Fault, random.Random], Awaitable[None]]
 """Plays a fault from its beginning to its end; all chance comes from its generator."""
 
 
-class FaultPlayer:
+class FaultInjector:
     """Draws faults and plays them.
 
     :ivar played: every fault so far, in the order of their beginnings.
     """
 
-    def __init__(self, mix: FaultMix, plays: Mapping[FaultKind, Play], rng: random.Random) -> None:
+    def __init__(
+        self, mix: FaultMix, plays: Mapping[FaultKind, FaultAction], rng: random.Random
+    ) -> None:
         self._plays = plays
         self._rng = rng
         self._pause_s = mix.pause_s
--- a/src/saddlestack/soak/gangs.py
+++ b/src/saddlestack/soak/gangs.py
@@ -89,7 +89,7 @@
         self._send = send
         self._gangs: dict[GangKey, _Gang] = {}
 
-    def take(self, host: int, message: GangMessage) -> None:
+    def receive(self, host: int, message: GangMessage) -> None:
         """Note what a host tells of a member."""
         key = (message.step, message.run)
         if isinstance(message, MemberPresent):
@@ -120,7 +120,7 @@
 
     def _move(self, key: GangKey, gang: _Gang, whole_s: float, at_s: float) -> None:
         """Go on at the rate of the members, and tell their hosts."""
-        gang.progress.go_on(gang.rate, at_s)
+        gang.progress.set_rate(gang.rate, at_s)
         gang.cancel_timer()
         ends_s = gang.progress.ends_s
         if ends_s < math.inf:
--- a/src/saddlestack/soak/hosts.py
+++ b/src/saddlestack/soak/hosts.py
@@ -159,7 +159,7 @@
         elif isinstance(message, HostLoad):
             self.loads.append(message)
         elif isinstance(message, GangMessage):
-            self._hub.take(host, message)
+            self._hub.receive(host, message)
         else:
             self._note(message)
 
--- a/src/saddlestack/soak/lease.py
+++ b/src/saddlestack/soak/lease.py
@@ -13,7 +13,7 @@
 """A worker's clock starts at any value; these are told apart from each other and from ours."""
 
 
-class SteadyClock:
+class WorkerClock:
     """A worker's clock, which starts anywhere and may run slow."""
 
     def __init__(self, rng: random.Random) -> None:
@@ -25,7 +25,7 @@
         """What it says."""
         return self._start_ms + (_now() - self._born_s) * 1000 * self._rate
 
-    def seconds_until(self, ms: float) -> float:
+    def remaining_s(self, ms: float) -> float:
         """True time until it says so."""
         return (ms - self.ms()) / 1000 / self._rate
 
@@ -34,17 +34,17 @@
     """Until when all that runs at a worker may run.
 
     :param longest_s: no lease is longer.
-    :param on_lapse: called when the lease is over, and whenever it is asked for afterwards.
-    :ivar lapsed_s: when it was seen to be over last.
+    :param on_expiry: called when the lease is over, and whenever it is asked for afterwards.
+    :ivar expired_s: when it was seen to be over last.
     """
 
-    def __init__(self, clock: SteadyClock, longest_s: float, on_lapse: Callable[[], None]) -> None:
+    def __init__(self, clock: WorkerClock, longest_s: float, on_expiry: Callable[[], None]) -> None:
         self._clock = clock
         self._longest_ms = longest_s * 1000
-        self._on_lapse = on_lapse
+        self._on_lapse = on_expiry
         self._until_ms = 0.0
         self._timer: asyncio.TimerHandle | None = None
-        self.lapsed_s = -math.inf
+        self.expired_s = -math.inf
 
     def extend(self, deadline_ms: int) -> None:
         """Let it last until then; it is never shortened."""
@@ -59,7 +59,7 @@
         """Whether it is over; a timer may be late."""
         if self._clock.ms() < self._until_ms:
             return False
-        self.lapsed_s = _now()
+        self.expired_s = _now()
         self._on_lapse()
         return True
 
@@ -70,7 +70,7 @@
 
     def _watch(self) -> None:
         """Look again when it is over, as far as is known now."""
-        left_s = self._clock.seconds_until(self._until_ms)
+        left_s = self._clock.remaining_s(self._until_ms)
         self._timer = asyncio.get_running_loop().call_later(left_s, self._due)
 
     def _due(self) -> None:
--- a/src/saddlestack/soak/life.py
+++ b/src/saddlestack/soak/life.py
@@ -25,7 +25,7 @@
     WorkerUnreachable,
 )
 from saddlestack.soak.ends import EndList
-from saddlestack.soak.lease import Lease, SteadyClock
+from saddlestack.soak.lease import Lease, WorkerClock
 from saddlestack.soak.messages import (
     EndNoted,
     GangEnded,
@@ -125,7 +125,7 @@
     ) -> None:
         self._rng = rng
         self._tell = tell
-        self._clock = SteadyClock(rng)
+        self._clock = WorkerClock(rng)
         self._lease = Lease(self._clock, times.lease_s, self._kill_all)
         self._ends = EndList()
         self._gangs: dict[tuple[str, int], dict[RunKey, Run]] = {}
@@ -377,7 +377,7 @@
 
     def _work(self, run: Run, at_s: float) -> None:
         """Let a run that works alone go on at its present rate."""
-        run.progress.go_on(self._rate(run), at_s)
+        run.progress.set_rate(self._rate(run), at_s)
         if run.fails:
             self._arm(run, _now() + FAIL_S, EndKind.FAILED)
             return
@@ -440,8 +440,8 @@
     def _forget_ends(self, seen: int) -> None:
         """Ends up to a number were acknowledged."""
         now = _now()
-        for end in self._ends.forget(seen):
-            lapsed = self._lease.lapsed_s >= end.at_s
+        for end in self._ends.acknowledge(seen):
+            lapsed = self._lease.expired_s >= end.at_s
             row = end.row
             self._tell(EndNoted(self.worker_id, row.task, row.run, self._fence, now, lapsed))
 
--- a/src/saddlestack/soak/load.py
+++ b/src/saddlestack/soak/load.py
@@ -29,14 +29,14 @@
 """So many jobs are handed in again, some seconds after they were accepted."""
 REPEAT_S = (0.5, 4.0)
 CANCEL_S = (0.0, 6.0)
-ALWAYS = 1000
+ALWAYS_FAILS = 1000
 """More failures than any job survives."""
 ESTIMATE_OFF = 0.3
 SETTLE_PAUSE_S = 1.0
 
 
 @dataclass(slots=True)
-class Told:
+class SubmittedJob:
     """A job, and what its client was told of it. Times are those of the event loop.
 
     :param accepted_s: when one of its tries was answered with success.
@@ -73,8 +73,8 @@
     @property
     def closed_s(self) -> float:
         """When it was first told as over, or a cancel was sent; infinite where neither came."""
-        over_s = [at_s for at_s, state in self.changes if state in FINAL_STATES]
-        return min([self.cancel_sent_s, *over_s])
+        effective_end_s = [at_s for at_s, state in self.changes if state in FINAL_STATES]
+        return min([self.cancel_sent_s, *effective_end_s])
 
 
 class Client:
@@ -126,7 +126,7 @@
         self._rng = rng
         self._failing_rng = failing_rng
         self.readiness = Readiness(entries)
-        self.jobs: list[Told] = []
+        self.jobs: list[SubmittedJob] = []
         self._clients = [self._new_client() for _ in range(CLIENTS_A_VM * len(entries))]
 
     async def run(self) -> None:
@@ -179,14 +179,14 @@
                 self.jobs.append(told)
                 group.create_task(self._drive(told, random.Random(rng.getrandbits(64))))
 
-    def _new_job(self, kind: JobKind, rng: random.Random) -> Told:
+    def _new_job(self, kind: JobKind, rng: random.Random) -> SubmittedJob:
         accounts = self._shape.accounts
         account = rng.choices(accounts, [each.share for each in accounts])[0]
         job_id = f"{rng.getrandbits(64):016x}"
         now = asyncio.get_running_loop().time()
-        return Told(job_id, kind, account.name, request(kind, rng), now)
+        return SubmittedJob(job_id, kind, account.name, request(kind, rng), now)
 
-    async def _drive(self, told: Told, rng: random.Random) -> None:
+    async def _drive(self, told: SubmittedJob, rng: random.Random) -> None:
         client = self._client(told.account)
         await self._submit(told, client)
         if told.accepted_s is None:
@@ -200,7 +200,7 @@
                 await asyncio.sleep(rng.uniform(0.5 * LOOK_S, 1.5 * LOOK_S))
                 await self._ask(told, client)
 
-    async def _submit(self, told: Told, client: Client) -> None:
+    async def _submit(self, told: SubmittedJob, client: Client) -> None:
         outcomes = []
         for _ in range(TRIES):
             told.tries += 1
@@ -214,14 +214,14 @@
             await asyncio.sleep(PAUSE_S)
         told.refused = all(outcome is Outcome.REFUSED for outcome in outcomes)
 
-    async def _repeat(self, told: Told, after_s: float) -> None:
+    async def _repeat(self, told: SubmittedJob, after_s: float) -> None:
         """Hand an accepted job in once more, as where its client lost the answer."""
         await asyncio.sleep(after_s)
         told.repeated = True
         calls = self._client(told.account).calls(told.kind.name)
         await calls.submit(told.job_id, told.request, DEADLINE_S)
 
-    async def _cancel(self, told: Told, after_s: float) -> None:
+    async def _cancel(self, told: SubmittedJob, after_s: float) -> None:
         await asyncio.sleep(after_s)
         if told.over:
             return
@@ -231,7 +231,7 @@
         if await calls.cancel(told.job_id, DEADLINE_S) is Outcome.DONE:
             told.cancelled_s = asyncio.get_running_loop().time()
 
-    async def _ask(self, told: Told, client: Client) -> None:
+    async def _ask(self, told: SubmittedJob, client: Client) -> None:
         outcome, state = await client.calls(told.kind.name).state(told.job_id, DEADLINE_S)
         if outcome is not Outcome.DONE or state is None:
             client.move()
@@ -255,12 +255,12 @@
         return self._rng.choice(clients)
 
 
-def _failing_job(failing: FailingJobs, kind: JobKind, rng: random.Random) -> Told:
+def _failing_job(failing: FailingJobs, kind: JobKind, rng: random.Random) -> SubmittedJob:
     """A job of a kind whose tasks fail however often they start."""
     job_id = f"{rng.getrandbits(64):016x}"
     broken = msgspec.structs.replace(kind, broken_share=1.0, work_s=failing.work_s)
     now = asyncio.get_running_loop().time()
-    return Told(job_id, kind, failing.account, request(broken, rng), now)
+    return SubmittedJob(job_id, kind, failing.account, request(broken, rng), now)
 
 
 def request(kind: JobKind, rng: random.Random) -> JobRequest:
@@ -297,5 +297,5 @@
 def _failures(kind: JobKind, rng: random.Random) -> int:
     """How many runs of each task fail."""
     if rng.random() < kind.broken_share:
-        return ALWAYS
+        return ALWAYS_FAILS
     return 1 if rng.random() < kind.failure_share else 0
--- a/src/saddlestack/soak/logsearch.py
+++ b/src/saddlestack/soak/logsearch.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from saddlestack.soak.excuses import StartOrder
+from saddlestack.soak.stall_causes import OrderedStart
 
 TIME_FORMAT = "%Y-%m-%d %H:%M:%S,%f"
 
@@ -41,18 +41,18 @@
 
 def orders_of(
     logs: Sequence[Path], jobs: Collection[str], epoch_s: float, most: int
-) -> dict[str, list[StartOrder]]:
+) -> dict[str, list[OrderedStart]]:
     """The starts that VMs ordered of each job, as their lines `start` tell.
 
     :param epoch_s: 1970 on the monotonic clock.
     """
-    found: dict[str, list[StartOrder]] = defaultdict(list)
+    found: dict[str, list[OrderedStart]] = defaultdict(list)
     for job_id, lines in lines_of(logs, jobs, most).items():
         for text in lines:
             line = _order_line(text)
             if line is not None and line.task.startswith(f"{job_id}."):
                 at_s = datetime.strptime(line.time, TIME_FORMAT).timestamp() + epoch_s
-                found[job_id].append(StartOrder(at_s, line.worker))
+                found[job_id].append(OrderedStart(at_s, line.worker))
     return found
 
 
--- a/src/saddlestack/soak/machine.py
+++ b/src/saddlestack/soak/machine.py
@@ -15,6 +15,7 @@
 from saddlestack.interfaces.workers import StartOrder, StartReply, WorkerReport, WorkerUnreachable
 from saddlestack.kernel.service import TaskGroup
 from saddlestack.platform.serving import WorkerServing
+from saddlestack.soak.call_faults import CALL_KINDS, CallFault, CallFaults
 from saddlestack.soak.life import Arrival, Tell, WorkerLife
 from saddlestack.soak.messages import (
     AnswerErrors,
@@ -41,7 +42,6 @@
 )
 from saddlestack.soak.recording import RecordWriter
 from saddlestack.soak.shape import ShapeTimes
-from saddlestack.soak.troubles import KINDS, Troubles, WayTrouble
 from saddlestack.wire.http import HttpClient, HttpServer, Request, Response
 from saddlestack.work import TaskName
 
@@ -116,7 +116,7 @@
         self._settings = settings
         self._surroundings = surroundings
         self._rng = rng
-        self._troubles = Troubles(rng)
+        self._troubles = CallFaults(rng)
         self._tasks = TaskGroup(settings.name)
         self._server = HttpServer(self._handle)
         self._port = 0
@@ -313,15 +313,15 @@
         self._surroundings.count_call()
         arrived_s = _now()
         fence = _fence_of(request)
-        held_up = await self._troubles.pass_request(fence)
-        trouble = self._troubles.of_call(KINDS.get(request.path))
+        held_up = await self._troubles.wait_for_request(fence)
+        trouble = self._troubles.draw_fault(CALL_KINDS.get(request.path))
         if trouble is not None:
             return await self._through(trouble, request, arrived_s)
         response = await self._carry_out(request, Arrival(arrived_s, late=held_up))
-        await self._troubles.pass_answer(fence)
+        await self._troubles.wait_for_answer(fence)
         return response
 
-    async def _through(self, trouble: WayTrouble, request: Request, arrived_s: float) -> Response:
+    async def _through(self, trouble: CallFault, request: Request, arrived_s: float) -> Response:
         """A call that something befalls."""
         if isinstance(trouble, AnswerErrors):
             if trouble.answer is ErrorAnswer.RESET:
--- a/src/saddlestack/soak/progress.py
+++ b/src/saddlestack/soak/progress.py
@@ -24,7 +24,7 @@
         worked = max(0.0, now - self.since_s) * self.rate
         return min(self.work_s, self.done_s + worked)
 
-    def go_on(self, rate: float, since_s: float) -> None:
+    def set_rate(self, rate: float, since_s: float) -> None:
         """Work at another rate from some moment on."""
         self.done_s = self.at(since_s)
         self.rate = rate
--- a/src/saddlestack/soak/reclaims.py
+++ b/src/saddlestack/soak/reclaims.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Iterable, Iterator, Mapping, Sequence
 from dataclasses import dataclass
 
-from saddlestack.soak.runs import RunAccount, RunBook
+from saddlestack.soak.runs import RunHistory, RunRecord
 from saddlestack.work import JobRequest
 
 
@@ -49,46 +49,46 @@
 
 
 def missed_reclaims(
-    book: RunBook,
+    book: RunHistory,
     jobs: Sequence[UrgentJob],
     guaranteed: Mapping[str, int],
     reclaim_s: float,
-    calm: Callable[[float], bool],
+    is_fault_free: Callable[[float], bool],
 ) -> Iterator[MissedReclaim]:
     """Jobs that had not begun in time though their account owns as much as its jobs needed.
 
     :param guaranteed: accelerators that each account owns.
     :param reclaim_s: from a job's acceptance to the beginning of all tasks of its first step.
-    :param calm: whether no fault was near some time.
+    :param is_fault_free: whether no fault was near some time.
     """
     runs = _runs_of(book.runs, jobs)
-    over_s = {job.job_id: _over_s(job, runs[job.job_id]) for job in jobs}
+    effective_end_s = {job.job_id: _over_s(job, runs[job.job_id]) for job in jobs}
     for job in jobs:
         if job.accepted_s is None or job.cancel_sent:
             continue
         bound_s = job.accepted_s + reclaim_s
-        if not (calm(job.accepted_s) and calm(bound_s)):
+        if not (is_fault_free(job.accepted_s) and is_fault_free(bound_s)):
             continue
         begun = _begun(runs[job.job_id], bound_s)
-        needed = _needed(job, jobs, over_s, bound_s)
+        needed = _needed(job, jobs, effective_end_s, bound_s)
         if begun < job.request.steps[0].count and needed <= guaranteed.get(job.account, 0):
             yield MissedReclaim(job, bound_s, begun, needed)
 
 
-def _runs_of(runs: Iterable[RunAccount], jobs: Sequence[UrgentJob]) -> dict[str, list[RunAccount]]:
-    found: dict[str, list[RunAccount]] = {job.job_id: [] for job in jobs}
+def _runs_of(runs: Iterable[RunRecord], jobs: Sequence[UrgentJob]) -> dict[str, list[RunRecord]]:
+    found: dict[str, list[RunRecord]] = {job.job_id: [] for job in jobs}
     for run in runs:
         if run.task.job_id in found:
             found[run.task.job_id].append(run)
     return found
 
 
-def _begun(runs: Iterable[RunAccount], by_s: float) -> int:
+def _begun(runs: Iterable[RunRecord], by_s: float) -> int:
     return len({run.task for run in runs if run.task.step == 0 and run.began_s <= by_s})
 
 
 def _needed(
-    job: UrgentJob, jobs: Sequence[UrgentJob], over_s: Mapping[str, float], bound_s: float
+    job: UrgentJob, jobs: Sequence[UrgentJob], effective_end_s: Mapping[str, float], bound_s: float
 ) -> int:
     """What the account's urgent jobs needed that were there while the job waited."""
     assert job.accepted_s is not None
@@ -97,12 +97,12 @@
         for other in jobs
         if other.account == job.account
         and other.submitted_s <= bound_s
-        and over_s[other.job_id] >= job.accepted_s
+        and effective_end_s[other.job_id] >= job.accepted_s
     )
 
 
-def _over_s(job: UrgentJob, runs: Sequence[RunAccount]) -> float:
+def _over_s(job: UrgentJob, runs: Sequence[RunRecord]) -> float:
     """When a job was over: with its last run, or not at all."""
     if not job.over:
         return math.inf
-    return max((run.over_s for run in runs), default=math.inf)
+    return max((run.effective_end_s for run in runs), default=math.inf)
--- a/src/saddlestack/soak/report.py
+++ b/src/saddlestack/soak/report.py
@@ -13,13 +13,13 @@
 from saddlestack.soak.platform import Term
 from saddlestack.soak.shape import JobKind
 
-MOST_LAG_S = 0.25
+MAX_LAG_S = 0.25
 """Stand-ins that are later than this do not keep time: a VM then counts the store as lost."""
 MAX_LINES = 400
 """Log lines that are kept of one broken promise."""
 
 
-class Waits(msgspec.Struct, frozen=True):
+class TimeSummary(msgspec.Struct, frozen=True):
     """A spread of times, in seconds."""
 
     count: int = 0
@@ -28,7 +28,7 @@
     longest_s: float = 0.0
 
     @classmethod
-    def of(cls, times: Sequence[float]) -> Waits:
+    def of(cls, times: Sequence[float]) -> TimeSummary:
         """The spread of some times."""
         if not times:
             return cls()
@@ -57,8 +57,8 @@
     unfinished: int
     tasks: int
     runs: int
-    acceptance: Waits
-    begins: Waits
+    acceptance: TimeSummary
+    begins: TimeSummary
     in_time: float
 
 
@@ -80,7 +80,7 @@
     """How late a stand-in's event loop was, and what it used of one processor."""
 
     name: str
-    lag: Waits
+    lag: TimeSummary
     processor: float
     calls_per_s: float = 0.0
 
@@ -160,7 +160,7 @@
     @property
     def late(self) -> list[str]:
         """Stand-ins that did not keep time: the machine bore more than it can, or they do."""
-        return [each.name for each in self.stand_ins if each.lag.longest_s > MOST_LAG_S]
+        return [each.name for each in self.stand_ins if each.lag.longest_s > MAX_LAG_S]
 
     @property
     def accepted(self) -> int:
--- a/src/saddlestack/soak/run.py
+++ b/src/saddlestack/soak/run.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from saddlestack.soak.assessment import Evidence, assess
-from saddlestack.soak.faults import FaultPlayer
+from saddlestack.soak.assessment import Observations, assess
+from saddlestack.soak.faults import FaultInjector
 from saddlestack.soak.hosts import WorkerHosts
 from saddlestack.soak.load import Load
 from saddlestack.soak.meters import Meters
@@ -38,7 +38,7 @@
     :param seconds: for how long faults come; none come where it is 0.
     :param calm_s: load without faults before that, beside the shape's own.
     :param program: the sources that entry VMs run.
-    :param keeps_logs: the logs are kept also where no promise broke.
+    :param keep_logs: the logs are kept also where no promise broke.
     """
 
     shape: SoakShape
@@ -46,7 +46,7 @@
     seconds: float
     calm_s: float = 0.0
     program: Program = OWN_PROGRAM
-    keeps_logs: bool = False
+    keep_logs: bool = False
 
 
 class Soak:
@@ -56,7 +56,7 @@
         rng = random.Random(plan.seed)
         self._plan = plan
         self._folder = folder
-        self._sites = sites_of(plan.shape)
+        self._sites = entry_sites(plan.shape)
         vms = [site.name for site in self._sites]
         self._platform = SoakPlatform(plan.shape, vms, folder, rng.getrandbits(64))
         self._load_rng = random.Random(rng.getrandbits(64))
@@ -78,39 +78,39 @@
     async def _played(self) -> SoakReport:
         hosts = self._hosts = await self._start_hosts()
         await self._start_entries()
-        evidence = Evidence(
+        observations = Observations(
             self._plan.shape,
             self._platform,
             hosts,
             self._new_load(),
             Meters(self._entries),
         )
-        measuring = asyncio.get_running_loop().create_task(evidence.meters.run())
+        measuring = asyncio.get_running_loop().create_task(observations.meters.run())
         try:
-            await self._load(hosts, evidence)
+            await self._load(hosts, observations)
         finally:
             measuring.cancel()
             await asyncio.gather(measuring, return_exceptions=True)
-            evidence.load.close()
+            observations.load.close()
         plan = self._plan
-        return assess(evidence, plan.seed, plan.seconds, plan.program, self._entries)
+        return assess(observations, plan.seed, plan.seconds, plan.program, self._entries)
 
     def _new_load(self) -> Load:
         failing_rng = random.Random(f"{self._plan.seed} failing jobs")
         return Load(self._plan.shape, self._entries, self._load_rng, failing_rng)
 
-    async def _load(self, hosts: WorkerHosts, evidence: Evidence) -> None:
+    async def _load(self, hosts: WorkerHosts, observations: Observations) -> None:
         """Play load and faults, and let the jobs that were accepted end."""
         shape = self._plan.shape
-        clients = asyncio.get_running_loop().create_task(evidence.load.run())
+        clients = asyncio.get_running_loop().create_task(observations.load.run())
         await asyncio.sleep(shape.lead_s + self._plan.calm_s)
         if self._plan.seconds:
-            await self._play_faults(hosts, evidence)
+            await self._play_faults(hosts, observations)
         clients.cancel()
         await asyncio.gather(clients, return_exceptions=True)
-        await evidence.load.settle(shape.settle_s)
+        await observations.load.settle(shape.settle_s)
 
-    async def _play_faults(self, hosts: WorkerHosts, evidence: Evidence) -> None:
+    async def _play_faults(self, hosts: WorkerHosts, observations: Observations) -> None:
         workers: dict[str, list[str]] = {}
         for machine in hosts.machines:
             workers.setdefault(machine.hall, []).append(machine.address)
@@ -119,16 +119,16 @@
         of_store = StoreFaults(self._platform)
         of_workers = WorkerFaults(hosts, shape.times)
         plays = of_vms.plays | of_store.plays | of_workers.plays
-        players = [FaultPlayer(shape.faults, plays, self._fault_rng)]
+        players = [FaultInjector(shape.faults, plays, self._fault_rng)]
         for number, mix in enumerate(shape.more_faults):
             rng = random.Random(f"{self._plan.seed} more faults {number}")
-            players.append(FaultPlayer(mix, plays, rng))
+            players.append(FaultInjector(mix, plays, rng))
         try:
             await asyncio.gather(*(player.run(self._plan.seconds) for player in players))
         finally:
             for player in players:
                 await player.stop()
-            evidence.faults = sorted(
+            observations.faults = sorted(
                 (fault for player in players for fault in player.played),
                 key=lambda fault: fault.began_s,
             )
@@ -156,7 +156,7 @@
                 await asyncio.sleep(0.05)
 
 
-def sites_of(shape: SoakShape) -> list[EntrySite]:
+def entry_sites(shape: SoakShape) -> list[EntrySite]:
     """Where the entry VMs of a shape stand, each with a loopback address of its own.
 
     Addresses differ by process, so that soaks beside each other do not meet.
@@ -184,7 +184,7 @@
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
     folder = Path(tempfile.mkdtemp(prefix="saddlestack-soak-"))
     report = await Soak(plan, folder).run()
-    if report.good and not plan.keeps_logs:
+    if report.good and not plan.keep_logs:
         shutil.rmtree(folder)
     else:
         report.logs = str(folder)
--- a/src/saddlestack/soak/turns.py
+++ b/src/saddlestack/soak/runnable_periods.py
@@ -8,12 +8,12 @@
 from dataclasses import dataclass
 
 from saddlestack.interfaces.workers import EndKind
-from saddlestack.soak.runs import RunAccount
+from saddlestack.soak.runs import RunRecord
 from saddlestack.work import JobRequest, Step
 
 
 @dataclass(frozen=True, slots=True)
-class AcceptedWork:
+class AcceptedRequest:
     """A job that was accepted, as its client knows it. Times are of the monotonic clock.
 
     :param accepted_s: when its client was told.
@@ -30,7 +30,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Turn:
+class RunnablePeriod:
     """A step of one occurrence of a job, from when it may run to when it needs to no more."""
 
     job_id: str
@@ -39,7 +39,9 @@
     ended_s: float
 
 
-def turns_of(work: AcceptedWork, runs: Sequence[RunAccount], epoch_s: float) -> list[Turn]:
+def runnable_periods(
+    work: AcceptedRequest, runs: Sequence[RunRecord], epoch_s: float
+) -> list[RunnablePeriod]:
     """The turns of all steps of a job.
 
     A run that ended as done counts where a VM has noted that: one that was never noted has to run
@@ -49,7 +51,7 @@
     :param epoch_s: 1970 on the monotonic clock.
     """
     done = _done_s(work.request, runs)
-    over_s = min(work.closed_s, _failed_s(work, runs))
+    effective_end_s = min(work.closed_s, _failed_s(work, runs))
     found = []
     for occurrence in range(work.request.occurrences):
         due_ms = work.request.due_ms(occurrence)
@@ -57,17 +59,17 @@
         for number, step in enumerate(work.request.steps):
             needed_s = [done.get((occurrence, each), math.inf) for each in step.after]
             began_s = max(work.accepted_s, due_s, *needed_s)
-            ended_s = min(over_s, done.get((occurrence, number), math.inf))
+            ended_s = min(effective_end_s, done.get((occurrence, number), math.inf))
             if began_s < ended_s:
-                found.append(Turn(work.job_id, step, began_s, ended_s))
+                found.append(RunnablePeriod(work.job_id, step, began_s, ended_s))
     return found
 
 
-def _done_s(request: JobRequest, runs: Iterable[RunAccount]) -> Mapping[tuple[int, int], float]:
+def _done_s(request: JobRequest, runs: Iterable[RunRecord]) -> Mapping[tuple[int, int], float]:
     """When each step was done: of a gang, one end stands for all."""
     ends: dict[tuple[int, int], dict[int, float]] = defaultdict(dict)
     for run in runs:
-        if run.is_done and run.stands:
+        if run.is_done and run.is_acknowledged:
             tasks = ends[run.task.occurrence, run.task.step]
             tasks[run.task.index] = min(run.ended_s, tasks.get(run.task.index, math.inf))
     found = {}
@@ -80,11 +82,11 @@
     return found
 
 
-def _failed_s(work: AcceptedWork, runs: Iterable[RunAccount]) -> float:
+def _failed_s(work: AcceptedRequest, runs: Iterable[RunRecord]) -> float:
     """When a task, or a gang, had failed as often as it may."""
     failed: dict[object, dict[int, float]] = defaultdict(dict)
     for run in runs:
-        if run.how is EndKind.FAILED and run.stands:
+        if run.how is EndKind.FAILED and run.is_acknowledged:
             is_gang = work.request.steps[run.task.step].gang
             ends = failed[run.step if is_gang else run.task]
             ends[run.number] = min(run.ended_s, ends.get(run.number, math.inf))
--- a/src/saddlestack/soak/runs.py
+++ b/src/saddlestack/soak/runs.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(slots=True)
-class Life:
+class Incarnation:
     """One life of a worker.
 
     :param announced_s: when the store had taken the announcement of its end.
@@ -42,7 +42,7 @@
     crashed_by: str = ""
     resized: list[LifeResized] = field(default_factory=list)
 
-    def room_at(self, at_s: float, news_s: float) -> int:
+    def max_accelerators_at(self, at_s: float, news_s: float) -> int:
         """The most accelerators that a leader may believe it to have.
 
         :param news_s: how old its news may be.
@@ -59,35 +59,35 @@
 
 
 @dataclass(slots=True)
-class RunAccount:
+class RunRecord:
     """One run, from its order to the acknowledgement of its end.
 
     :param fence: the token of its order: who was the leader that gave it.
-    :param works_s: when a member of a gang began to work; others work from their beginning.
+    :param work_began_s: when a member of a gang began to work; others work from their beginning.
     :param how: how it ended; ``None`` where it is present, or ended with its worker.
     :param lapsed: the worker's lease had lapsed between its end and the acknowledgement.
     """
 
     task: TaskName
     number: int
-    life: Life
+    incarnation: Incarnation
     fence: int
     ordered_s: float
     began_s: float
     late: bool
     accelerators: int
     gang: int
-    works_s: float | None = None
+    work_began_s: float | None = None
     stop: RunStopping | None = None
     ended_s: float = math.inf
     how: EndKind | None = None
-    noted_s: float | None = None
+    acknowledged_s: float | None = None
     lapsed: bool = False
 
     @property
-    def over_s(self) -> float:
+    def effective_end_s(self) -> float:
         """When it was over: by itself, or with its worker; infinite while it is present."""
-        return min(self.ended_s, self.life.ended_s)
+        return min(self.ended_s, self.incarnation.ended_s)
 
     @property
     def is_done(self) -> bool:
@@ -95,9 +95,9 @@
         return self.how is EndKind.DONE
 
     @property
-    def stands(self) -> bool:
+    def is_acknowledged(self) -> bool:
         """Whether its end was acknowledged before the worker's lease lapsed."""
-        return self.noted_s is not None and not self.lapsed
+        return self.acknowledged_s is not None and not self.lapsed
 
     @property
     def step(self) -> StepKey:
@@ -109,18 +109,18 @@
 
 
 @dataclass(slots=True)
-class RunBook:
+class RunHistory:
     """All runs and lives.
 
     :ivar runs: in the order of their beginnings at each worker.
     """
 
-    lives: dict[str, Life] = field(default_factory=dict)
-    runs: list[RunAccount] = field(default_factory=list)
-    _present: dict[tuple[str, str, int], RunAccount] = field(default_factory=dict)
+    incarnations: dict[str, Incarnation] = field(default_factory=dict)
+    runs: list[RunRecord] = field(default_factory=list)
+    _present: dict[tuple[str, str, int], RunRecord] = field(default_factory=dict)
 
     @classmethod
-    def of(cls, records: Iterable[Record]) -> RunBook:
+    def of(cls, records: Iterable[Record]) -> RunHistory:
         """The account that some records make."""
         book = cls()
         for record in records:
@@ -130,7 +130,7 @@
     def add(self, record: Record) -> None:
         """Add what a worker told."""
         if isinstance(record, LifeResized):
-            self.lives[record.worker].resized.append(record)
+            self.incarnations[record.worker].resized.append(record)
         elif isinstance(record, LifeBegan | LifeAnnounced | LifeEnded):
             self._add_life(record)
         elif isinstance(record, RunBegan):
@@ -138,23 +138,23 @@
         else:
             self._change(self._present[(record.worker, record.task, record.run)], record)
 
-    def by_task(self) -> dict[TaskName, list[RunAccount]]:
+    def by_task(self) -> dict[TaskName, list[RunRecord]]:
         """All runs of each task, in the order of their beginnings."""
-        found: dict[TaskName, list[RunAccount]] = defaultdict(list)
+        found: dict[TaskName, list[RunRecord]] = defaultdict(list)
         for run in sorted(self.runs, key=lambda run: run.began_s):
             found[run.task].append(run)
         return found
 
-    def by_step(self) -> dict[StepKey, list[RunAccount]]:
+    def by_step(self) -> dict[StepKey, list[RunRecord]]:
         """All runs of each step."""
-        found: dict[StepKey, list[RunAccount]] = defaultdict(list)
+        found: dict[StepKey, list[RunRecord]] = defaultdict(list)
         for run in self.runs:
             found[run.step].append(run)
         return found
 
     def _add_life(self, record: LifeBegan | LifeAnnounced | LifeEnded) -> None:
         if isinstance(record, LifeBegan):
-            self.lives[record.worker] = Life(
+            self.incarnations[record.worker] = Incarnation(
                 record.worker,
                 record.machine,
                 record.hall,
@@ -163,17 +163,17 @@
                 record.at_s,
             )
         elif isinstance(record, LifeAnnounced):
-            self.lives[record.worker].announced_s = record.at_s
+            self.incarnations[record.worker].announced_s = record.at_s
         else:
-            self.lives[record.worker].ended_s = record.at_s
-            self.lives[record.worker].crashed = record.crashed
-            self.lives[record.worker].crashed_by = record.by
+            self.incarnations[record.worker].ended_s = record.at_s
+            self.incarnations[record.worker].crashed = record.crashed
+            self.incarnations[record.worker].crashed_by = record.by
 
     def _begin(self, record: RunBegan) -> None:
-        run = RunAccount(
+        run = RunRecord(
             TaskName.parse(record.task),
             record.run,
-            self.lives[record.worker],
+            self.incarnations[record.worker],
             record.fence,
             record.ordered_s,
             record.at_s,
@@ -184,16 +184,14 @@
         self.runs.append(run)
         self._present[(record.worker, record.task, record.run)] = run
 
-    def _change(
-        self, run: RunAccount, record: RunWorks | RunStopping | RunEnded | EndNoted
-    ) -> None:
+    def _change(self, run: RunRecord, record: RunWorks | RunStopping | RunEnded | EndNoted) -> None:
         if isinstance(record, RunWorks):
-            run.works_s = record.at_s
+            run.work_began_s = record.at_s
         elif isinstance(record, RunStopping):
             run.stop = record
         elif isinstance(record, RunEnded):
             run.ended_s = record.at_s
             run.how = EndKind(record.how)
         else:
-            run.noted_s = record.at_s
+            run.acknowledged_s = record.at_s
             run.lapsed = record.lapsed
--- a/src/saddlestack/soak/excuses.py
+++ b/src/saddlestack/soak/stall_causes.py
@@ -7,12 +7,12 @@
 A standstill is broken where it has a stretch of
 :data:`~saddlestack.policy.stall.STALL_S` or more in which
 
-- no fault reached the VM that led, and nobody else had begun to lead (:attr:`Excuse.LEADER`);
+- no fault reached the VM that led, and nobody else had begun to lead (:attr:`StallCause.LEADER`);
 - no fault of all VMs, of the store for all, or of a share of all workers' ways or records reached
-  it (:attr:`Excuse.ALL`);
+  it (:attr:`StallCause.ALL`);
 - no fault of a worker reached it on which the job had a run, or which a VM had ordered to start
-  one, while the fault was there (:attr:`Excuse.WORKERS`);
-- room for it twice over was free on workers that no fault reached (:attr:`Excuse.ROOM`).
+  one, while the fault was there (:attr:`StallCause.WORKERS`);
+- room for it twice over was free on workers that no fault reached (:attr:`StallCause.ROOM`).
 
 Otherwise it is explained, by all of these that reach into it. What the job does itself, failing
 among it, explains nothing, and neither does what befell other VMs or workers of other jobs.
@@ -32,7 +32,7 @@
 from saddlestack.soak.faults import Fault
 from saddlestack.soak.platform import Term
 from saddlestack.soak.shape import FaultKind, ShapeTimes
-from saddlestack.soak.standstills import Scene, Stood, Trouble, standstills
+from saddlestack.soak.stalls import ExcludedPeriod, SoakHistory, StallPeriod, find_stalls
 from saddlestack.soak.worker_faults import BACK_S, LATEST_S
 
 SLACK_S = 4.7
@@ -44,7 +44,7 @@
 """A worker's record lapses after so many heartbeats of silence."""
 
 
-class Excuse(enum.StrEnum):
+class StallCause(enum.StrEnum):
     """What explains a standstill."""
 
     LEADER = "a fault of the leader, or a change of leader"
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class StartOrder:
+class OrderedStart:
     """A VM ordered a run of a job to start.
 
     :param worker: the id of the worker, or the name of its life.
@@ -77,17 +77,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class JudgedStandstill:
+class ClassifiedStall:
     """A standstill and what explains it.
 
     :param excuses: empty where nothing does: a promise is broken.
     """
 
-    stood: Stood
-    excuses: tuple[Excuse, ...]
+    stall: StallPeriod
+    excuses: tuple[StallCause, ...]
 
 
-class Excuses:
+class StallClassifier:
     """Tells what explains standstills.
 
     :param halls: the data hall of each VM.
@@ -95,17 +95,19 @@
 
     def __init__(
         self,
-        scene: Scene,
+        history: SoakHistory,
         faults: Sequence[Fault],
         terms: Sequence[Term],
         halls: Mapping[str, str],
         times: ShapeTimes,
     ) -> None:
-        self._scene = scene
+        self._scene = history
         self._times = times
         self._reach_s = times.lease_s + SLACK_S
-        self._machines = {name: life.machine for name, life in scene.book.lives.items()}
-        self._ordered_s = sorted(run.ordered_s for run in scene.book.runs if not run.late)
+        self._machines = {
+            name: incarnation.machine for name, incarnation in history.book.incarnations.items()
+        }
+        self._ordered_s = sorted(run.ordered_s for run in history.book.runs if not run.late)
         self._of_workers = [fault for fault in faults if _is_of_workers(fault)]
         self._of_all = [
             self._reach(fault)
@@ -123,43 +125,43 @@
         self._of_leaders += [self._until_starts(span) for span in _leaderless(terms)]
         self._sure = self._sure_standstills()
 
-    def judge(self, stood: Stood, orders: Iterable[StartOrder]) -> JudgedStandstill:
+    def classify(self, stall: StallPeriod, orders: Iterable[OrderedStart]) -> ClassifiedStall:
         """Look at one standstill.
 
         :param orders: of its job.
         """
-        whole = Span(stood.since_s, stood.until_s)
-        sure = [span for span in self._sure.get(stood.job_id, []) if span.meets(whole)]
+        whole = Span(stall.since_s, stall.until_s)
+        sure = [span for span in self._sure.get(stall.job_id, []) if span.meets(whole)]
         reaches = {
-            Excuse.LEADER: [span for span in self._of_leaders if span.meets(whole)],
-            Excuse.ALL: [span for span in self._of_all if span.meets(whole)],
-            Excuse.WORKERS: [
-                span for span in self._of_job(stood.job_id, orders) if span.meets(whole)
+            StallCause.LEADER: [span for span in self._of_leaders if span.meets(whole)],
+            StallCause.ALL: [span for span in self._of_all if span.meets(whole)],
+            StallCause.WORKERS: [
+                span for span in self._of_job(stall.job_id, orders) if span.meets(whole)
             ],
         }
         reached = [span for spans in reaches.values() for span in spans]
         if any(longest_gap_s(span, reached) >= STALL_S for span in sure):
-            return JudgedStandstill(stood, ())
+            return ClassifiedStall(stall, ())
         excuses = [excuse for excuse, spans in reaches.items() if spans]
         if longest_gap_s(whole, reached) >= STALL_S:
-            excuses.append(Excuse.ROOM)
-        return JudgedStandstill(stood, tuple(excuses))
+            excuses.append(StallCause.ROOM)
+        return ClassifiedStall(stall, tuple(excuses))
 
     def _sure_standstills(self) -> dict[str, list[Span]]:
         """Standstills where only room on workers counts that no fault reached."""
-        troubles = [
-            Trouble(frozenset(fault.on.split()), fault.began_s, self._reach(fault).ended_s)
+        excluded = [
+            ExcludedPeriod(frozenset(fault.on.split()), fault.began_s, self._reach(fault).ended_s)
             for fault in self._of_workers
         ]
         found: dict[str, list[Span]] = {}
-        for stood in standstills(self._scene, troubles):
-            found.setdefault(stood.job_id, []).append(Span(stood.since_s, stood.until_s))
+        for stall in find_stalls(self._scene, excluded):
+            found.setdefault(stall.job_id, []).append(Span(stall.since_s, stall.until_s))
         return found
 
-    def _of_job(self, job_id: str, orders: Iterable[StartOrder]) -> Iterator[Span]:
+    def _of_job(self, job_id: str, orders: Iterable[OrderedStart]) -> Iterator[Span]:
         """Reaches of faults of workers while the job was there."""
         stays = [
-            (run.life.machine, Span(run.ordered_s, run.over_s))
+            (run.incarnation.machine, Span(run.ordered_s, run.effective_end_s))
             for run in self._scene.book.runs
             if run.task.job_id == job_id
         ]
--- a/src/saddlestack/soak/standstills.py
+++ b/src/saddlestack/soak/stalls.py
@@ -18,8 +18,8 @@
     StallDetector,
     has_free_capacity,
 )
-from saddlestack.soak.runs import RunAccount, RunBook
-from saddlestack.soak.turns import AcceptedWork, Turn, turns_of
+from saddlestack.soak.runnable_periods import AcceptedRequest, RunnablePeriod, runnable_periods
+from saddlestack.soak.runs import RunHistory, RunRecord
 from saddlestack.work import JobRequest, Resources
 
 BESIDE_MARGIN_S = 0.5
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Trouble:
+class ExcludedPeriod:
     """A time in which the room of some machines does not count as free."""
 
     machines: frozenset[str]
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Stood:
+class StallPeriod:
     """A job that stood still for too long.
 
     :param until_s: when it went on, or the room was gone.
@@ -52,7 +52,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Scene:
+class SoakHistory:
     """Everything in which jobs may stand still.
 
     :param works: jobs that were accepted.
@@ -62,22 +62,22 @@
     :param until_s: when the look ends.
     """
 
-    book: RunBook
-    works: Sequence[AcceptedWork]
+    book: RunHistory
+    works: Sequence[AcceptedRequest]
     requests: Mapping[str, JobRequest]
     room: Resources
     epoch_s: float
     until_s: float
 
 
-def standstills(scene: Scene, troubles: Sequence[Trouble] = ()) -> list[Stood]:
+def find_stalls(history: SoakHistory, excluded: Sequence[ExcludedPeriod] = ()) -> list[StallPeriod]:
     """Jobs that stood still, in the order in which they had stood for too long.
 
     Workers that have announced their end are no room; they count in the pool until they end.
 
-    :param troubles: machines whose room does not count for some time.
+    :param excluded: machines whose room does not count for some time.
     """
-    return _Sweep(scene, troubles).found()
+    return _Sweep(history, excluded).found()
 
 
 @dataclass(slots=True)
@@ -104,7 +104,7 @@
     def use(self) -> PoolUsage:
         return PoolUsage(self.used, self.total)
 
-    def has_room_for(self, turn: Turn) -> bool:
+    def has_capacity_for(self, turn: RunnablePeriod) -> bool:
         """Whether a step that waits fits in twice over."""
         use = self.use
         step = turn.step
@@ -123,20 +123,20 @@
 class _Sweep:
     """Goes through all that happened once, in order of time."""
 
-    def __init__(self, scene: Scene, troubles: Sequence[Trouble]) -> None:
-        self._scene = scene
-        self._troubles = troubles
+    def __init__(self, history: SoakHistory, excluded: Sequence[ExcludedPeriod]) -> None:
+        self._scene = history
+        self._troubles = excluded
         self._pool = _Pool()
         self._watch = StallDetector()
-        self._turns: dict[str, list[Turn]] = defaultdict(list)
+        self._turns: dict[str, list[RunnablePeriod]] = defaultdict(list)
         self._running: Counter[str] = Counter()
         self._idle: set[str] = set()
         self._standing: set[str] = set()
-        self._open: dict[str, Stood] = {}
-        self._found: list[Stood] = []
+        self._open: dict[str, StallPeriod] = {}
+        self._found: list[StallPeriod] = []
         self._events: list[tuple[float, int, Callable[[], None]]] = []
 
-    def found(self) -> list[Stood]:
+    def found(self) -> list[StallPeriod]:
         """All standstills."""
         self._note_lives()
         self._note_runs()
@@ -159,31 +159,34 @@
     # What happens
 
     def _note_lives(self) -> None:
-        by_machine: dict[str, list[Trouble]] = defaultdict(list)
+        by_machine: dict[str, list[ExcludedPeriod]] = defaultdict(list)
         for trouble in self._troubles:
             for machine in trouble.machines:
                 by_machine[machine].append(trouble)
-        for life in self._scene.book.lives.values():
+        for incarnation in self._scene.book.incarnations.values():
             room = self._scene.room
-            worker = _Worker(Resources(room.cpu, room.memory_mb, life.accelerators))
-            self._at(life.began_s, partial(self._join, life.worker, worker))
-            self._at(life.announced_s, partial(_close_room, worker, 1))
-            self._at(life.ended_s, partial(self._leave, life.worker, life.accelerators))
-            for trouble in by_machine[life.machine]:
+            worker = _Worker(Resources(room.cpu, room.memory_mb, incarnation.accelerators))
+            self._at(incarnation.began_s, partial(self._join, incarnation.worker, worker))
+            self._at(incarnation.announced_s, partial(_close_room, worker, 1))
+            self._at(
+                incarnation.ended_s,
+                partial(self._leave, incarnation.worker, incarnation.accelerators),
+            )
+            for trouble in by_machine[incarnation.machine]:
                 self._at(trouble.began_s, partial(_close_room, worker, 1))
                 self._at(trouble.ended_s, partial(_close_room, worker, -1))
 
     def _note_runs(self) -> None:
         for run in self._scene.book.runs:
             self._at(run.began_s, partial(self._run, run, 1))
-            self._at(run.over_s, partial(self._run, run, -1))
+            self._at(run.effective_end_s, partial(self._run, run, -1))
 
     def _note_turns(self) -> None:
-        runs: dict[str, list[RunAccount]] = defaultdict(list)
+        runs: dict[str, list[RunRecord]] = defaultdict(list)
         for run in self._scene.book.runs:
             runs[run.task.job_id].append(run)
         for work in self._scene.works:
-            for turn in turns_of(work, runs[work.job_id], self._scene.epoch_s):
+            for turn in runnable_periods(work, runs[work.job_id], self._scene.epoch_s):
                 self._at(turn.began_s, partial(self._open_turn, turn))
                 self._at(turn.ended_s, partial(self._close_turn, turn))
 
@@ -197,10 +200,10 @@
         del self._pool.workers[name]
         self._pool.total -= accelerators
 
-    def _run(self, run: RunAccount, change: int) -> None:
+    def _run(self, run: RunRecord, change: int) -> None:
         """A run begins, or is over; it may end together with its worker."""
         needs = self._needs(run)
-        worker = self._pool.workers.get(run.life.worker)
+        worker = self._pool.workers.get(run.incarnation.worker)
         if worker is not None:
             worker.free = worker.free - needs if change > 0 else worker.free + needs
         self._pool.used += change * run.accelerators
@@ -208,18 +211,18 @@
         self._running[job_id] += change
         self._sort_job(job_id)
 
-    def _needs(self, run: RunAccount) -> Resources:
+    def _needs(self, run: RunRecord) -> Resources:
         request = self._scene.requests.get(run.task.job_id)
         if request is None:
             return Resources(0, 0, run.accelerators)
         room = request.steps[run.task.step].allocation
         return Resources(room.cpu, room.memory_mb, run.accelerators)
 
-    def _open_turn(self, turn: Turn) -> None:
+    def _open_turn(self, turn: RunnablePeriod) -> None:
         self._turns[turn.job_id].append(turn)
         self._sort_job(turn.job_id)
 
-    def _close_turn(self, turn: Turn) -> None:
+    def _close_turn(self, turn: RunnablePeriod) -> None:
         self._turns[turn.job_id].remove(turn)
         self._sort_job(turn.job_id)
 
@@ -236,27 +239,29 @@
         if not self._pool.use.is_mostly_free:
             return
         for job_id in self._idle:
-            if any(self._pool.has_room_for(turn) for turn in self._turns[job_id]):
+            if any(self._pool.has_capacity_for(turn) for turn in self._turns[job_id]):
                 yield job_id
 
     def _look(self, at_s: float) -> None:
         """Note who has stood for too long by now, and who stands no more."""
         self._close([job_id for job_id in self._open if job_id not in self._standing], at_s)
         for each in self._watch.update(self._standing, at_s):
-            self._open[each.job_id] = Stood(each.job_id, each.since_s, math.inf, self._pool.use)
+            self._open[each.job_id] = StallPeriod(
+                each.job_id, each.since_s, math.inf, self._pool.use
+            )
 
     def _close(self, jobs: Iterable[str], at_s: float) -> None:
         for job_id in jobs:
             self._found.append(replace(self._open.pop(job_id), until_s=at_s))
 
-    def _with_beside(self, stood: Stood) -> Stood:
-        before_s = stood.until_s - BESIDE_MARGIN_S
+    def _with_beside(self, stall: StallPeriod) -> StallPeriod:
+        before_s = stall.until_s - BESIDE_MARGIN_S
         beside = sum(
             1
             for run in self._scene.book.runs
-            if stood.since_s < run.began_s < before_s and run.task.job_id != stood.job_id
+            if stall.since_s < run.began_s < before_s and run.task.job_id != stall.job_id
         )
-        return replace(stood, beside=beside)
+        return replace(stall, beside=beside)
 
 
 def _close_room(worker: _Worker, change: int) -> None:
--- a/src/saddlestack/soak/store_faults.py
+++ b/src/saddlestack/soak/store_faults.py
@@ -6,7 +6,7 @@
 import random
 from collections.abc import Sequence
 
-from saddlestack.soak.faults import Fault, Play
+from saddlestack.soak.faults import Fault, FaultAction
 from saddlestack.soak.platform import SoakPlatform
 from saddlestack.soak.shape import FaultKind
 from saddlestack.soak.store_messages import (
@@ -46,7 +46,7 @@
         self._away = 0
 
     @property
-    def plays(self) -> dict[FaultKind, Play]:
+    def plays(self) -> dict[FaultKind, FaultAction]:
         """What plays each kind."""
         return {
             FaultKind.VM_STORE_CUT: self._cut_vm,
--- a/src/saddlestack/soak/vm_faults.py
+++ b/src/saddlestack/soak/vm_faults.py
@@ -7,7 +7,7 @@
 import signal
 from collections.abc import Mapping, Sequence
 
-from saddlestack.soak.faults import Fault, Play
+from saddlestack.soak.faults import Fault, FaultAction
 from saddlestack.soak.platform import SoakPlatform
 from saddlestack.soak.processes import EntryProcess
 from saddlestack.soak.shape import FaultKind
@@ -44,7 +44,7 @@
         self._cut: dict[str, int] = {}
 
     @property
-    def plays(self) -> dict[FaultKind, Play]:
+    def plays(self) -> dict[FaultKind, FaultAction]:
         """What plays each kind."""
         return {
             FaultKind.VM_KILL: self._kill,
--- a/src/saddlestack/soak/worker_faults.py
+++ b/src/saddlestack/soak/worker_faults.py
@@ -5,7 +5,7 @@
 import asyncio
 import random
 
-from saddlestack.soak.faults import Fault, Play
+from saddlestack.soak.faults import Fault, FaultAction
 from saddlestack.soak.hosts import WorkerHosts
 from saddlestack.soak.messages import (
     AnswerErrors,
@@ -49,7 +49,7 @@
         self._times = times
 
     @property
-    def plays(self) -> dict[FaultKind, Play]:
+    def plays(self) -> dict[FaultKind, FaultAction]:
         """What plays each kind."""
         return {
             FaultKind.WORKER_LATE_ORDERS: self._late_orders,
--- a/tests/soak_story.py
+++ b/tests/soak_records.py
@@ -26,7 +26,7 @@
 
 
 @dataclass
-class Story:
+class RecordBuilder:
     """What workers told; each method adds a record."""
 
     records: list[Record] = field(default_factory=list)
@@ -75,14 +75,14 @@
         index: int = 0,
         run: int = 1,
         step: int = 0,
-        noted_s: float | None = None,
+        acknowledged_s: float | None = None,
         lapsed: bool = False,
         job: str = JOB,
     ) -> None:
         task = name(index, step, job)
         self.records.append(RunEnded(worker, task, run, how, at_s))
-        if noted_s is not None:
-            self.records.append(EndNoted(worker, task, run, 1, noted_s, lapsed))
+        if acknowledged_s is not None:
+            self.records.append(EndNoted(worker, task, run, 1, acknowledged_s, lapsed))
 
     def stop(self, worker: str, at_s: float, *, index: int = 0, run: int = 1) -> None:
         self.records.append(RunStopping(worker, name(index), run, 2, at_s, at_s, False))
--- a/tests/soak_support.py
+++ b/tests/soak_support.py
@@ -143,7 +143,7 @@
     def _teller(self, host: int) -> Callable[[Record | GangMessage], None]:
         def tell(message: Record | GangMessage) -> None:
             if isinstance(message, GangMessage):
-                self.hub.take(host, message)
+                self.hub.receive(host, message)
             else:
                 self.records.append(message)
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -17,17 +17,23 @@
 from saddlestack.errors import SaddlestackError
 from saddlestack.platform.documents import PlatformDocuments
 from saddlestack.soak.disturbances import RECOVERY_S, Disturbances
-from saddlestack.soak.faults import Fault, FaultPlayer, Play
+from saddlestack.soak.faults import Fault, FaultAction, FaultInjector
 from saddlestack.soak.launcher import CuttableDialer
-from saddlestack.soak.load import ALWAYS, Load, Told, draw, request
+from saddlestack.soak.load import ALWAYS_FAILS, Load, SubmittedJob, draw, request
 from saddlestack.soak.logsearch import lines_of
 from saddlestack.soak.meters import Usage, VmUse
 from saddlestack.soak.platform import TermHistory, configuration
 from saddlestack.soak.processes import EntryProcess, EntrySite
 from saddlestack.soak.proxy import Proxy, Trouble
 from saddlestack.soak.readiness import Readiness
-from saddlestack.soak.report import BrokenReport, LagReport, SoakReport, StandstillReport, Waits
-from saddlestack.soak.run import Soak, SoakPlan, run, sites_of
+from saddlestack.soak.report import (
+    BrokenReport,
+    LagReport,
+    SoakReport,
+    StandstillReport,
+    TimeSummary,
+)
+from saddlestack.soak.run import Soak, SoakPlan, entry_sites, run
 from saddlestack.soak.shape import FaultKind, FaultMix, SoakShape, Spread, check, load
 from saddlestack.soak.store_messages import TermBegan, TermEnded, WayTrouble
 from saddlestack.soak.store_way import StoreWay
@@ -141,7 +147,7 @@
                 load(path)
 
     def test_each_vm_has_an_address_of_its_own(self) -> None:
-        sites = sites_of(load(GROWN))
+        sites = entry_sites(load(GROWN))
         self.assertEqual(len({site.address for site in sites}), 41)
         self.assertEqual(sum(site.strong for site in sites), 6)
 
@@ -169,8 +175,8 @@
 class BurstTest(unittest.TestCase):
     """Jobs that fail by their own fault, as clients hand them in."""
 
-    def handed_in(self, shape: SoakShape) -> list[Told]:
-        async def body() -> list[Told]:
+    def handed_in(self, shape: SoakShape) -> list[SubmittedJob]:
+        async def body() -> list[SubmittedJob]:
             load = Load(shape, [], random.Random(1), random.Random(2))
             task = asyncio.get_running_loop().create_task(load.run())
             await asyncio.sleep(30.0)
@@ -178,7 +184,7 @@
             await asyncio.gather(task, return_exceptions=True)
             return load.jobs
 
-        async def drop(load: Load, told: Told, rng: random.Random) -> None:
+        async def drop(load: Load, told: SubmittedJob, rng: random.Random) -> None:
             return
 
         with patch.object(Load, "_drive", drop), patch.object(Readiness, "run", _nothing):
@@ -189,7 +195,7 @@
         others = msgspec.structs.replace(shape, failing=None)
         before = {told.job_id for told in self.handed_in(others)}
         jobs = self.handed_in(shape)
-        bursts: dict[float, list[Told]] = {}
+        bursts: dict[float, list[SubmittedJob]] = {}
         for told in jobs:
             if told.job_id not in before:
                 bursts.setdefault(told.submitted_s, []).append(told)
@@ -201,7 +207,7 @@
             self.assertEqual(len({told.kind.name for told in burst}), 1)
             for told in burst:
                 plan = msgspec.json.decode(told.request.payload, type=TaskPlan)
-                self.assertEqual(plan.failures, ALWAYS)
+                self.assertEqual(plan.failures, ALWAYS_FAILS)
                 self.assertLessEqual(plan.work_s, 1.0)
 
 
@@ -210,7 +216,7 @@
 
     def test_the_first_final_state_or_the_cancel_closes_a_job(self) -> None:
         kind = load(SMALL).kinds[0]
-        told = Told("x1", kind, "others", request(kind, random.Random(1)), 0.0)
+        told = SubmittedJob("x1", kind, "others", request(kind, random.Random(1)), 0.0)
         self.assertEqual(told.closed_s, math.inf)
         told.changes += [(1.0, JobState.RUNNING), (2.0, JobState.FAILED), (3.0, JobState.FAILED)]
         self.assertEqual(told.closed_s, 2.0)
@@ -221,7 +227,7 @@
 class LogsTest(unittest.TestCase):
     """The logs of a soak, once it is over."""
 
-    def kept(self, report: SoakReport, *, keeps_logs: bool) -> bool:
+    def kept(self, report: SoakReport, *, keep_logs: bool) -> bool:
         folders: list[Path] = []
 
         async def played(soak: Soak) -> SoakReport:
@@ -229,7 +235,7 @@
             return report
 
         with patch.object(Soak, "run", played):
-            asyncio.run(run(SoakPlan(load(SMALL), 1, 0.0, keeps_logs=keeps_logs)))
+            asyncio.run(run(SoakPlan(load(SMALL), 1, 0.0, keep_logs=keep_logs)))
         there = folders[0].exists()
         if there:
             folders[0].rmdir()
@@ -237,11 +243,11 @@
         return there
 
     def test_they_go_where_all_was_good_unless_they_are_to_be_kept(self) -> None:
-        self.assertFalse(self.kept(_report([0.01]), keeps_logs=False))
-        self.assertTrue(self.kept(_report([0.01]), keeps_logs=True))
+        self.assertFalse(self.kept(_report([0.01]), keep_logs=False))
+        self.assertTrue(self.kept(_report([0.01]), keep_logs=True))
         broken = _report([0.01])
         broken.broken.append(BrokenReport("two runs at once", 2.5, "x1", "x1 ran twice", []))
-        self.assertTrue(self.kept(broken, keeps_logs=False))
+        self.assertTrue(self.kept(broken, keep_logs=False))
 
 
 async def _nothing(readiness: Readiness) -> None:
@@ -276,7 +282,7 @@
                 first_s=first_s,
             )
             start_s = asyncio.get_running_loop().time()
-            player = FaultPlayer(mix, {FaultKind.ALL_KILL: play}, random.Random(1))
+            player = FaultInjector(mix, {FaultKind.ALL_KILL: play}, random.Random(1))
             await player.run(seconds)
             return start_s
 
@@ -300,7 +306,7 @@
 
     def test_halls_are_cut_from_each_other_and_not_within(self) -> None:
         shape = load(SMALL)
-        entries = [RecordedEntry(site) for site in sites_of(shape)]
+        entries = [RecordedEntry(site) for site in entry_sites(shape)]
         workers = {"hall-1": ["127.64.0.1"], "hall-2": ["127.64.0.2"]}
         faults = VmFaults(entries, None, workers)  # type: ignore[arg-type]
         fault = Fault(FaultKind.HALL_CUT, 3.0)
@@ -317,20 +323,20 @@
             Fault(FaultKind.HALL_KILL, 1.0, 200.0, 201.0, on="hall-1"),
         ]
         near = Disturbances(faults, {"a": "hall-1", "b": "hall-2"})
-        self.assertTrue(near.in_touch("a", 9.9))
-        self.assertFalse(near.in_touch("a", 10.0 + RECOVERY_S))
-        self.assertTrue(near.in_touch("b", 10.5))
-        self.assertFalse(near.in_touch("b", 100.5))
-        self.assertFalse(near.in_touch("a", 200.5))
-        self.assertTrue(near.in_touch("b", 200.5))
-        self.assertFalse(near.calm(11.0 + RECOVERY_S))
-        self.assertTrue(near.calm(12.0 + RECOVERY_S))
+        self.assertTrue(near.is_undisturbed("a", 9.9))
+        self.assertFalse(near.is_undisturbed("a", 10.0 + RECOVERY_S))
+        self.assertTrue(near.is_undisturbed("b", 10.5))
+        self.assertFalse(near.is_undisturbed("b", 100.5))
+        self.assertFalse(near.is_undisturbed("a", 200.5))
+        self.assertTrue(near.is_undisturbed("b", 200.5))
+        self.assertFalse(near.is_fault_free(11.0 + RECOVERY_S))
+        self.assertTrue(near.is_fault_free(12.0 + RECOVERY_S))
 
 
-def _player(play: Play, seed: int) -> FaultPlayer:
+def _player(play: FaultAction, seed: int) -> FaultInjector:
     weights = {FaultKind.VM_KILL: 1.0, FaultKind.STORE_SLOW: 2.0, FaultKind.WORKER_HANG: 0.0}
     mix = FaultMix(weights=weights, pause_s=(0.5, 1.5), lasting_s=(0.5, 3.0))
-    return FaultPlayer(mix, dict.fromkeys(weights, play), random.Random(seed))
+    return FaultInjector(mix, dict.fromkeys(weights, play), random.Random(seed))
 
 
 @dataclass(slots=True)
@@ -360,11 +366,11 @@
 
 class ReportTest(unittest.TestCase):
     def test_waits(self) -> None:
-        waits = Waits.of([float(number) for number in range(1, 101)])
+        waits = TimeSummary.of([float(number) for number in range(1, 101)])
         self.assertEqual(
             (waits.count, waits.median_s, waits.p99_s, waits.longest_s), (100, 50, 99, 100)
         )
-        self.assertEqual(Waits.of([]), Waits())
+        self.assertEqual(TimeSummary.of([]), TimeSummary())
 
     def test_stand_ins_that_are_late_are_named(self) -> None:
         report = _report([0.01, 0.24], [0.01, 0.3])
@@ -438,7 +444,7 @@
         busiest=[],
         memory_mb=0.0,
         stand_ins=[
-            LagReport(f"stand-in {number}", Waits.of(lags), 0.1)
+            LagReport(f"stand-in {number}", TimeSummary.of(lags), 0.1)
             for number, lags in enumerate(lags_s)
         ],
         faults=[],
--- a/tests/test_soak_standstills.py
+++ b/tests/test_soak_stalls.py
@@ -9,24 +9,24 @@
 from pathlib import Path
 
 from saddlestack.policy.stall import STALL_S, PoolUsage
-from saddlestack.soak.excuses import (
-    SLACK_S,
-    Excuse,
-    Excuses,
-    JudgedStandstill,
-    Span,
-    StartOrder,
-    longest_gap_s,
-)
 from saddlestack.soak.faults import Fault
 from saddlestack.soak.logsearch import orders_of
 from saddlestack.soak.platform import Term
-from saddlestack.soak.runs import RunBook
+from saddlestack.soak.runnable_periods import AcceptedRequest, runnable_periods
+from saddlestack.soak.runs import RunHistory
 from saddlestack.soak.shape import FaultKind
-from saddlestack.soak.standstills import Scene, Stood, Trouble, standstills
-from saddlestack.soak.turns import AcceptedWork, turns_of
+from saddlestack.soak.stall_causes import (
+    SLACK_S,
+    ClassifiedStall,
+    OrderedStart,
+    Span,
+    StallCause,
+    StallClassifier,
+    longest_gap_s,
+)
+from saddlestack.soak.stalls import ExcludedPeriod, SoakHistory, StallPeriod, find_stalls
 from saddlestack.work import JobRequest, Resources, Step
-from tests.soak_story import JOB, Story
+from tests.soak_records import JOB, RecordBuilder
 from tests.soak_support import TIMES
 
 OTHER = "00000000000000bb"
@@ -38,40 +38,42 @@
 LED = Term(1, "vm-1", -50.0)
 
 
-def work(*steps: Step, accepted_s: float = 1.0, attempts: int = 1) -> AcceptedWork:
+def work(*steps: Step, accepted_s: float = 1.0, attempts: int = 1) -> AcceptedRequest:
     request = JobRequest(payload="{}", steps=steps or (Step(count=2, needs=ONE),))
-    return AcceptedWork(JOB, request, accepted_s, attempts)
+    return AcceptedRequest(JOB, request, accepted_s, attempts)
 
 
-def scene(story: Story, *works: AcceptedWork, until_s: float = END_S) -> Scene:
+def history(builder: RecordBuilder, *works: AcceptedRequest, until_s: float = END_S) -> SoakHistory:
     found = works or (work(),)
     requests = {each.job_id: each.request for each in found}
-    return Scene(RunBook.of(story.records), found, requests, ROOM, 0.0, until_s)
+    return SoakHistory(RunHistory.of(builder.records), found, requests, ROOM, 0.0, until_s)
 
 
 class StoryTest(unittest.TestCase):
     """Four workers of eight accelerators, and what one job of two tasks waits for."""
 
     def setUp(self) -> None:
-        self.story = Story()
+        self.builder = RecordBuilder()
         for worker in "abcd":
-            self.story.worker(worker, machine=f"m-{worker}")
+            self.builder.worker(worker, machine=f"m-{worker}")
 
     def done(self, began_s: float, ended_s: float, *, tasks: int = 2) -> None:
         for index in range(tasks):
-            self.story.begin("a", began_s, index=index)
-            self.story.end("a", ended_s, index=index, noted_s=ended_s)
+            self.builder.begin("a", began_s, index=index)
+            self.builder.end("a", ended_s, index=index, acknowledged_s=ended_s)
 
     def fill(self, workers: str, began_s: float, ended_s: float, room: int = 8) -> None:
         """Another job holds some workers."""
         for index, worker in enumerate(workers):
-            self.story.begin(worker, began_s, index=index, room=room, job=OTHER)
-            self.story.end(worker, ended_s, index=index, noted_s=ended_s, job=OTHER)
+            self.builder.begin(worker, began_s, index=index, room=room, job=OTHER)
+            self.builder.end(worker, ended_s, index=index, acknowledged_s=ended_s, job=OTHER)
 
 
 class FoundTest(StoryTest):
-    def found(self, *works: AcceptedWork, troubles: tuple[Trouble, ...] = ()) -> list[Stood]:
-        return standstills(scene(self.story, *works), troubles)
+    def found(
+        self, *works: AcceptedRequest, excluded: tuple[ExcludedPeriod, ...] = ()
+    ) -> list[StallPeriod]:
+        return find_stalls(history(self.builder, *works), excluded)
 
     def test_a_job_that_starts_at_once_stands_never(self) -> None:
         self.done(1.0, 5.0)
@@ -79,40 +81,42 @@
 
     def test_a_job_that_stands_beside_a_free_pool(self) -> None:
         self.fill("bbb", 2.0, 6.0, room=2)
-        self.story.begin("c", 5.4, job=OTHER, index=5)
+        self.builder.begin("c", 5.4, job=OTHER, index=5)
         self.done(5.5, 9.0)
-        self.assertEqual(self.found(), [Stood(JOB, 1.0, 5.5, PoolUsage(6, 32), 3)])
+        self.assertEqual(self.found(), [StallPeriod(JOB, 1.0, 5.5, PoolUsage(6, 32), 3)])
 
     def test_nearly_too_long_is_none(self) -> None:
         self.done(1.0 + STALL_S - 0.01, 9.0)
         self.assertEqual(self.found(), [])
 
     def test_a_job_that_never_starts_stands_to_the_end(self) -> None:
-        self.assertEqual(self.found(), [Stood(JOB, 1.0, END_S, PoolUsage(0, 32))])
+        self.assertEqual(self.found(), [StallPeriod(JOB, 1.0, END_S, PoolUsage(0, 32))])
 
     def test_it_stands_again_between_two_runs(self) -> None:
-        self.story.begin("a", 1.0)
-        self.story.end("a", 3.0, "failed", noted_s=3.0)
+        self.builder.begin("a", 1.0)
+        self.builder.end("a", 3.0, "failed", acknowledged_s=3.0)
         self.done_again(7.0, 8.0)
-        self.assertEqual(self.found(work(attempts=4)), [Stood(JOB, 3.0, 7.0, PoolUsage(0, 32))])
+        self.assertEqual(
+            self.found(work(attempts=4)), [StallPeriod(JOB, 3.0, 7.0, PoolUsage(0, 32))]
+        )
 
     def done_again(self, began_s: float, ended_s: float) -> None:
         for index in range(2):
-            self.story.begin("b", began_s, index=index, run=2)
-            self.story.end("b", ended_s, index=index, run=2, noted_s=ended_s)
+            self.builder.begin("b", began_s, index=index, run=2)
+            self.builder.end("b", ended_s, index=index, run=2, acknowledged_s=ended_s)
 
     def test_an_end_that_nobody_noted_does_not_count(self) -> None:
-        self.story.begin("a", 1.0)
-        self.story.end("a", 3.0)
-        self.story.begin("a", 1.0, index=1)
-        self.story.end("a", 3.0, index=1)
+        self.builder.begin("a", 1.0)
+        self.builder.end("a", 3.0)
+        self.builder.begin("a", 1.0, index=1)
+        self.builder.end("a", 3.0, index=1)
         self.done_again(7.0, 8.0)
         self.assertEqual([(each.since_s, each.until_s) for each in self.found()], [(3.0, 7.0)])
 
     def test_a_pool_that_is_half_used_is_none(self) -> None:
         self.fill("ab", 0.5, 30.0)
         self.assertEqual([each.since_s for each in self.found()], [30.0])
-        self.story.worker("e", 25.0)
+        self.builder.worker("e", 25.0)
         self.assertEqual([each.since_s for each in self.found()], [25.0])
 
     def test_room_for_less_than_twice_is_none(self) -> None:
@@ -132,25 +136,25 @@
 
     def test_workers_that_leave_are_no_room(self) -> None:
         for worker in "abc":
-            self.story.announce(worker, 0.5)
+            self.builder.announce(worker, 0.5)
         big = Step(count=1, needs=Resources(1000, 1024, 8))
         self.assertEqual(self.found(work(big)), [])
         self.assertEqual(len(self.found()), 1)
 
     def test_room_in_trouble_is_left_out(self) -> None:
-        troubles = (Trouble(frozenset({"m-a", "m-b", "m-c", "m-d"}), 0.5, 20.0),)
-        self.assertEqual([each.since_s for each in self.found(troubles=troubles)], [20.0])
+        excluded = (ExcludedPeriod(frozenset({"m-a", "m-b", "m-c", "m-d"}), 0.5, 20.0),)
+        self.assertEqual([each.since_s for each in self.found(excluded=excluded)], [20.0])
 
     def test_runs_end_with_their_worker(self) -> None:
-        self.story.begin("a", 1.0)
-        self.story.gone("a", 4.0, crashed=True)
+        self.builder.begin("a", 1.0)
+        self.builder.gone("a", 4.0, crashed=True)
         self.done_again(8.0, 9.0)
-        self.assertEqual(self.found(), [Stood(JOB, 4.0, 8.0, PoolUsage(0, 24))])
+        self.assertEqual(self.found(), [StallPeriod(JOB, 4.0, 8.0, PoolUsage(0, 24))])
 
 
 class TurnTest(StoryTest):
-    def spans(self, one: AcceptedWork) -> list[tuple[float, float]]:
-        found = turns_of(one, RunBook.of(self.story.records).runs, epoch_s=-1000.0)
+    def spans(self, one: AcceptedRequest) -> list[tuple[float, float]]:
+        found = runnable_periods(one, RunHistory.of(self.builder.records).runs, epoch_s=-1000.0)
         return [(turn.began_s, turn.ended_s) for turn in found]
 
     def test_a_step_waits_for_those_before_it(self) -> None:
@@ -158,7 +162,7 @@
         self.assertEqual(self.spans(work(*steps)), [(1.0, math.inf)])
         self.done(1.0, 20.0)
         self.assertEqual(self.spans(work(*steps)), [(1.0, 20.0), (20.0, math.inf)])
-        found = standstills(scene(self.story, work(*steps)))
+        found = find_stalls(history(self.builder, work(*steps)))
         self.assertEqual([each.since_s for each in found], [20.0])
 
     def test_each_time_of_a_job_is_waited_for(self) -> None:
@@ -169,7 +173,7 @@
             first_at_ms=1_010_000,
             interval_ms=10_000,
         )
-        timed = AcceptedWork(JOB, request, 1.0, 1)
+        timed = AcceptedRequest(JOB, request, 1.0, 1)
         self.assertEqual(self.spans(timed), [(10.0, math.inf), (20.0, math.inf)])
 
     def test_a_gang_is_done_with_one_member_s_end(self) -> None:
@@ -180,8 +184,8 @@
 
     def test_a_job_that_failed_as_often_as_it_may_is_over(self) -> None:
         for run, ended_s in ((1, 3.0), (2, 6.0)):
-            self.story.begin("a", ended_s - 1.0, run=run)
-            self.story.end("a", ended_s, "failed", run=run, noted_s=ended_s)
+            self.builder.begin("a", ended_s - 1.0, run=run)
+            self.builder.end("a", ended_s, "failed", run=run, acknowledged_s=ended_s)
         self.assertEqual(self.spans(work(attempts=2)), [(1.0, 6.0)])
         self.assertEqual(self.spans(work(attempts=3)), [(1.0, math.inf)])
 
@@ -197,13 +201,13 @@
         self,
         *faults: Fault,
         terms: tuple[Term, ...] = (LED,),
-        orders: tuple[StartOrder, ...] = (),
+        orders: tuple[OrderedStart, ...] = (),
         until_s: float = 106.0,
-    ) -> JudgedStandstill:
-        whole = scene(self.story, work(accepted_s=LATE_S), until_s=until_s)
-        (stood,) = standstills(whole)
+    ) -> ClassifiedStall:
+        whole = history(self.builder, work(accepted_s=LATE_S), until_s=until_s)
+        (stall,) = find_stalls(whole)
         halls = {"vm-1": "hall-1", "vm-2": "hall-2"}
-        return Excuses(whole, faults, terms, halls, TIMES).judge(stood, orders)
+        return StallClassifier(whole, faults, terms, halls, TIMES).classify(stall, orders)
 
     def test_nothing_explains_a_standstill_in_the_calm(self) -> None:
         self.assertEqual(self.judged().excuses, ())
@@ -223,11 +227,11 @@
             Fault(FaultKind.HALL_KILL, 1.0, 99.0, 101.0, on="hall-1"),
             Fault(FaultKind.STORE_SHARE_AWAY, 1.0, 99.0, 101.0, on="vm-2 vm-1"),
         ):
-            self.assertEqual(self.judged(fault).excuses, (Excuse.LEADER,), fault)
+            self.assertEqual(self.judged(fault).excuses, (StallCause.LEADER,), fault)
 
     def test_a_change_of_leader_explains(self) -> None:
         terms = (Term(1, "vm-1", 0.0, 98.0), Term(2, "vm-2", 99.0))
-        self.assertEqual(self.judged(terms=terms).excuses, (Excuse.LEADER,))
+        self.assertEqual(self.judged(terms=terms).excuses, (StallCause.LEADER,))
         later = (Term(1, "vm-1", 0.0, 98.0 - REACH_S), Term(2, "vm-2", 99.0 - REACH_S))
         self.assertEqual(self.judged(terms=later).excuses, ())
 
@@ -241,13 +245,13 @@
         self.fill("a", 102.5, 103.0, room=1)
         for fault in stopped:
             self.assertEqual(len(self.judged(fault).excuses), 1, fault)
-        self.assertEqual(self.judged(terms=terms).excuses, (Excuse.LEADER,))
+        self.assertEqual(self.judged(terms=terms).excuses, (StallCause.LEADER,))
         self.fill("b", 100.2, 100.4, room=1)
         for fault in stopped:
             self.assertEqual(self.judged(fault).excuses, (), fault)
         self.assertEqual(self.judged(terms=terms).excuses, ())
         cut = Fault(FaultKind.HALL_CUT, 1.0, 99.0, 99.5, on="hall-1")
-        self.assertIn(Excuse.ALL, self.judged(cut).excuses)
+        self.assertIn(StallCause.ALL, self.judged(cut).excuses)
 
     def test_a_fault_of_a_former_leader_reaches_no_further_than_its_term(self) -> None:
         terms = (Term(1, "vm-1", 0.0, 95.0), Term(2, "vm-2", 95.1))
@@ -257,12 +261,12 @@
 
     def test_a_fault_of_all_explains(self) -> None:
         for kind in (FaultKind.STORE_AWAY, FaultKind.ALL_KILL, FaultKind.HALL_CUT):
-            self.assertEqual(self.judged(Fault(kind, 1.0, 99.0, 101.0)).excuses, (Excuse.ALL,))
+            self.assertEqual(self.judged(Fault(kind, 1.0, 99.0, 101.0)).excuses, (StallCause.ALL,))
 
     def test_a_fault_reaches_one_lease_and_some_more(self) -> None:
         ended_s = LATE_S + STALL_S - REACH_S
         near = Fault(FaultKind.STORE_AWAY, 1.0, 80.0, ended_s + 0.1)
-        self.assertEqual(self.judged(near).excuses, (Excuse.ALL,))
+        self.assertEqual(self.judged(near).excuses, (StallCause.ALL,))
         far = Fault(FaultKind.STORE_AWAY, 1.0, 80.0, ended_s - 0.1)
         self.assertEqual(self.judged(far).excuses, ())
 
@@ -270,25 +274,25 @@
         late = Fault(FaultKind.STORE_AWAY, 1.0, LATE_S + STALL_S, 105.0)
         self.assertEqual(self.judged(late).excuses, ())
         early = replace_began(late, LATE_S + STALL_S - 0.1)
-        self.assertEqual(self.judged(early).excuses, (Excuse.ALL,))
+        self.assertEqual(self.judged(early).excuses, (StallCause.ALL,))
 
     def test_a_fault_of_a_worker_that_it_was_on_explains(self) -> None:
-        self.story.begin("a", 95.0)
-        self.story.end("a", 99.5, "lapsed", noted_s=99.6)
+        self.builder.begin("a", 95.0)
+        self.builder.end("a", 99.5, "lapsed", acknowledged_s=99.6)
         fault = Fault(FaultKind.WORKER_HANG, 3.0, 98.0, 98.0, on="m-a")
-        self.assertEqual(self.judged(fault).excuses, (Excuse.WORKERS,))
+        self.assertEqual(self.judged(fault).excuses, (StallCause.WORKERS,))
         self.assertEqual(self.judged(replace_on(fault, "m-b")).excuses, ())
 
     def test_a_start_that_was_ordered_to_a_worker_in_trouble_explains(self) -> None:
         fault = Fault(FaultKind.WORKER_HANG, 3.0, 98.0, 98.0, on="m-a")
-        ordered = StartOrder(100.1, "a")
-        self.assertEqual(self.judged(fault, orders=(ordered,)).excuses, (Excuse.WORKERS,))
-        after = StartOrder(105.9, "a")
+        ordered = OrderedStart(100.1, "a")
+        self.assertEqual(self.judged(fault, orders=(ordered,)).excuses, (StallCause.WORKERS,))
+        after = OrderedStart(105.9, "a")
         self.assertEqual(self.judged(fault, orders=(after,)).excuses, ())
 
     def test_room_on_workers_in_trouble_alone_explains(self) -> None:
         fault = Fault(FaultKind.WORKER_LAPSE, 3.0, 98.0, 98.0, on="m-a m-b m-c m-d")
-        self.assertEqual(self.judged(fault).excuses, (Excuse.ROOM,))
+        self.assertEqual(self.judged(fault).excuses, (StallCause.ROOM,))
         some = replace_on(fault, "m-a m-b m-c")
         self.assertEqual(self.judged(some).excuses, ())
 
--- a/tests/test_worker_gangs.py
+++ b/tests/test_worker_gangs.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass, field
 
 from saddlestack.interfaces.workers import EndKind, WorkerFenced, WorkerUnreachable
-from saddlestack.soak.account import ClientJob, Promise, PromiseTimes, judge
+from saddlestack.soak.invariants import ClientJob, Invariant, InvariantTimes, check_invariants
 from saddlestack.soak.messages import RunBegan, RunEnded, RunWorks
-from saddlestack.soak.runs import RunBook
+from saddlestack.soak.runs import RunHistory
 from saddlestack.standins.pool.workers import TaskPlan
 from saddlestack.work import JobRequest, Resources, Step
 from tests.soak_support import ACCELERATORS, JOB, TIMES, Workers, virtually
@@ -136,10 +136,10 @@
 
     def check_gangs_work_whole_and_end_done_together(self, workers: Workers) -> None:
         ends = defaultdict(list)
-        for run in RunBook.of(workers.records).runs:
+        for run in RunHistory.of(workers.records).runs:
             if run.gang and run.how is EndKind.DONE:
-                self.assertIsNotNone(run.works_s)
-                ends[(run.number, run.works_s)].append(run)
+                self.assertIsNotNone(run.work_began_s)
+                ends[(run.number, run.work_began_s)].append(run)
         for gang, runs in ends.items():
             times = {run.ended_s for run in runs}
             self.assertLessEqual(max(times) - min(times), 1e-3, gang)
@@ -154,9 +154,9 @@
             refused=False,
             attempts=99,
         )
-        found = judge(workers.records, [job], PromiseTimes(TIMES.drain_s))
-        self.assertNotIn(Promise.ROOM, {each.promise for each in found})
-        self.assertNotIn(Promise.WHOLE_GANG, {each.promise for each in found})
+        found = check_invariants(workers.records, [job], InvariantTimes(TIMES.drain_s))
+        self.assertNotIn(Invariant.ROOM, {each.promise for each in found})
+        self.assertNotIn(Invariant.WHOLE_GANG, {each.promise for each in found})
         for life in workers.lives:
             self.assertEqual(life.machine.accelerators, ACCELERATORS)
 
