--- a/src/saddlestack/cli/crashes.py
+++ b/src/saddlestack/cli/crashes.py
@@ -15,7 +15,7 @@
 CLEARED = "crash_cleared"
 GIVEN_UP = "crash_given_up"
 RUN_OVER = "run_over"
-BESIDE_SHOWN = 8
+MAX_LOST_TASKS_SHOWN = 8
 """Runs that died beside a task are named up to so many a crash."""
 
 
@@ -50,14 +50,14 @@
     return {line.task for line in lines if line.event == GIVEN_UP}
 
 
-def crashed_by(lines: Sequence[LogLine], tasks: set[str]) -> set[str]:
+def crashed_workers(lines: Sequence[LogLine], tasks: set[str]) -> set[str]:
     """The lives of workers that crashed under some tasks."""
     return {
         line.worker for line in lines if line.task in tasks and line.event in {SUSPECT, GIVEN_UP}
     }
 
 
-def died_beside(lines: Sequence[LogLine], crash: LogLine) -> list[str]:
+def lost_with_worker(lines: Sequence[LogLine], crash: LogLine) -> list[str]:
     """Tasks of other runs that were lost with the worker of a crash."""
     return [
         line.task
@@ -66,7 +66,7 @@
     ]
 
 
-def described(crash: LogLine, lines: Sequence[LogLine]) -> str:
+def describe(crash: LogLine, lines: Sequence[LogLine]) -> str:
     """What a line about a task under which a worker crashed tells, in a sentence."""
     if crash.event == CLEARED:
         return f"{crash.task} is held to be sound from {crash.time} on"
@@ -74,9 +74,13 @@
     count = f"{crash.crashes} workers crashed under it, odds {crash.odds:.3g} to 1"
     if not crash.worker:
         return f"{what} at {crash.time}: {count}; it was started as often as it may be"
-    others = died_beside(lines, crash)
-    named = ", ".join(others[:BESIDE_SHOWN])
-    more = f" and {len(others) - BESIDE_SHOWN} more" if len(others) > BESIDE_SHOWN else ""
+    others = lost_with_worker(lines, crash)
+    named = ", ".join(others[:MAX_LOST_TASKS_SHOWN])
+    more = (
+        f" and {len(others) - MAX_LOST_TASKS_SHOWN} more"
+        if len(others) > MAX_LOST_TASKS_SHOWN
+        else ""
+    )
     beside = f"beside it died {named}{more}" if others else "nothing died beside it"
     return f"{what} at {crash.time}: {crash.worker} crashed ({count}); {beside}"
 
@@ -106,4 +110,4 @@
 
 
 def _beside(suspect: Suspect, lines: Sequence[LogLine]) -> int:
-    return sum(len(died_beside(lines, crash)) for crash in suspect.lines)
+    return sum(len(lost_with_worker(lines, crash)) for crash in suspect.lines)
--- a/src/saddlestack/cli/explaining.py
+++ b/src/saddlestack/cli/explain.py
@@ -7,7 +7,7 @@
 
 import click
 
-from saddlestack.cli.crashes import CLEARED, GIVEN_UP, SUSPECT, described
+from saddlestack.cli.crashes import CLEARED, GIVEN_UP, SUSPECT, describe
 from saddlestack.cli.loglines import LogLine, read
 from saddlestack.cli.output import errors_to_exit_codes, log_files
 from saddlestack.policy.cluster.reasons import WaitReason
@@ -27,7 +27,7 @@
 RUN_ENDS = frozenset({"ended", "run_over", "run_absent"})
 
 
-def about(job_id: str, lines: Sequence[LogLine]) -> list[LogLine]:
+def related_lines(job_id: str, lines: Sequence[LogLine]) -> list[LogLine]:
     """The lines about a job, and what happened to leaders and the store meanwhile."""
     own = [line for line in lines if _concerns(line, job_id)]
     if not own:
@@ -94,7 +94,7 @@
         elif line.event == "ended" and line.how not in {"done", "stopped", "broken"}:
             found.append(f"{line.task} run {line.run} ended {line.how} on {line.worker}")
         elif line.event in {SUSPECT, CLEARED, GIVEN_UP}:
-            found.append(described(line, everything))
+            found.append(describe(line, everything))
         elif line.event in {WAITS, STANDS_STILL}:
             found.append(_waited(line))
         elif line.event == "start_refused":
@@ -147,7 +147,7 @@
 def explain(job_id: str, files: tuple[Path, ...]) -> None:
     """Tell what became of job ID, and why, from the log FILEs of all VMs."""
     everything = read(files)
-    lines = about(job_id, everything)
+    lines = related_lines(job_id, everything)
     if not lines:
         click.echo(f"no line tells of job {job_id}", err=True)
         raise SystemExit(1)
--- a/src/saddlestack/cli/loggedpool.py
+++ b/src/saddlestack/cli/loggedpool.py
@@ -14,14 +14,14 @@
 from dataclasses import dataclass, field
 
 from saddlestack.cli.loglines import LogLine
-from saddlestack.cli.steps import LoggedStep, logged_step
+from saddlestack.cli.steps import LoggedStep, parse_logged_step
 from saddlestack.policy.stall import FREE_CAPACITY_FACTOR, PoolUsage, has_free_capacity
 from saddlestack.work import Resources, TaskName
 
 START = "start"
-GOINGS = frozenset({"lease_wait", "worker_replaced", "worker_silent"})
+WORKER_LOSS_EVENTS = frozenset({"lease_wait", "worker_replaced", "worker_silent"})
 """Events that tell of workers that went, or were silent."""
-GONE_PROOFS = frozenset({"replaced", "lapsed"})
+WORKER_LOSS_PROOFS = frozenset({"replaced", "lapsed"})
 """Proofs of a run that counts as over that tell so too."""
 RUN_ENDS = frozenset({"ended", "run_over", "run_absent", "start_refused"})
 LEAVES = "worker_leaves"
@@ -40,7 +40,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SeenWorker:
+class WorkerSpan:
     """From when to when lines named a life of a worker."""
 
     first_s: float
@@ -67,17 +67,17 @@
         """A run begins, or is over."""
         if line.event == START:
             self._end(line.task)
-            self.runs.setdefault(job_of(line), {})[line.task] = LoggedRun(line.run, line.worker)
+            self.runs.setdefault(job_id_of(line), {})[line.task] = LoggedRun(line.run, line.worker)
             self.held[line.worker] = self.held.get(line.worker, _NOTHING) + self._needs(line.task)
         elif line.event in RUN_ENDS:
-            run = self.runs.get(job_of(line), {}).get(line.task)
+            run = self.runs.get(job_id_of(line), {}).get(line.task)
             if run is not None and run.number == line.run:
                 self._end(line.task)
         elif line.state == _COMPLETED or line.event == _FORGOTTEN:
             for task in list(self.runs.get(line.job, {})):
                 self._end(task)
 
-    def runs_any_of(self, job_id: str) -> bool:
+    def has_running_tasks(self, job_id: str) -> bool:
         """Whether something of a job runs."""
         return bool(self.runs.get(job_id))
 
@@ -95,7 +95,7 @@
         used = sum(min(held.accelerators, accelerators) for held in self.held.values())
         return PoolUsage(used, len(self.present) * accelerators)
 
-    def has_room_for(self, step: LoggedStep, room: Resources) -> bool:
+    def has_free_capacity_for(self, step: LoggedStep, room: Resources) -> bool:
         """Whether a step that waits fits in twice over.
 
         :param room: of each worker.
@@ -113,44 +113,48 @@
         return self.needs.get((name.job_id, name.step), _NOTHING)
 
 
-def job_of(line: LogLine) -> str:
+def job_id_of(line: LogLine) -> str:
     """The job of the task that a line names."""
     return line.task.partition(".")[0]
 
 
-def needs_of(lines: Iterable[LogLine]) -> dict[tuple[str, int], Resources]:
+def task_needs(lines: Iterable[LogLine]) -> dict[tuple[str, int], Resources]:
     """What a task takes, by job and step."""
     found: dict[tuple[str, int], Resources] = {}
     for line in lines:
         if line.event == "accepted":
             for number, text in enumerate(line.steps):
-                step = logged_step(text)
+                step = parse_logged_step(text)
                 if step is not None:
                     found[line.job, number] = step.needs
     return found
 
 
-def seen_workers(lines: Sequence[LogLine]) -> dict[str, SeenWorker]:
+def worker_spans(lines: Sequence[LogLine]) -> dict[str, WorkerSpan]:
     """The lives of workers that ran something, lines in order of time."""
-    found: dict[str, SeenWorker] = {}
+    found: dict[str, WorkerSpan] = {}
     for line in lines:
         if not line.worker:
             continue
         known = found.get(line.worker)
         if known is not None:
-            found[line.worker] = SeenWorker(known.first_s, line.at_s)
+            found[line.worker] = WorkerSpan(known.first_s, line.at_s)
         elif line.event == START:
-            found[line.worker] = SeenWorker(line.at_s, line.at_s)
+            found[line.worker] = WorkerSpan(line.at_s, line.at_s)
     if any(_tells_of_going(line) for line in lines):
         return found
-    return {name: SeenWorker(seen.first_s, lines[-1].at_s) for name, seen in found.items()}
+    return {name: WorkerSpan(seen.first_s, lines[-1].at_s) for name, seen in found.items()}
 
 
 def _tells_of_going(line: LogLine) -> bool:
-    return line.event in GOINGS or line.proof in GONE_PROOFS or line.reason == LEAVES
+    return (
+        line.event in WORKER_LOSS_EVENTS
+        or line.proof in WORKER_LOSS_PROOFS
+        or line.reason == LEAVES
+    )
 
 
-def usual_room(
+def estimate_worker_capacity(
     lines: Iterable[LogLine], needs: Mapping[tuple[str, int], Resources], accelerators: int
 ) -> Resources:
     """The room of a worker, as far as it was used: the most that half of the workers held at once.
--- a/src/saddlestack/cli/main.py
+++ b/src/saddlestack/cli/main.py
@@ -8,12 +8,12 @@
 from saddlestack.cli import (
     crashes,
     entry,
-    explaining,
+    explain,
     jobs,
     operators,
     running,
+    simulations,
     standstills,
-    trying,
     why,
 )
 from saddlestack.cli.connection import Connection
@@ -64,16 +64,16 @@
 main.add_command(running.daemon)
 main.add_command(entry.entry)
 main.add_command(entry.soak)
-main.add_command(explaining.explain)
+main.add_command(explain.explain)
 main.add_command(why.why)
 main.add_command(standstills.standstills)
 main.add_command(crashes.suspects_command)
 main.add_command(running.settings)
 main.add_command(running.standin)
-main.add_command(trying.demo)
-main.add_command(trying.replay)
-main.add_command(trying.scenario)
-main.add_command(trying.trace)
+main.add_command(simulations.demo)
+main.add_command(simulations.replay)
+main.add_command(simulations.scenario)
+main.add_command(simulations.trace)
 
 
 if __name__ == "__main__":
--- a/src/saddlestack/cli/losses.py
+++ b/src/saddlestack/cli/missed_objectives.py
@@ -12,9 +12,9 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 
-from saddlestack.cli.crashes import RUN_OVER, crashed_by, culprits
+from saddlestack.cli.crashes import RUN_OVER, crashed_workers, culprits
 from saddlestack.cli.loglines import LogLine
-from saddlestack.cli.steps import LoggedStep, logged_step
+from saddlestack.cli.steps import LoggedStep, parse_logged_step
 
 _FINAL_STATES = frozenset({"completed", "failed", "cancelled"})
 BASE_SIZE, LARGEST_SIZE = 0.3, 4.0
@@ -45,11 +45,11 @@
 
 
 @dataclass(slots=True)
-class Loss:
+class MissedObjective:
     """A job that was late or is not done.
 
     :param late_s: seconds past its objective; ``None`` where it is not done.
-    :param size: its work against the mean of its priority, as :func:`sizes` tells.
+    :param size: its work against the mean of its priority, as :func:`job_sizes` tells.
     """
 
     job_id: str
@@ -62,7 +62,7 @@
 
 
 @dataclass(slots=True)
-class _Story:
+class _JobHistory:
     """What the logs tell of one job, times in seconds.
 
     :param crashes: runs that were lost with their worker under a task that was given up.
@@ -84,25 +84,25 @@
         return self.accepted.job
 
 
-def losses(lines: Sequence[LogLine]) -> list[Loss]:
+def find_missed_objectives(lines: Sequence[LogLine]) -> list[MissedObjective]:
     """Jobs that were late or not done, in order of their first try.
 
     Cancelled ones are left out.
     """
     stories, refused = _stories(lines)
     _note_crashes(stories, lines)
-    known = sizes(lines)
+    known = job_sizes(lines)
     leaderless = _leaderless(lines)
     found = [loss for story in stories.values() if (loss := _loss(story, leaderless)) is not None]
     for line in refused.values():
         cause = Cause.DOUBT if line.doubt else Cause.STORE
-        found.append(Loss(line.job, line.queue, line.priority, line.at_s, None, cause))
+        found.append(MissedObjective(line.job, line.queue, line.priority, line.at_s, None, cause))
     for loss in found:
         loss.size = known.get(loss.job_id, 1.0)
     return sorted(found, key=lambda loss: loss.at_s)
 
 
-def sizes(lines: Iterable[LogLine]) -> dict[str, float]:
+def job_sizes(lines: Iterable[LogLine]) -> dict[str, float]:
     """How much each accepted job counts beside others of its priority.
 
     A part of that is the same for all; the rest grows with its work (core-seconds, by the
@@ -112,7 +112,7 @@
     priorities: dict[str, int] = {}
     for line in lines:
         if line.event == "accepted" and line.job not in work:
-            work[line.job] = sum(_work(logged_step(text)) for text in line.steps)
+            work[line.job] = sum(_work(parse_logged_step(text)) for text in line.steps)
             priorities[line.job] = line.priority
     means: dict[int, float] = {}
     for priority in set(priorities.values()):
@@ -132,9 +132,9 @@
     return min(LARGEST_SIZE, BASE_SIZE + (1.0 - BASE_SIZE) * work / mean)
 
 
-def _stories(lines: Iterable[LogLine]) -> tuple[dict[str, _Story], dict[str, LogLine]]:
+def _stories(lines: Iterable[LogLine]) -> tuple[dict[str, _JobHistory], dict[str, LogLine]]:
     """The accepted jobs, and the last refusal of each job that never was."""
-    stories: dict[str, _Story] = {}
+    stories: dict[str, _JobHistory] = {}
     refused: dict[str, LogLine] = {}
     first_try_s: dict[str, float] = {}
     for line in lines:
@@ -143,14 +143,14 @@
             if line.job not in stories:
                 refused[line.job] = line
         elif line.event == "accepted" and line.job not in stories:
-            stories[line.job] = _Story(line, first_try_s.get(line.job, line.at_s))
+            stories[line.job] = _JobHistory(line, first_try_s.get(line.job, line.at_s))
             refused.pop(line.job, None)
         else:
             _add(stories, line)
     return stories, refused
 
 
-def _add(stories: dict[str, _Story], line: LogLine) -> None:
+def _add(stories: dict[str, _JobHistory], line: LogLine) -> None:
     story = stories.get(line.job or line.task.partition(".")[0])
     if line.event == "stop" and line.cause in stories:
         stories[line.cause].made_room = True
@@ -166,14 +166,14 @@
         story.final = line
 
 
-def _note_crashes(stories: dict[str, _Story], lines: Sequence[LogLine]) -> None:
+def _note_crashes(stories: dict[str, _JobHistory], lines: Sequence[LogLine]) -> None:
     """Note which jobs were given up for crashes, and which lost runs beside those."""
     guilty = culprits(lines)
     for task in guilty:
         story = stories.get(task.partition(".")[0])
         if story is not None:
             story.given_up = True
-    workers = crashed_by(lines, guilty)
+    workers = crashed_workers(lines, guilty)
     for line in lines:
         if line.event != RUN_OVER or line.worker not in workers:
             continue
@@ -203,7 +203,7 @@
     return spans
 
 
-def _loss(story: _Story, leaderless: Sequence[tuple[float, float]]) -> Loss | None:
+def _loss(story: _JobHistory, leaderless: Sequence[tuple[float, float]]) -> MissedObjective | None:
     final = story.final
     if final is not None and (final.event == "cancelled" or final.state == "cancelled"):
         return None
@@ -212,16 +212,20 @@
         cause = Cause.UNFINISHED if final is None else Cause.ATTEMPTS
         if story.given_up:
             cause = Cause.CRASHES
-        return Loss(accepted.job, accepted.queue, accepted.priority, story.first_try_s, None, cause)
+        return MissedObjective(
+            accepted.job, accepted.queue, accepted.priority, story.first_try_s, None, cause
+        )
     objective_s = accepted.stretch * _chain_s(story) + accepted.target_ms / 1000
     late_s = final.at_s - story.first_try_s - objective_s
     if late_s <= 0.0:
         return None
     cause = _cause(story, final, leaderless)
-    return Loss(accepted.job, accepted.queue, accepted.priority, story.first_try_s, late_s, cause)
+    return MissedObjective(
+        accepted.job, accepted.queue, accepted.priority, story.first_try_s, late_s, cause
+    )
 
 
-def _chain_s(story: _Story) -> float:
+def _chain_s(story: _JobHistory) -> float:
     """Seconds of work one after the other: of each step its longest task.
 
     A task's work is that of its run that ended done; where the step saves its progress, that of
@@ -240,16 +244,16 @@
     return sum(longest.values())
 
 
-def _saves(story: _Story, task: str) -> bool:
+def _saves(story: _JobHistory, task: str) -> bool:
     """Whether the step of a task (``JOB.OCCURRENCE.STEP.INDEX``) saves its progress."""
     step = int(task.split(".")[2])
     if step >= len(story.accepted.steps):
         return False
-    shape = logged_step(story.accepted.steps[step])
+    shape = parse_logged_step(story.accepted.steps[step])
     return shape is not None and shape.saves
 
 
-def _cause(story: _Story, final: LogLine, leaderless: Sequence[tuple[float, float]]) -> Cause:
+def _cause(story: _JobHistory, final: LogLine, leaderless: Sequence[tuple[float, float]]) -> Cause:
     """What the longest of a job's delays was for."""
     accepted_s = story.accepted.at_s
     first_s = story.starts[0].at_s if story.starts else final.at_s
@@ -266,7 +270,7 @@
 
 
 def _waiting(
-    story: _Story, accepted_s: float, first_s: float, leaderless: Sequence[tuple[float, float]]
+    story: _JobHistory, accepted_s: float, first_s: float, leaderless: Sequence[tuple[float, float]]
 ) -> Cause:
     without = sum(max(0.0, min(end, first_s) - max(begin, accepted_s)) for begin, end in leaderless)
     if without * 2 > first_s - accepted_s:
@@ -274,11 +278,11 @@
     return Cause.STOPS if story.made_room else Cause.ROOM
 
 
-def _was_repeated(story: _Story) -> bool:
+def _was_repeated(story: _JobHistory) -> bool:
     return any(line.run > 1 for line in story.starts)
 
 
-def _restart(story: _Story) -> Cause:
+def _restart(story: _JobHistory) -> Cause:
     """Why runs of a job did not end well; the first thing that went wrong counts."""
     known = [*story.stops, *story.ends, *story.crashes]
     for line in sorted(known, key=lambda each: each.at_s):
--- a/src/saddlestack/cli/trying.py
+++ b/src/saddlestack/cli/simulations.py
@@ -12,7 +12,7 @@
 
 from saddlestack.cli.output import as_json, table
 from saddlestack.errors import EXIT_FAILED, EXIT_USAGE, SaddlestackError
-from saddlestack.replay.maker import RECIPES, config_of, make, to_lines
+from saddlestack.replay.maker import RECIPES, config_of, make, to_json_lines
 from saddlestack.replay.measures import Result
 from saddlestack.replay.runner import POLICIES
 
@@ -109,7 +109,7 @@
 @click.option("--out", type=click.File("w"), default="-", help="[default: standard output]")
 def trace_make(name: str, seed: int, scale: float, out: TextIO) -> None:
     """Write the trace NAME as JSON lines; the same seed gives the same trace."""
-    for line in to_lines(make(name, seed, scale)):
+    for line in to_json_lines(make(name, seed, scale)):
         out.write(line + "\n")
 
 
--- a/src/saddlestack/cli/stillness.py
+++ b/src/saddlestack/cli/stalled_jobs.py
@@ -21,14 +21,14 @@
     RUN_ENDS,
     START,
     LoggedPool,
-    SeenWorker,
-    job_of,
-    needs_of,
-    seen_workers,
-    usual_room,
+    WorkerSpan,
+    estimate_worker_capacity,
+    job_id_of,
+    task_needs,
+    worker_spans,
 )
 from saddlestack.cli.loglines import LogLine
-from saddlestack.cli.steps import LoggedStep, logged_step
+from saddlestack.cli.steps import LoggedStep, parse_logged_step
 from saddlestack.policy.stall import PoolUsage, StallDetector
 from saddlestack.work import FINAL_STATES, Resources, TaskName
 
@@ -46,13 +46,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LoggedStandstill:
+class LoggedStall:
     """A job that stood still.
 
     :param until_s: when it went on, or the room was gone.
-    :param use: what was held of the pool when it had stood for too long.
-    :param beside: runs of other jobs that were started meanwhile, before it went on.
-    :param after: what the last line about the job before told: how a run had ended, or its
+    :param usage: what was held of the pool when it had stood for too long.
+    :param other_starts: runs of other jobs that were started meanwhile, before it went on.
+    :param last_event: what the last line about the job before told: how a run had ended, or its
         acceptance.
     :param reasons: what leaders told about it meanwhile.
     """
@@ -60,35 +60,35 @@
     job_id: str
     since_s: float
     until_s: float
-    use: PoolUsage
-    beside: int
-    after: str
+    usage: PoolUsage
+    other_starts: int
+    last_event: str
     reasons: tuple[str, ...]
 
     @property
-    def stood_s(self) -> float:
+    def duration_s(self) -> float:
         """For how long."""
         return self.until_s - self.since_s
 
 
 @dataclass(frozen=True, slots=True)
-class Stillness:
+class StallReport:
     """All that the logs tell of jobs that stood still.
 
     :param accepted: jobs that were accepted.
-    :param workers: lives of workers that were seen.
-    :param room: that each of them was taken to have.
-    :param lost_starts: runs that ended without a start in the logs: lines are missing, and jobs of
-        which something ran may seem to have stood still.
-    :param told: the lines by which leaders told that jobs stand still.
+    :param incarnations: lives of workers that were seen.
+    :param worker_capacity: that each of them was taken to have.
+    :param missing_starts: runs that ended without a start in the logs: lines are missing, and
+        jobs of which something ran may seem to have stood still.
+    :param reported: the lines by which leaders told that jobs stand still.
     """
 
-    found: tuple[LoggedStandstill, ...]
+    stalls: tuple[LoggedStall, ...]
     accepted: int
-    workers: int
-    room: Resources
-    lost_starts: int
-    told: tuple[LogLine, ...]
+    incarnations: int
+    worker_capacity: Resources
+    missing_starts: int
+    reported: tuple[LogLine, ...]
 
 
 @dataclass(slots=True)
@@ -111,31 +111,31 @@
         return None
 
 
-def stillness(lines: Sequence[LogLine], accelerators: int = ACCELERATORS) -> Stillness:
+def find_stalls(lines: Sequence[LogLine], accelerators: int = ACCELERATORS) -> StallReport:
     """Find jobs that stood still.
 
     :param lines: of all VMs, in order of time.
     :param accelerators: of each worker.
     """
-    needs = needs_of(lines)
-    room = usual_room(lines, needs, accelerators)
-    workers = seen_workers(lines)
+    needs = task_needs(lines)
+    room = estimate_worker_capacity(lines, needs, accelerators)
+    workers = worker_spans(lines)
     reader = _Reader(LoggedPool(needs), room, workers)
     reader.read(lines)
     told = tuple(line for line in lines if line.event == TOLD)
-    return Stillness(
-        found=tuple(_with_rest(each, lines, told) for each in reader.found),
+    return StallReport(
+        stalls=tuple(_with_rest(each, lines, told) for each in reader.found),
         accepted=len(reader.jobs),
-        workers=len(workers),
-        room=room,
-        lost_starts=reader.lost_starts,
-        told=told,
+        incarnations=len(workers),
+        worker_capacity=room,
+        missing_starts=reader.missing_starts,
+        reported=told,
     )
 
 
 def _with_rest(
-    stood: LoggedStandstill, lines: Sequence[LogLine], told: Sequence[LogLine]
-) -> LoggedStandstill:
+    stood: LoggedStall, lines: Sequence[LogLine], told: Sequence[LogLine]
+) -> LoggedStall:
     """What happened beside a standstill, and what leaders told of it."""
     beside = sum(
         1
@@ -149,16 +149,16 @@
         for line in told
         if line.job == stood.job_id and stood.since_s <= line.at_s <= stood.until_s
     )
-    return replace(stood, beside=beside, reasons=tuple(reasons))
+    return replace(stood, other_starts=beside, reasons=tuple(reasons))
 
 
 class _Reader:
     """Goes through log lines once, in order of time."""
 
-    def __init__(self, pool: LoggedPool, room: Resources, workers: dict[str, SeenWorker]) -> None:
+    def __init__(self, pool: LoggedPool, room: Resources, workers: dict[str, WorkerSpan]) -> None:
         self.jobs: dict[str, _Job] = {}
-        self.found: list[LoggedStandstill] = []
-        self.lost_starts = 0
+        self.found: list[LoggedStall] = []
+        self.missing_starts = 0
         self._pool = pool
         self._room = room
         self._comings = [(seen.first_s, name) for name, seen in workers.items()]
@@ -169,7 +169,7 @@
         self._watch = StallDetector()
         self._standing: set[str] = set()
         self._idle: set[str] = set()
-        self._open: dict[str, LoggedStandstill] = {}
+        self._open: dict[str, LoggedStall] = {}
 
     def read(self, lines: Sequence[LogLine]) -> None:
         """Read all lines."""
@@ -199,7 +199,7 @@
         """Take a line in; whether it may change who stands still."""
         if line.event == "accepted":
             if line.job not in self.jobs:
-                self.jobs[line.job] = _Job([logged_step(text) for text in line.steps])
+                self.jobs[line.job] = _Job([parse_logged_step(text) for text in line.steps])
             self._sort(line.job)
         elif line.event == START:
             self._start(line)
@@ -212,7 +212,7 @@
         return True
 
     def _start(self, line: LogLine) -> None:
-        job_id = job_of(line)
+        job_id = job_id_of(line)
         self._pool.take(line)
         self._started.add((line.task, line.run))
         if job_id in self.jobs:
@@ -220,12 +220,12 @@
             self._sort(job_id)
 
     def _end(self, line: LogLine) -> None:
-        job_id = job_of(line)
+        job_id = job_id_of(line)
         job = self.jobs.get(job_id)
         self._pool.take(line)
         if line.event == "ended" and (line.task, line.run) not in self._started:
             self._started.add((line.task, line.run))
-            self.lost_starts += 1
+            self.missing_starts += 1
         if job is None:
             return
         if line.how == _DONE:
@@ -246,7 +246,7 @@
     def _sort(self, job_id: str) -> None:
         """Keep which jobs wait with nothing running."""
         job = self.jobs[job_id]
-        if job.over or self._pool.runs_any_of(job_id) or job.next_step is None:
+        if job.over or self._pool.has_running_tasks(job_id) or job.next_step is None:
             self._idle.discard(job_id)
         else:
             self._idle.add(job_id)
@@ -258,7 +258,7 @@
             return
         for job_id in self._idle:
             step = self.jobs[job_id].next_step
-            if step is not None and self._pool.has_room_for(step, self._room):
+            if step is not None and self._pool.has_free_capacity_for(step, self._room):
                 yield job_id
 
     def _look(self, at_s: float) -> None:
@@ -267,7 +267,7 @@
         for each in self._watch.update(self._standing, at_s):
             use = self._pool.use(self._room.accelerators)
             last = self.jobs[each.job_id].last
-            self._open[each.job_id] = LoggedStandstill(
+            self._open[each.job_id] = LoggedStall(
                 each.job_id, each.since_s, math.inf, use, 0, last, ()
             )
 
--- a/src/saddlestack/cli/standstills.py
+++ b/src/saddlestack/cli/standstills.py
@@ -10,7 +10,7 @@
 
 from saddlestack.cli.loglines import LogLine, read
 from saddlestack.cli.output import errors_to_exit_codes, log_files
-from saddlestack.cli.stillness import ACCELERATORS, LoggedStandstill, Stillness, stillness
+from saddlestack.cli.stalled_jobs import ACCELERATORS, LoggedStall, StallReport, find_stalls
 from saddlestack.policy.stall import FREE_CAPACITY_FACTOR, STALL_S
 
 
@@ -32,44 +32,44 @@
     something are known, each from the first line that names it to the last, with the most
     processors and memory that half of them held at one time.
     """
-    for text in described(stillness(read(files), accelerators)):
+    for text in describe(find_stalls(read(files), accelerators)):
         click.echo(text)
 
 
-def described(found: Stillness) -> Iterator[str]:
+def describe(found: StallReport) -> Iterator[str]:
     """What was found in words, a line each."""
-    for stood in found.found:
+    for stood in found.stalls:
         yield _row(stood)
-    for line in found.told:
+    for line in found.reported:
         yield _told(line)
     yield (
-        f"{len(found.found)} times a job of {found.accepted} stood still for {STALL_S:g} s or more "
-        f"with room for {FREE_CAPACITY_FACTOR} of it and under half of the pool held"
+        f"{len(found.stalls)} times a job of {found.accepted} stood still for {STALL_S:g} s or "
+        f"more with room for {FREE_CAPACITY_FACTOR} of it and under half of the pool held"
     )
-    for after, count in Counter(stood.after for stood in found.found).most_common():
+    for after, count in Counter(stood.last_event for stood in found.stalls).most_common():
         yield f"{count:8}  after {after}"
-    jobs = {line.job for line in found.told}
-    yield f"{len(found.told)} times leaders told that a job stands still, {len(jobs)} jobs"
-    for reason, count in Counter(line.reason for line in found.told).most_common():
+    jobs = {line.job for line in found.reported}
+    yield f"{len(found.reported)} times leaders told that a job stands still, {len(jobs)} jobs"
+    for reason, count in Counter(line.reason for line in found.reported).most_common():
         yield f"{count:8}  {reason or 'no reason'}"
-    room = found.room
+    room = found.worker_capacity
     yield (
-        f"seen: {found.workers} lives of workers, taken to have {room.accelerators} accelerators, "
-        f"{room.cpu} thousandths of a core and {room.memory_mb} MB each"
+        f"seen: {found.incarnations} lives of workers, taken to have {room.accelerators} "
+        f"accelerators, {room.cpu} thousandths of a core and {room.memory_mb} MB each"
     )
-    if found.lost_starts:
+    if found.missing_starts:
         yield (
-            f"{found.lost_starts} runs ended whose start is not in the logs: what is told of their "
-            "jobs may be wrong"
+            f"{found.missing_starts} runs ended whose start is not in the logs: what is told of "
+            "their jobs may be wrong"
         )
 
 
-def _row(stood: LoggedStandstill) -> str:
+def _row(stood: LoggedStall) -> str:
     reasons = "; ".join(stood.reasons)
     return (
-        f"{stood.since_s:.3f} {stood.job_id} stood still for {stood.stood_s:.2f} s after "
-        f"{stood.after}, {stood.use.used} of {stood.use.total} accelerators held, "
-        f"{stood.beside} runs of others started" + (f": {reasons}" if reasons else "")
+        f"{stood.since_s:.3f} {stood.job_id} stood still for {stood.duration_s:.2f} s after "
+        f"{stood.last_event}, {stood.usage.used} of {stood.usage.total} accelerators held, "
+        f"{stood.other_starts} runs of others started" + (f": {reasons}" if reasons else "")
     )
 
 
--- a/src/saddlestack/cli/steps.py
+++ b/src/saddlestack/cli/steps.py
@@ -32,7 +32,7 @@
     gang: bool
 
 
-def logged_step(text: str) -> LoggedStep | None:
+def parse_logged_step(text: str) -> LoggedStep | None:
     """The step that a text such as ``4x2acc/500cpu/900mb 60ms gang saves`` spells."""
     found = _SHAPE.match(text)
     if found is None:
--- a/src/saddlestack/cli/why.py
+++ b/src/saddlestack/cli/why.py
@@ -10,9 +10,9 @@
 import click
 
 from saddlestack.cli.loglines import read
-from saddlestack.cli.losses import Cause, Loss, losses
+from saddlestack.cli.missed_objectives import Cause, MissedObjective, find_missed_objectives
 from saddlestack.cli.output import errors_to_exit_codes, log_files
-from saddlestack.cli.stops import Stops, described, stops
+from saddlestack.cli.stops import StopCosts, describe, stop_costs
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,7 +26,7 @@
     full: float = 1.0
     late: float = 0.0
 
-    def lost(self, loss: Loss) -> float:
+    def lost(self, loss: MissedObjective) -> float:
         """What a late job, or one that is not done, did not earn."""
         kept = 0.0 if loss.late_s is None else self.late
         return loss.size * (self.full - kept)
@@ -67,22 +67,22 @@
     Each FILE holds the logs of all VMs for one stretch of time; sums go over all FILEs.
     """
     worth = worth_by_priority(worths)
-    found: list[tuple[Path, Loss]] = []
-    stopped = Stops()
+    found: list[tuple[Path, MissedObjective]] = []
+    stopped = StopCosts()
     for file in files:
         lines = read([file])
-        found += [(file, loss) for loss in losses(lines)]
-        stopped.add(stops(lines))
+        found += [(file, loss) for loss in find_missed_objectives(lines)]
+        stopped.add(stop_costs(lines))
     if each:
         for file, loss in found:
             click.echo(_row(file, loss))
     _tell_causes([loss for _, loss in found], worth)
     if with_stops:
-        for text in described(stopped):
+        for text in describe(stopped):
             click.echo(text)
 
 
-def _tell_causes(found: list[Loss], worth: dict[int, Worth]) -> None:
+def _tell_causes(found: list[MissedObjective], worth: dict[int, Worth]) -> None:
     late = Counter((loss.cause, loss.priority) for loss in found if loss.late_s is not None)
     never = Counter((loss.cause, loss.priority) for loss in found if loss.late_s is None)
     lost: dict[tuple[Cause, int], float] = defaultdict(float)
@@ -94,6 +94,6 @@
         click.echo(f"{priority:8} {late[key]:6} {never[key]:9} {lost[key]:8.1f}  {cause.value}")
 
 
-def _row(file: Path, loss: Loss) -> str:
+def _row(file: Path, loss: MissedObjective) -> str:
     late = "not done" if loss.late_s is None else f"{loss.late_s:6.2f} s late"
     return f"{file.stem} {loss.at_s:9.3f} {loss.job_id} {loss.priority} {late}: {loss.cause.value}"
--- a/src/saddlestack/replay/baselines.py
+++ b/src/saddlestack/replay/baselines.py
@@ -24,9 +24,9 @@
 
     def __init__(self, sites: Iterable[CellSite], *, strict: bool) -> None:
         self._strict = strict
-        self.rooms = {site.plan.name: CellResources(site.workers) for site in sites}
+        self.cell_resources = {site.plan.name: CellResources(site.workers) for site in sites}
         self._room_of_vm = {
-            worker.name: room for room in self.rooms.values() for worker in room.workers
+            worker.name: room for room in self.cell_resources.values() for worker in room.workers
         }
         self.waiting: dict[str, Gang] = {}
         self.running: dict[str, tuple[Gang, CellResources]] = {}
@@ -34,7 +34,7 @@
 
     def submit(self, spec: JobSpec, now: float) -> Refusal | None:
         """Take a job in, if any room could ever hold it."""
-        if not any(self._could_hold(room, spec) for room in self.rooms.values()):
+        if not any(self._could_hold(room, spec) for room in self.cell_resources.values()):
             return Refusal(ErrorKind.SHAPE_IMPOSSIBLE, f"no cell can ever hold {spec.shape}")
         self._orders += 1
         gang = Gang(spec, now, self._orders)
@@ -110,7 +110,7 @@
         return Start(gang.job_id, gang.attempt, parts, gang.progress, False)
 
     def _first_fit(self, spec: JobSpec) -> tuple[CellResources, Shares] | None:
-        for room in self.rooms.values():
+        for room in self.cell_resources.values():
             shares = _first_place(room, spec)
             if shares is not None:
                 return room, shares
--- a/src/saddlestack/replay/checks.py
+++ b/src/saddlestack/replay/invariants.py
@@ -13,7 +13,7 @@
 MAX_LISTED = 50
 
 
-class Checks:
+class InvariantChecker:
     """Keeps its own account of who holds what, and notes every violation."""
 
     def __init__(self, sites: Sequence[CellSite]) -> None:
--- a/src/saddlestack/replay/maker.py
+++ b/src/saddlestack/replay/maker.py
@@ -13,9 +13,9 @@
 from saddlestack.replay.trace import (
     Event,
     Expect,
+    Outcome,
     ReplayConfig,
     Submit,
-    That,
     VmBack,
     VmLeaving,
     VmLost,
@@ -141,11 +141,11 @@
         )
         self._last = max(self._last, at)
         if job_class is JobClass.URGENT:
-            self._expect(at, That.STARTED_WITHIN, account, request, seconds=URGENT_START_S)
+            self._expect(at, Outcome.STARTED_WITHIN, account, request, seconds=URGENT_START_S)
         if run_once:
-            self._expect(self.late, That.STARTS_AT_MOST, account, request, count=1)
+            self._expect(self.late, Outcome.STARTS_AT_MOST, account, request, count=1)
         if finishes:
-            self._expect(self.late, That.FINISHED, account, request)
+            self._expect(self.late, Outcome.FINISHED, account, request)
 
     def guarantees(self, config: ReplayConfig, every: float, until: float) -> None:
         """Every account's guarantee must be formable at regular times."""
@@ -154,7 +154,7 @@
             for account in config.accounts:
                 if account.guarantees:
                     self.events.append(
-                        Expect(t=at, that=That.GUARANTEE_FORMABLE, account=account.name)
+                        Expect(t=at, that=Outcome.GUARANTEE_FORMABLE, account=account.name)
                     )
             at += every
 
@@ -174,7 +174,7 @@
     def _expect(
         self,
         at: float,
-        that: That,
+        that: Outcome,
         account: str,
         request: str,
         *,
@@ -393,7 +393,7 @@
     return _recipe(name).config()
 
 
-def to_lines(events: list[Event]) -> Iterator[str]:
+def to_json_lines(events: list[Event]) -> Iterator[str]:
     """The events as JSON lines, without fields at their defaults."""
     for event in events:
         fields = msgspec.to_builtins(event)
--- a/src/saddlestack/replay/runner.py
+++ b/src/saddlestack/replay/runner.py
@@ -21,7 +21,7 @@
 from saddlestack.policy.planner import Planner, cells_of
 from saddlestack.policy.resources import CellResources
 from saddlestack.replay.baselines import Baseline
-from saddlestack.replay.checks import Checks
+from saddlestack.replay.invariants import InvariantChecker
 from saddlestack.replay.measures import (
     Expectations,
     Fragmentation,
@@ -33,9 +33,9 @@
     Cancel,
     Event,
     Expect,
+    Outcome,
     ReplayConfig,
     Submit,
-    That,
     Trace,
     VmBack,
     VmLeaving,
@@ -106,7 +106,7 @@
             self._fleet = Fleet(self._sites, self._assignments, config.weights, limits)
         else:
             self._baseline = Baseline(self._sites, strict=policy == "fifo")
-        self.checks = Checks(self._sites)
+        self.invariants = InvariantChecker(self._sites)
         self.fragmentation = Fragmentation(self._shapes)
         self._heap: list[tuple[float, int, int, Event | tuple[str, int] | None]] = []
         self._sequence = 0
@@ -149,7 +149,7 @@
 
     def _step(self, now: float, item: Event | tuple[str, int] | None) -> None:
         if isinstance(item, Expect):
-            if item.that is That.STARTED_WITHIN:
+            if item.that is Outcome.STARTED_WITHIN:
                 self._judge_later(now, item)
             else:
                 self._judge(now, item)
@@ -161,7 +161,7 @@
             self.end = max(self.end, now) if self._active() or item is not None else self.end
 
     def _active(self) -> bool:
-        return bool(self.checks.running)
+        return bool(self.invariants.running)
 
     def _happen(self, now: float, item: Event | tuple[str, int]) -> bool:
         """Let an event happen; false where nothing follows from it."""
@@ -172,15 +172,15 @@
         if isinstance(item, Cancel):
             return self._cancel(now, f"{item.account}/{item.request}")
         if isinstance(item, VmLost):
-            self.checks.vm(item.vm, up=False, leaving=False)
+            self.invariants.vm(item.vm, up=False, leaving=False)
             for loss in self._vm_lost(item.vm, now):
                 self._lose(now, loss)
         elif isinstance(item, VmLeaving):
-            up = item.vm not in self.checks.down
-            self.checks.vm(item.vm, up=up, leaving=True)
+            up = item.vm not in self.invariants.down
+            self.invariants.vm(item.vm, up=up, leaving=True)
             self._vm_leaving(item.vm)
         elif isinstance(item, VmBack):
-            self.checks.vm(item.vm, up=True, leaving=False)
+            self.invariants.vm(item.vm, up=True, leaving=False)
             self._vm_back(item.vm)
         return True
 
@@ -267,7 +267,7 @@
         if self._fleet is not None:
             return [cell.resources for cell in self._fleet.cells.values()]
         assert self._baseline is not None
-        return list(self._baseline.rooms.values())
+        return list(self._baseline.cell_resources.values())
 
     def _decide(self, now: float) -> None:
         missing = self._missing()
@@ -283,7 +283,7 @@
             self._carry_out(now, decision)
         if self._fleet is not None:
             for cell in self._touched(decisions):
-                self.checks.guarantees(now, cell, missing[cell.name])
+                self.invariants.guarantees(now, cell, missing[cell.name])
             self._wake(now)
         self.fragmentation.note(now, self._rooms())
 
@@ -307,7 +307,7 @@
         if self._fleet is None:
             return
         waiting = any(cell.waiting for cell in self._fleet.cells.values())
-        if waiting and self.checks.running and now >= self._next_wake:
+        if waiting and self.invariants.running and now >= self._next_wake:
             self._next_wake = now + WAKE_S
             self._push(self._next_wake, 3, None)
 
@@ -327,7 +327,7 @@
             job.state = JobState.NOT_RUN
 
     def _start(self, now: float, job: JobRun, start: Start) -> None:
-        self.checks.started(now, job.spec, start)
+        self.invariants.started(now, job.spec, start)
         job.state = JobState.RUNNING
         job.attempt = start.attempt
         job.began = now
@@ -339,7 +339,7 @@
         self._push(now + job.duration - job.progress, 0, (job.spec.job_id, start.attempt))
 
     def _stop_run(self, now: float, job: JobRun) -> None:
-        self.checks.ended(now, job.spec.job_id)
+        self.invariants.ended(now, job.spec.job_id)
         job.runs[-1].end = now
 
     # Stated outcomes
@@ -350,7 +350,7 @@
         if due > now:
             later = Expect(
                 t=due,
-                that=That.STARTED_WITHIN,
+                that=Outcome.STARTED_WITHIN,
                 account=event.account,
                 request=event.request,
                 seconds=event.seconds,
@@ -367,12 +367,12 @@
             self.failed.append((now, f"t={event.t:g} {_name(event)}: {problem}"))
 
     def _problem(self, event: Expect) -> str | None:
-        if event.that is That.GUARANTEE_FORMABLE:
+        if event.that is Outcome.GUARANTEE_FORMABLE:
             return self._problem_of_guarantee(event)
-        if event.that is That.FREE_AT_LEAST:
+        if event.that is Outcome.FREE_AT_LEAST:
             return self._problem_of_room(event)
         job = self.jobs[f"{event.account}/{event.request}"]
-        return _problem_of_job(job, event, self.checks.starts(job.spec.job_id))
+        return _problem_of_job(job, event, self.invariants.starts(job.spec.job_id))
 
     def _problem_of_guarantee(self, event: Expect) -> str | None:
         shape = None
@@ -415,7 +415,7 @@
         jobs = list(self.jobs.values())
         for job in jobs:
             if not job.state.final and self._could_start(job):
-                self.checks.note(self.end, f"{job.spec.job_id} is still {job.state}")
+                self.invariants.note(self.end, f"{job.spec.job_id} is still {job.state}")
         finished = [job for job in jobs if job.finished is not None]
         pairs = [(job.spec.job_class, (job.finished or 0.0) - job.submitted) for job in finished]
         fragmentation = self.fragmentation.mean(self.end)
@@ -439,7 +439,7 @@
             reclaims=self._reclaims,
             score=round(score(self.config.weights, stretch, fragmentation), 6),
             expectations=Expectations(self._held, [text for _, text in self.failed]),
-            violations=self.checks.violations,
+            violations=self.invariants.violations,
         )
 
     def _could_start(self, job: JobRun) -> bool:
@@ -459,23 +459,23 @@
 
 def _problem_of_job(job: JobRun, event: Expect, starts: int) -> str | None:
     """Why a stated outcome of a job does not hold, or ``None``."""
-    if event.that is That.STARTED_WITHIN:
+    if event.that is Outcome.STARTED_WITHIN:
         if job.first_start is None:
             return f"not started; {job.state}"
         waited = job.first_start - job.submitted
         return None if waited <= (event.seconds or 0.0) + 1e-9 else f"started after {waited:g} s"
-    if event.that is That.STARTS_AT_MOST:
+    if event.that is Outcome.STARTS_AT_MOST:
         return None if starts <= (event.count or 0) else f"started {starts} times"
-    if event.that is That.NOT_STARTED:
+    if event.that is Outcome.NOT_STARTED:
         return "started" if job.ever_started else None
-    if event.that is That.REFUSED:
+    if event.that is Outcome.REFUSED:
         if job.refused is None:
             return f"not refused; {job.state}"
         wrong = event.kind is not None and job.refused is not event.kind
         return f"refused as {job.refused}" if wrong else None
     wanted = {
-        That.FINISHED: JobState.DONE,
-        That.UNKNOWN: JobState.UNKNOWN,
-        That.RUNNING: JobState.RUNNING,
+        Outcome.FINISHED: JobState.DONE,
+        Outcome.UNKNOWN: JobState.UNKNOWN,
+        Outcome.RUNNING: JobState.RUNNING,
     }[event.that]
     return None if job.state is wanted else f"it is {job.state}"
--- a/src/saddlestack/replay/trace.py
+++ b/src/saddlestack/replay/trace.py
@@ -67,7 +67,7 @@
     request: str
 
 
-class That(enum.StrEnum):
+class Outcome(enum.StrEnum):
     """The kinds of stated outcomes."""
 
     STARTED_WITHIN = "started_within"
@@ -84,7 +84,7 @@
 class Expect(TraceEvent, tag="expect"):
     """An outcome that must hold at this time."""
 
-    that: That
+    that: Outcome
     account: str | None = None
     request: str | None = None
     seconds: float | None = None
@@ -94,21 +94,21 @@
     accelerators: int | None = None
     adjacent: Adjacency | None = None
 
-    needs: ClassVar[dict[That, tuple[str, ...]]] = {
-        That.STARTED_WITHIN: ("account", "request", "seconds"),
-        That.FINISHED: ("account", "request"),
-        That.NOT_STARTED: ("account", "request"),
-        That.UNKNOWN: ("account", "request"),
-        That.REFUSED: ("account", "request"),
-        That.RUNNING: ("account", "request"),
-        That.STARTS_AT_MOST: ("account", "request", "count"),
-        That.GUARANTEE_FORMABLE: ("account",),
-        That.FREE_AT_LEAST: ("accelerators",),
+    needs: ClassVar[dict[Outcome, tuple[str, ...]]] = {
+        Outcome.STARTED_WITHIN: ("account", "request", "seconds"),
+        Outcome.FINISHED: ("account", "request"),
+        Outcome.NOT_STARTED: ("account", "request"),
+        Outcome.UNKNOWN: ("account", "request"),
+        Outcome.REFUSED: ("account", "request"),
+        Outcome.RUNNING: ("account", "request"),
+        Outcome.STARTS_AT_MOST: ("account", "request", "count"),
+        Outcome.GUARANTEE_FORMABLE: ("account",),
+        Outcome.FREE_AT_LEAST: ("accelerators",),
     }
-    allows: ClassVar[dict[That, tuple[str, ...]]] = {
-        That.REFUSED: ("kind",),
-        That.GUARANTEE_FORMABLE: ("shape",),
-        That.FREE_AT_LEAST: ("adjacent",),
+    allows: ClassVar[dict[Outcome, tuple[str, ...]]] = {
+        Outcome.REFUSED: ("kind",),
+        Outcome.GUARANTEE_FORMABLE: ("shape",),
+        Outcome.FREE_AT_LEAST: ("adjacent",),
     }
 
 
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -9,7 +9,7 @@
 
 from click.testing import CliRunner
 
-from saddlestack.cli.explaining import about, causes
+from saddlestack.cli.explain import causes, related_lines
 from saddlestack.cli.loglines import LogLine, read
 from saddlestack.cli.main import main
 from saddlestack.policy.cluster.reasons import WaitReason
@@ -59,11 +59,11 @@
         return files
 
     def test_lines_of_all_vms_in_order_with_what_happened_meanwhile(self) -> None:
-        lines = about(JOB, read(self.files()))
+        lines = related_lines(JOB, read(self.files()))
         self.assertEqual([line.time for line in lines], ["1", "2", "3", "4", "5", "6"])
 
     def test_causes(self) -> None:
-        found = causes(JOB, about(JOB, read(self.files())))
+        found = causes(JOB, related_lines(JOB, read(self.files())))
         self.assertEqual(len(found), 3)
         self.assertIn("gave its room to job other", found[0])
         self.assertIn("refused", found[1])
@@ -82,7 +82,7 @@
             LogLine(time=time, event=event, data_hall=hall, state=state, job=JOB * (not hall))
             for time, event, hall, state in told
         ]
-        found = causes(JOB, about(JOB, lines))
+        found = causes(JOB, related_lines(JOB, lines))
         self.assertEqual(len(found), 2)
         self.assertIn("emptied was evacuated at 0.5", found[0])
         self.assertIn("emptied was back at 4", found[1])
@@ -99,7 +99,7 @@
             LogLine(time="6", event="ended", task=task, run=2, worker="w3", how="done"),
             LogLine(time="7", event="lease_wait", worker="w3", left_s=10.7),
         ]
-        told = about(JOB, lines)
+        told = related_lines(JOB, lines)
         self.assertEqual([line.time for line in told], ["1", "2", "3", "4", "6"])
         waits, over = causes(JOB, told)
         self.assertIn("w1 did not answer at 2", waits)
@@ -120,7 +120,7 @@
             LogLine(time="4", event="stands_still", stood_s=3.0, **waits),
             LogLine(time="5", event="waits", job="00000000000000ab", reason="no_room"),
         ]
-        waited, stood = causes(JOB, about(JOB, lines))
+        waited, stood = causes(JOB, related_lines(JOB, lines))
         self.assertIn("at 2 nothing of it had run for 1.0 s: ", waited)
         self.assertIn(reason.awaited, waited)
         self.assertIn("(quarantine; 4 tasks)", waited)
@@ -131,12 +131,12 @@
     def test_a_leader_that_stood_still_itself_is_told_of(self) -> None:
         for late_s in (0.4, 6.3):
             line = LogLine(event="stands_still", job=JOB, reason="reserved", late_s=late_s)
-            [stood] = causes(JOB, about(JOB, [line]))
+            [stood] = causes(JOB, related_lines(JOB, [line]))
             self.assertEqual("the leader itself had come to nothing" in stood, late_s > 1.0)
 
     def test_a_reason_of_another_release_is_told_as_it_is(self) -> None:
         lines = [LogLine(time="2", event="waits", job=JOB, reason="tides", ends="the ebb")]
-        [waited] = causes(JOB, about(JOB, lines))
+        [waited] = causes(JOB, related_lines(JOB, lines))
         self.assertIn("does not know (tides; 0 tasks); ends with the ebb", waited)
 
     def test_a_line_as_the_leader_writes_it_is_read(self) -> None:
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -6,7 +6,7 @@
 from click.testing import CliRunner, Result
 
 from saddlestack.cli.main import main
-from saddlestack.replay.maker import RECIPES, config_of, make, to_lines
+from saddlestack.replay.maker import RECIPES, config_of, make, to_json_lines
 from saddlestack.replay.runner import Replay
 from saddlestack.replay.trace import Trace
 from tests import support as support
@@ -83,7 +83,7 @@
         self.assertGreater(body["decisions_per_s"], 0)
 
     def test_the_same_input_gives_the_same_output(self) -> None:
-        lines = list(to_lines(make("is-closing-night", 3, 0.1)))
+        lines = list(to_json_lines(make("is-closing-night", 3, 0.1)))
         config = json.dumps(
             json.loads(CliRunner().invoke(main, ["trace", "config", "is-closing-night"]).output)
         )
@@ -215,7 +215,9 @@
 
     def test_the_same_seed_makes_the_same_trace(self) -> None:
         for name in RECIPES:
-            self.assertEqual(list(to_lines(make(name, 4, 0.1))), list(to_lines(make(name, 4, 0.1))))
+            self.assertEqual(
+                list(to_json_lines(make(name, 4, 0.1))), list(to_json_lines(make(name, 4, 0.1)))
+            )
             self.assertNotEqual(
-                list(to_lines(make(name, 4, 0.1))), list(to_lines(make(name, 5, 0.1)))
+                list(to_json_lines(make(name, 4, 0.1))), list(to_json_lines(make(name, 5, 0.1)))
             )
--- a/tests/test_standstills_command.py
+++ b/tests/test_standstills_command.py
@@ -12,8 +12,8 @@
 
 from saddlestack.cli.loglines import LogLine
 from saddlestack.cli.main import main
-from saddlestack.cli.standstills import described
-from saddlestack.cli.stillness import Stillness, stillness
+from saddlestack.cli.stalled_jobs import StallReport, find_stalls
+from saddlestack.cli.standstills import describe
 from saddlestack.policy.stall import STALL_S
 from saddlestack.work import Resources
 
@@ -54,32 +54,34 @@
     return found
 
 
-def read(*lines: LogLine, pool_until_s: float = 100.0) -> Stillness:
+def read(*lines: LogLine, pool_until_s: float = 100.0) -> StallReport:
     whole = [*pool(pool_until_s), *lines]
-    return stillness(sorted(whole, key=lambda each: each.at_s))
+    return find_stalls(sorted(whole, key=lambda each: each.at_s))
 
 
 def spans(*lines: LogLine, pool_until_s: float = 100.0) -> list[tuple[str, float, float]]:
-    found = read(*lines, pool_until_s=pool_until_s).found
+    found = read(*lines, pool_until_s=pool_until_s).stalls
     return [(each.job_id, each.since_s, each.until_s) for each in found]
 
 
-class StillnessTest(unittest.TestCase):
+class FindStallsTest(unittest.TestCase):
     def test_a_job_that_starts_soon_is_none(self) -> None:
         self.assertEqual(spans(accepted(1.0), start(1.0 + STALL_S - 0.1), end(9.0)), [])
 
     def test_a_job_that_stood_before_its_first_start(self) -> None:
         other = [accepted(2.0, job=WIDE), start(2.1, "b", task=name(WIDE))]
-        found = read(accepted(1.0), *other, start(6.0), end(9.0)).found
-        self.assertEqual([(each.job_id, each.beside) for each in found], [(JOB, 1)])
+        found = read(accepted(1.0), *other, start(6.0), end(9.0)).stalls
+        self.assertEqual([(each.job_id, each.other_starts) for each in found], [(JOB, 1)])
         self.assertEqual((found[0].since_s, found[0].until_s), (1.0, 6.0))
-        self.assertEqual((found[0].use.used, found[0].use.total), (1, 32))
-        self.assertEqual(found[0].after, "accepted")
+        self.assertEqual((found[0].usage.used, found[0].usage.total), (1, 32))
+        self.assertEqual(found[0].last_event, "accepted")
 
     def test_a_job_that_stood_after_a_run_that_failed(self) -> None:
         again = [start(9.0, run=2), end(9.5, run=2)]
-        found = read(accepted(1.0), start(1.0), end(2.0, "failed"), *again).found
-        self.assertEqual([(each.since_s, each.after) for each in found], [(2.0, "ended failed")])
+        found = read(accepted(1.0), start(1.0), end(2.0, "failed"), *again).stalls
+        self.assertEqual(
+            [(each.since_s, each.last_event) for each in found], [(2.0, "ended failed")]
+        )
 
     def test_what_broke_a_gang_is_told_and_not_that_it_broke(self) -> None:
         gang = accepted(1.0, "2x1acc/1000cpu/1000mb 60ms gang")
@@ -89,7 +91,7 @@
             [end(2.0, "broken"), end(2.1, "failed", task=name(index=1))],
         ):
             self.assertEqual(
-                [each.after for each in read(gang, *starts, *ends).found], ["ended failed"]
+                [each.last_event for each in read(gang, *starts, *ends).stalls], ["ended failed"]
             )
 
     def test_runs_that_count_as_over_end_too(self) -> None:
@@ -151,30 +153,32 @@
     def test_workers_stay_where_no_line_tells_of_one_that_went(self) -> None:
         lines = [each for each in pool() if each.event != "lease_wait"]
         lines += [accepted(1.0), line(90.0, "job", job="x")]
-        self.assertEqual(len(stillness(lines).found), 1)
+        self.assertEqual(len(find_stalls(lines).stalls), 1)
         left = line(0.5, "stop", task=name(OTHER), run=1, worker="d", reason="worker_leaves")
         absent = line(0.5, "run_over", task=name(OTHER), run=1, worker="d", proof="absent")
-        self.assertEqual(len(stillness([*lines[:-2], absent, *lines[-2:]]).found), 1)
+        self.assertEqual(len(find_stalls([*lines[:-2], absent, *lines[-2:]]).stalls), 1)
         lapsed = line(0.5, "run_over", task=name(OTHER), run=1, worker="d", proof="lapsed")
         for gone in (line(0.5, "worker_silent", worker="d"), left, lapsed):
-            self.assertEqual(stillness([*lines[:-2], gone, *lines[-2:]]).found, ())
+            self.assertEqual(find_stalls([*lines[:-2], gone, *lines[-2:]]).stalls, ())
 
     def test_a_second_acceptance_changes_nothing(self) -> None:
         self.assertEqual(spans(accepted(1.0), start(1.0), accepted(3.0), end(5.0)), [])
 
     def test_ends_without_a_start_are_counted(self) -> None:
-        self.assertEqual(read(accepted(1.0), end(2.0, "failed")).lost_starts, 1)
-        self.assertEqual(read(accepted(1.0), start(1.0), end(2.0)).lost_starts, 0)
+        self.assertEqual(read(accepted(1.0), end(2.0, "failed")).missing_starts, 1)
+        self.assertEqual(read(accepted(1.0), start(1.0), end(2.0)).missing_starts, 0)
 
     def test_an_end_that_is_heard_by_a_second_leader_counts_once(self) -> None:
         found = read(accepted(1.0), start(1.0), end(2.0, "failed"), end(2.5, "failed"))
-        self.assertEqual(found.lost_starts, 0)
-        self.assertEqual([each.since_s for each in found.found], [2.0])
+        self.assertEqual(found.missing_starts, 0)
+        self.assertEqual([each.since_s for each in found.stalls], [2.0])
 
     def test_what_is_taken_of_a_worker(self) -> None:
-        self.assertEqual(read().room, Resources(8000, 8000, 8))
-        self.assertEqual(stillness(pool(), accelerators=4).room, Resources(0, 0, 4))
-        self.assertEqual(stillness(pool(), accelerators=16).room, Resources(8000, 8000, 16))
+        self.assertEqual(read().worker_capacity, Resources(8000, 8000, 8))
+        self.assertEqual(find_stalls(pool(), accelerators=4).worker_capacity, Resources(0, 0, 4))
+        self.assertEqual(
+            find_stalls(pool(), accelerators=16).worker_capacity, Resources(8000, 8000, 16)
+        )
 
     def test_ends_that_nobody_tells_free_their_room_with_the_next_run_or_the_job(self) -> None:
         wide = accepted(0.5, "3x8acc/8000cpu/8000mb 60ms", job=WIDE)
@@ -191,7 +195,7 @@
     def test_a_worker_that_seems_to_hold_more_than_it_has_does_not_count_for_all(self) -> None:
         wide = accepted(0.5, "3x2acc/9000cpu/1000mb 60ms", job=WIDE)
         starts = [start(0.6, "a", task=name(WIDE, index=index)) for index in range(3)]
-        self.assertEqual(read(wide, *starts).room, Resources(8000, 8000, 8))
+        self.assertEqual(read(wide, *starts).worker_capacity, Resources(8000, 8000, 8))
 
     def test_what_leaders_told_stands_beside(self) -> None:
         told = [
@@ -208,8 +212,8 @@
             line(50.0, "stands_still", vm="v2", job=OTHER, reason="gang", stood_s=3.0),
         ]
         found = read(accepted(1.0), *told, start(6.0), end(9.0))
-        self.assertEqual([each.reasons for each in found.found], [("quarantine",)])
-        text = "\n".join(described(found))
+        self.assertEqual([each.reasons for each in found.stalls], [("quarantine",)])
+        text = "\n".join(describe(found))
         for part in (
             "1.000 00000000000000aa stood still for 5.00 s after accepted, 0 of 32 accelerators",
             f"4.000 v1 tells that {JOB} has stood still for 3.00 s: quarantine, ends with time",
@@ -221,7 +225,7 @@
             self.assertIn(part, text)
 
     def test_no_lines_tell_nothing(self) -> None:
-        self.assertEqual(stillness([]).found, ())
+        self.assertEqual(find_stalls([]).stalls, ())
 
 
 class CommandTest(unittest.TestCase):
@@ -253,5 +257,5 @@
         self.assertIn("0 of 16 accelerators held", more.output)
 
     def test_a_day_without_standstills(self) -> None:
-        found = Stillness((), 0, 0, Resources(), 2, ())
-        self.assertIn("2 runs ended whose start is not in the logs", "\n".join(described(found)))
+        found = StallReport((), 0, 0, Resources(), 2, ())
+        self.assertIn("2 runs ended whose start is not in the logs", "\n".join(describe(found)))
--- a/tests/test_told_crashes.py
+++ b/tests/test_told_crashes.py
@@ -10,12 +10,12 @@
 
 from click.testing import CliRunner
 
-from saddlestack.cli.crashes import BESIDE_SHOWN, described, suspects
-from saddlestack.cli.explaining import causes
+from saddlestack.cli.crashes import MAX_LOST_TASKS_SHOWN, describe, suspects
+from saddlestack.cli.explain import causes
 from saddlestack.cli.loglines import LogLine, read
-from saddlestack.cli.losses import Cause, losses
 from saddlestack.cli.main import main
-from saddlestack.cli.stops import BESIDE_CRASH, stops
+from saddlestack.cli.missed_objectives import Cause, find_missed_objectives
+from saddlestack.cli.stops import LOST_WITH_CRASHED_WORKER, stop_costs
 from saddlestack.client import AsyncClient
 from saddlestack.control.crashlog import SUSPECTS_AT_ONCE, CrashLog
 from saddlestack.models import JobState as CallerState
@@ -79,24 +79,24 @@
     def test_few_of_many_that_died_are_named(self) -> None:
         lost = [
             line(4.0, "run_over", task=f"{OTHER}.0.0.{index}", worker="w1")
-            for index in range(BESIDE_SHOWN + 3)
+            for index in range(MAX_LOST_TASKS_SHOWN + 3)
         ]
-        told = described(LINES[6], lost)
-        self.assertEqual(told.count(OTHER), BESIDE_SHOWN)
+        told = describe(LINES[6], lost)
+        self.assertEqual(told.count(OTHER), MAX_LOST_TASKS_SHOWN)
         self.assertIn("and 3 more", told)
 
     def test_why_blames_the_task_that_was_given_up_and_not_what_ran_beside_it(self) -> None:
-        found = {loss.job_id: loss.cause for loss in losses(LINES)}
+        found = {loss.job_id: loss.cause for loss in find_missed_objectives(LINES)}
         self.assertEqual(found, {CULPRIT: Cause.CRASHES, OTHER: Cause.BESIDE})
 
     def test_stops_count_what_died_beside_as_a_cause_of_its_own(self) -> None:
-        cost = stops(LINES).reasons[BESIDE_CRASH]
+        cost = stop_costs(LINES).reasons[LOST_WITH_CRASHED_WORKER]
         self.assertEqual(cost.runs, 1)
         self.assertAlmostEqual(cost.lost, 3.9 * 9)
 
     def test_a_crash_under_a_task_that_was_cleared_is_no_such_cause(self) -> None:
         cleared = [each for each in LINES if each.event != "crash_given_up"]
-        self.assertNotIn(BESIDE_CRASH, stops(cleared).reasons)
+        self.assertNotIn(LOST_WITH_CRASHED_WORKER, stop_costs(cleared).reasons)
 
     def test_suspects_are_listed(self) -> None:
         (found,) = suspects(LINES).values()
--- a/tests/test_why.py
+++ b/tests/test_why.py
@@ -12,9 +12,14 @@
 from click.testing import CliRunner
 
 from saddlestack.cli.loglines import LogLine, read
-from saddlestack.cli.losses import Cause, Loss, losses, sizes
 from saddlestack.cli.main import main
-from saddlestack.cli.stops import SAVED_LOSS_S, described, stops
+from saddlestack.cli.missed_objectives import (
+    Cause,
+    MissedObjective,
+    find_missed_objectives,
+    job_sizes,
+)
+from saddlestack.cli.stops import SAVE_INTERVAL_S, describe, stop_costs
 from saddlestack.cli.why import Worth, worth_by_priority
 
 JOB = "00000000000000aa"
@@ -43,13 +48,15 @@
 
 
 class LossesTest(unittest.TestCase):
-    def only(self, *lines: LogLine) -> Loss:
-        found = losses(lines)
+    def only(self, *lines: LogLine) -> MissedObjective:
+        found = find_missed_objectives(lines)
         self.assertEqual(len(found), 1, found)
         return found[0]
 
     def test_a_job_in_time_is_no_loss(self) -> None:
-        self.assertEqual(losses([accepted(0), start(0.1), end(2.1), completed(2.2)]), [])
+        self.assertEqual(
+            find_missed_objectives([accepted(0), start(0.1), end(2.1), completed(2.2)]), []
+        )
 
     def test_lateness_counts_from_the_first_try_by_the_job_s_own_work(self) -> None:
         refusal = line(0.0, "not_written", job=JOB)
@@ -101,9 +108,9 @@
     def test_work_that_was_saved_counts_as_work(self) -> None:
         first = accepted(0.0)
         runs = (start(0.0), end(4.0, how="stopped"), start(4.1, 2), end(5.1, 2), completed(5.1))
-        self.assertEqual(len(losses([first, *runs])), 1)
+        self.assertEqual(len(find_missed_objectives([first, *runs])), 1)
         first.steps = ("1x1acc/1cpu/1mb 1ms saves",)
-        self.assertEqual(losses([first, *runs]), [])
+        self.assertEqual(find_missed_objectives([first, *runs]), [])
 
     def test_an_end_that_is_shown_late(self) -> None:
         loss = self.only(accepted(0.0), start(0.0), end(1.0), completed(4.0))
@@ -118,7 +125,9 @@
         self.assertIs(self.only(doubt).cause, Cause.DOUBT)
 
     def test_cancelled_jobs_are_left_out(self) -> None:
-        self.assertEqual(losses([accepted(0.0), line(9.0, "cancelled", job=JOB)]), [])
+        self.assertEqual(
+            find_missed_objectives([accepted(0.0), line(9.0, "cancelled", job=JOB)]), []
+        )
 
 
 class SizesTest(unittest.TestCase):
@@ -126,17 +135,17 @@
         small, large = accepted(0.0), accepted(0.0, OTHER)
         small.steps = ("1x1acc/0cpu/1mb 1000ms",)
         large.steps = ("3x1acc/0cpu/1mb 1000ms gang",)
-        found = sizes([small, large])
+        found = job_sizes([small, large])
         self.assertAlmostEqual(found[JOB], 0.3 + 0.7 * 0.5)
         self.assertAlmostEqual(found[OTHER], 0.3 + 0.7 * 1.5)
 
     def test_a_job_without_shapes_counts_as_one(self) -> None:
-        self.assertEqual(sizes([accepted(0.0)]), {JOB: 1.0})
+        self.assertEqual(job_sizes([accepted(0.0)]), {JOB: 1.0})
 
     def test_worth_in_time_and_late(self) -> None:
         worth = worth_by_priority(["0=4,0.8", "2=1"])
         self.assertEqual(worth, {0: Worth(4.0, 0.8), 2: Worth(1.0, 0.0)})
-        late = Loss(JOB, "q", 0, 0.0, 1.0, Cause.ROOM, size=2.0)
+        late = MissedObjective(JOB, "q", 0, 0.0, 1.0, Cause.ROOM, size=2.0)
         self.assertAlmostEqual(worth[0].lost(late), 2.0 * 3.2)
         late.late_s = None
         self.assertAlmostEqual(worth[0].lost(late), 8.0)
@@ -159,28 +168,28 @@
 
     def test_work_thrown_away_by_reason_and_by_who_asked(self) -> None:
         again = (start(5.0, 2), self.stop(6.0, 2, reason="worker_leaves"))
-        found = stops([self.job(), start(0.0), self.stop(3.0), *again])
+        found = stop_costs([self.job(), start(0.0), self.stop(3.0), *again])
         self.assertEqual(found.starts, 2)
         self.assertAlmostEqual(found.reasons["preempted"].lost, 3.0 * 20.0)
         self.assertAlmostEqual(found.reasons["worker_leaves"].lost, 1.0 * 20.0)
-        self.assertAlmostEqual(found.askers[OTHER].lost, 60.0)
+        self.assertAlmostEqual(found.preemptors[OTHER].lost, 60.0)
 
     def test_saved_work_is_not_thrown_away(self) -> None:
-        found = stops([self.job("saves"), start(0.0), self.stop(9.0)])
-        self.assertAlmostEqual(found.reasons["preempted"].lost, SAVED_LOSS_S * 20.0)
+        found = stop_costs([self.job("saves"), start(0.0), self.stop(9.0)])
+        self.assertAlmostEqual(found.reasons["preempted"].lost, SAVE_INTERVAL_S * 20.0)
 
     def test_whether_room_was_used_by_whom_it_was_made_for(self) -> None:
         made = [self.job(), start(0.0), self.stop(3.0)]
-        self.assertEqual([asker.job_id for asker in stops(made).unused], [OTHER])
+        self.assertEqual([asker.job_id for asker in stop_costs(made).unused], [OTHER])
         there = line(3.5, "start", task=f"{OTHER}.0.0.0", run=1, worker="w1")
         elsewhere = line(3.4, "start", task=f"{OTHER}.0.0.1", run=1, worker="w2")
-        found = stops([*made, elsewhere, there])
+        found = stop_costs([*made, elsewhere, there])
         self.assertEqual(found.unused, [])
-        self.assertAlmostEqual(found.askers[OTHER].used_s or 0.0, 0.5)
+        self.assertAlmostEqual(found.preemptors[OTHER].used_s or 0.0, 0.5)
 
     def test_tasks_preempted_twice_and_jobs_that_asked_twice(self) -> None:
         made = [self.job(), start(0.0), self.stop(3.0), start(4.0, 2), self.stop(5.0, 2)]
-        text = "\n".join(described(stops(made)))
+        text = "\n".join(describe(stop_costs(made)))
         self.assertIn("2 stops of 2 starts", text)
         self.assertIn("1 of them asked more than once", text)
         self.assertIn("1 of 1 preempted tasks were preempted more than once", text)
