--- a/src/saddlestack/services/router.py
+++ b/src/saddlestack/services/router.py
@@ -249,7 +249,7 @@
     async def _serve_submit(self, body: Submit) -> JobView:
         return await self._scheduler(body.cell).submit(body.spec)
 
-    async def _serve_ask(self, body: Ask) -> JobView:
+    async def _serve_ask(self, body: JobQuery) -> JobView:
         return await self._scheduler(body.cell).get_job(body.job_id, body.wait_s)
 
     async def _serve_cancel(self, body: CancelJob) -> JobView:
