--- a/src/saddlestack/soak/heartbeats.py
+++ b/src/saddlestack/soak/heartbeats.py
@@ -21,7 +21,7 @@
 LAPSE_HEARTBEATS = 3.0
 """A record lapses after so many heartbeats of silence."""
 STEP_S = 0.1
-UNTOLD_FIELDS = frozenset({"seq"})
+HEARTBEAT_FIELDS = frozenset({"seq"})
 """A record changes when more than these fields do."""
 
 
@@ -29,16 +29,17 @@
 class WorkerRecords:
     """Takes workers' writes over HTTP, and removes the records of silent workers.
 
-    :param untold: a write that changes only these fields is a heartbeat, and no change of the key.
-    :ivar away: writes are refused while the store is down for workers...
-    :ivar lapse_while_away: ...and records may lapse meanwhile.
+    :param ignored_fields: a write that changes only these fields is a heartbeat and does not change
+        the key.
+    :ivar is_unavailable: writes are refused while the store is down for workers...
+    :ivar expire_while_unavailable: ...and records may lapse meanwhile.
     """
 
     store: StoreState
     heartbeat_s: float
-    untold: frozenset[str] = UNTOLD_FIELDS
-    away: bool = False
-    lapse_while_away: bool = False
+    ignored_fields: frozenset[str] = HEARTBEAT_FIELDS
+    is_unavailable: bool = False
+    expire_while_unavailable: bool = False
     port: int = 0
     _heard_s: dict[str, float] = field(default_factory=dict)
     _server: HttpServer | None = None
@@ -60,7 +61,7 @@
 
     async def handle(self, request: Request) -> Response:
         """Take a worker's write."""
-        if self.away:
+        if self.is_unavailable:
             return Response(503)
         if request.path != paths.TRANSACTION:
             return Response(404)
@@ -72,7 +73,7 @@
             self.store.remove(key)
         return Response(200, to_json(CommittedBody(self.store.revision)))
 
-    def lapse(self, workers: Iterable[str]) -> None:
+    def expire(self, workers: Iterable[str]) -> None:
         """Records lapse now; they are back with their workers' next heartbeats."""
         for worker in workers:
             self.store.remove(f"{PLACES.workers_prefix}{worker}")
@@ -86,12 +87,12 @@
 
     def _told(self, value: bytes) -> dict[str, Any]:
         entry = msgspec.json.decode(value, type=dict[str, Any])
-        return {name: entry[name] for name in entry if name not in self.untold}
+        return {name: entry[name] for name in entry if name not in self.ignored_fields}
 
     async def _lapse_silent(self) -> None:
         while True:
             await asyncio.sleep(STEP_S)
-            if self.away and not self.lapse_while_away:
+            if self.is_unavailable and not self.expire_while_unavailable:
                 self._wait_with_lapsing()
             self._lapse_before(_now() - LAPSE_HEARTBEATS * self.heartbeat_s)
 
--- a/src/saddlestack/soak/host.py
+++ b/src/saddlestack/soak/host.py
@@ -14,8 +14,8 @@
 
 import msgspec
 
-from saddlestack.soak.life import WorkerLife
-from saddlestack.soak.machine import Machine, Surroundings
+from saddlestack.soak.life import WorkerIncarnation
+from saddlestack.soak.machine import HostContext, Machine
 from saddlestack.soak.messages import (
     Command,
     GangEnded,
@@ -48,7 +48,7 @@
         self._calls = 0
         address, _, port = settings.store.rpartition(":")
         self._store = HttpClient(address, int(port))
-        surroundings = Surroundings(
+        surroundings = HostContext(
             settings.times, settings.service, self._store, stream.write, self._count_call
         )
         self._machines = {
@@ -85,7 +85,7 @@
         else:
             for name in message.machines:
                 if name in self._machines:
-                    self._machines[name].take(message)
+                    self._machines[name].apply(message)
 
     def _count_call(self) -> None:
         self._calls += 1
@@ -104,14 +104,16 @@
 
     def _tell_load(self, lag_s: float) -> None:
         now = asyncio.get_running_loop().time()
-        runs = sum(len(life.runs) for life in self._lives())
+        runs = sum(len(incarnation.runs) for incarnation in self._lives())
         calls, self._calls = self._calls, 0
         self._stream.write(
             HostLoad(self._settings.number, now, lag_s, runs, calls, time.process_time())
         )
 
-    def _lives(self) -> list[WorkerLife]:
-        return [each.life for each in self._machines.values() if each.life is not None]
+    def _lives(self) -> list[WorkerIncarnation]:
+        return [
+            each.incarnation for each in self._machines.values() if each.incarnation is not None
+        ]
 
 
 async def main(settings: HostSettings) -> None:
--- a/src/saddlestack/soak/hosts.py
+++ b/src/saddlestack/soak/hosts.py
@@ -46,7 +46,7 @@
     :param on_record: told of each record as it arrives.
     :ivar records: all that workers told, in the order of arrival.
     :ivar loads: the hosts' loads.
-    :ivar lives: present lives, by worker.
+    :ivar incarnations: present lives, by worker.
     """
 
     def __init__(
@@ -78,7 +78,7 @@
         }
         self.records: list[Record] = []
         self.loads: list[HostLoad] = []
-        self.lives: dict[str, LifeBegan] = {}
+        self.incarnations: dict[str, LifeBegan] = {}
 
     async def start(self) -> None:
         """Start all processes, and wait until their workers serve.
@@ -166,9 +166,9 @@
     def _note(self, record: Record) -> None:
         self.records.append(record)
         if isinstance(record, LifeBegan):
-            self.lives[record.worker] = record
+            self.incarnations[record.worker] = record
         elif isinstance(record, LifeEnded):
-            self.lives.pop(record.worker, None)
+            self.incarnations.pop(record.worker, None)
         if self._on_record is not None:
             self._on_record(record)
 
--- a/src/saddlestack/soak/life.py
+++ b/src/saddlestack/soak/life.py
@@ -55,7 +55,7 @@
 """A stop takes from this share of the longest time for a stop to all of it."""
 FULL_PACE = 100
 
-Tell = Callable[[Record | GangMessage], None]
+Notify = Callable[[Record | GangMessage], None]
 RunKey = tuple[TaskName, int]
 
 
@@ -102,17 +102,17 @@
             self.timer = None
 
 
-class WorkerLife:
+class WorkerIncarnation:
     """One life of a worker, from the moment that it is made.
 
     :param worker_id: the name of the life.
-    :param tell: told of all that happens.
+    :param notify: told of all that happens.
     :ivar on_crash: called with a task that crashes the worker.
     :ivar speed: seconds of work a second.
-    :ivar fails_all: tasks that start now fail at once.
+    :ivar fails_new_runs: tasks that start now fail at once.
     :ivar accelerators: those that it has at present.
-    :ivar guards: whether it refuses what does not fit.
-    :ivar over: whether the life has ended.
+    :ivar enforces_capacity: whether it refuses what does not fit.
+    :ivar has_ended: whether the life has ended.
     """
 
     def __init__(
@@ -121,10 +121,10 @@
         machine: MachineSettings,
         times: ShapeTimes,
         rng: random.Random,
-        tell: Tell,
+        notify: Notify,
     ) -> None:
         self._rng = rng
-        self._tell = tell
+        self._tell = notify
         self._clock = SteadyClock(rng)
         self._lease = Lease(self._clock, times.lease_s, self._kill_all)
         self._ends = EndList()
@@ -137,12 +137,12 @@
         self.runs: dict[RunKey, Run] = {}
         self.on_crash: Callable[[TaskName], None] = _ignored
         self.speed = 1.0
-        self.fails_all = False
+        self.fails_new_runs = False
         self.accelerators = machine.accelerators
         self._told_accelerators = machine.accelerators
-        self.guards = True
-        self.over = False
-        tell(
+        self.enforces_capacity = True
+        self.has_ended = False
+        notify(
             LifeBegan(
                 worker_id, machine.name, machine.hall, machine.rack, machine.accelerators, _now()
             )
@@ -153,7 +153,7 @@
 
         :param by: the task that crashed it, or empty.
         """
-        self.over = True
+        self.has_ended = True
         runs = list(self.runs.values())
         self.runs.clear()
         self._gangs.clear()
@@ -197,7 +197,7 @@
     def _run_refusal(self, order: StartOrder) -> Refusal | None:
         if order.run <= self._highest.get(TaskName.parse(order.task), 0):
             return Refusal.STALE
-        if self.guards and not _needs(_plan(order)).fits(self._free):
+        if self.enforces_capacity and not _needs(_plan(order)).fits(self._free):
             return Refusal.CAPACITY
         return None
 
@@ -206,7 +206,7 @@
         plan = _plan(order)
         work_s = math.inf if plan.lasts else plan.work_s
         progress = Progress(work_s, float(order.saved or 0.0))
-        run = Run(name, order.run, plan, progress, fails=self.fails_all)
+        run = Run(name, order.run, plan, progress, fails=self.fails_new_runs)
         self.runs[(name, order.run)] = run
         self._tell(
             RunBegan(
@@ -278,7 +278,7 @@
         if deadline_ms is not None:
             self._lease.extend(deadline_ms)
         await self._ends.wait(wait_s)
-        if self.over:
+        if self.has_ended:
             raise WorkerUnreachable("the worker is gone")
         now = _now()
         running = tuple(self._row(run, now) for run in self.runs.values())
@@ -296,11 +296,11 @@
         """Have other room from now on, and guard it no longer."""
         grows = accelerators > self.accelerators
         self.accelerators = accelerators
-        self.guards = False
+        self.enforces_capacity = False
         if grows:
             self._tell_room()
 
-    def recorded(self, accelerators: int) -> None:
+    def on_record_written(self, accelerators: int) -> None:
         """The store has taken a record that tells of so much room."""
         if accelerators == self.accelerators != self._told_accelerators:
             self._tell_room()
--- a/src/saddlestack/soak/load.py
+++ b/src/saddlestack/soak/load.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from saddlestack.platform.client import JobsClient, Outcome
-from saddlestack.soak.platform import key_of
+from saddlestack.soak.platform import api_key_of
 from saddlestack.soak.processes import CLIENTS_PORT, EntryProcess
 from saddlestack.soak.readiness import Readiness
 from saddlestack.soak.shape import FailingJobs, JobKind, SoakShape, Spread
@@ -93,7 +93,7 @@
             self._entry = self._readiness.choose(self._rng)
         if queue not in self._calls:
             address = self._entry.site.address
-            key = key_of(self.account)
+            key = api_key_of(self.account)
             self._calls[queue] = JobsClient(address, CLIENTS_PORT, HOST, f"/{queue}/", key)
         return self._calls[queue]
 
--- a/src/saddlestack/soak/machine.py
+++ b/src/saddlestack/soak/machine.py
@@ -15,7 +15,7 @@
 from saddlestack.interfaces.workers import StartOrder, StartReply, WorkerReport, WorkerUnreachable
 from saddlestack.kernel.service import TaskGroup
 from saddlestack.platform.serving import WorkerServing
-from saddlestack.soak.life import Arrival, Tell, WorkerLife
+from saddlestack.soak.life import Arrival, Notify, WorkerIncarnation
 from saddlestack.soak.messages import (
     AnswerErrors,
     Command,
@@ -36,7 +36,7 @@
     MachineSettings,
     Resize,
     RewriteRecord,
-    TaskTrouble,
+    TaskFault,
     TroubleTasks,
 )
 from saddlestack.soak.recording import RecordWriter
@@ -56,18 +56,18 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Surroundings:
+class HostContext:
     """What all machines of a host share.
 
     :param store: the way to the store.
-    :param tell: told of all that happens.
+    :param notify: told of all that happens.
     :param count_call: told of each call.
     """
 
     times: ShapeTimes
     service: str
     store: HttpClient
-    tell: Tell
+    notify: Notify
     count_call: Callable[[], None]
 
 
@@ -75,43 +75,43 @@
 class _Desk:
     """One call's way to a life: see :class:`saddlestack.platform.serving.WorkerDesk`."""
 
-    life: WorkerLife
+    incarnation: WorkerIncarnation
     arrival: Arrival
 
     @property
     def worker_id(self) -> str:
-        return worker_id_of(self.life.worker_id)
+        return worker_id_of(self.incarnation.worker_id)
 
     @property
     def born(self) -> int:
-        return started_ms_of(self.life.worker_id)
+        return started_ms_of(self.incarnation.worker_id)
 
     def clock_ms(self) -> int:
-        return self.life.clock_ms()
+        return self.incarnation.clock_ms()
 
     def start(self, order: StartOrder) -> StartReply:
-        return self.life.start(order, self.arrival)
+        return self.incarnation.start(order, self.arrival)
 
     def stop(self, task: str, run: int, fence: int) -> None:
-        self.life.stop(task, run, fence, self.arrival)
+        self.incarnation.stop(task, run, fence, self.arrival)
 
     def pace(self, task: str, run: int, percent: int, fence: int) -> None:
-        self.life.pace(task, run, percent, fence)
+        self.incarnation.pace(task, run, percent, fence)
 
     async def hold(
         self, fence: int, deadline_ms: int | None, seen: int, wait_s: float
     ) -> WorkerReport:
-        return await self.life.hold(fence, deadline_ms, seen, wait_s)
+        return await self.incarnation.hold(fence, deadline_ms, seen, wait_s)
 
 
 class Machine:
     """One machine with a worker.
 
-    :ivar life: the present life, or ``None`` while there is none.
+    :ivar incarnation: the present life, or ``None`` while there is none.
     """
 
     def __init__(
-        self, settings: MachineSettings, surroundings: Surroundings, rng: random.Random
+        self, settings: MachineSettings, surroundings: HostContext, rng: random.Random
     ) -> None:
         self._settings = settings
         self._surroundings = surroundings
@@ -129,7 +129,7 @@
         self._leaving = False
         self._silent = False
         self._returning = asyncio.Lock()
-        self.life: WorkerLife | None = None
+        self.incarnation: WorkerIncarnation | None = None
 
     @property
     def address(self) -> str:
@@ -147,7 +147,7 @@
         await self._tasks.cancel()
         await self._server.stop()
 
-    def take(self, command: Command) -> None:
+    def apply(self, command: Command) -> None:
         """Something befalls the machine."""
         if isinstance(command, Heal):
             self._heal()
@@ -172,24 +172,31 @@
 
     def gang_moved(self, moved: GangMoved) -> None:
         """A gang is whole, or works at another rate."""
-        if self.life is not None:
-            self.life.gang_moved(moved)
+        if self.incarnation is not None:
+            self.incarnation.gang_moved(moved)
 
     def gang_ended(self, ended: GangEnded) -> None:
         """A gang that was whole is over."""
-        if self.life is not None:
-            self.life.gang_ended(ended)
+        if self.incarnation is not None:
+            self.incarnation.gang_ended(ended)
 
     # Lives
 
     def _begin_life(self) -> None:
         where = self._surroundings
-        life = WorkerLife(self._next_life(), self._settings, where.times, self._rng, where.tell)
-        self.life = life
-        life.on_crash = self._crash_under
+        incarnation = WorkerIncarnation(
+            self._next_life(), self._settings, where.times, self._rng, where.notify
+        )
+        self.incarnation = incarnation
+        incarnation.on_crash = self._crash_under
         self._leaving = False
         self._record = RecordWriter(
-            where.store, life, self.address, where.service, self._rng, self._store_cut_until_s
+            where.store,
+            incarnation,
+            self.address,
+            where.service,
+            self._rng,
+            self._store_cut_until_s,
         )
         self._writing = self._tasks.spawn(self._record.run())
 
@@ -207,31 +214,33 @@
         self._spawn(self._crash(crash, str(task)))
 
     def _end_life(self, *, crashed: bool, by: str = "") -> None:
-        if self.life is not None:
-            self.life.end(crashed=crashed, by=by)
-            self.life = None
+        if self.incarnation is not None:
+            self.incarnation.end(crashed=crashed, by=by)
+            self.incarnation = None
         if self._record is not None:
             self._record.close()
         if self._writing is not None:
             self._writing.cancel()
 
     async def _leave(self, command: Leave) -> None:
-        life, record = self.life, self._record
-        if life is None or record is None or self._leaving:
+        incarnation, record = self.incarnation, self._record
+        if incarnation is None or record is None or self._leaving:
             return
         self._leaving = True
         if command.announced:
             accepted_s = await record.announce(command.notice_s)
-            if self.life is not life:
+            if self.incarnation is not incarnation:
                 return
-            self._surroundings.tell(LifeAnnounced(life.worker_id, accepted_s, command.notice_s))
+            self._surroundings.notify(
+                LifeAnnounced(incarnation.worker_id, accepted_s, command.notice_s)
+            )
         else:
             await record.remove()
         await asyncio.sleep(command.notice_s)
         if command.record_first:
             self._spawn(self._remove(record))
         await asyncio.sleep(command.linger_s)
-        if self.life is not life:
+        if self.incarnation is not incarnation:
             return
         self._end_life(crashed=False)
         self._server.abort()
@@ -239,8 +248,8 @@
         await self._return(command.back_s)
 
     async def _crash(self, command: Crash, by: str = "") -> None:
-        life, record = self.life, self._record
-        if life is None or record is None:
+        incarnation, record = self.incarnation, self._record
+        if incarnation is None or record is None:
             return
         self._silent = command.silent
         self._end_life(crashed=True, by=by)
@@ -251,8 +260,8 @@
         await self._return(command.back_s)
 
     def _resize(self, command: Resize) -> None:
-        if self.life is not None:
-            self.life.resize(command.accelerators)
+        if self.incarnation is not None:
+            self.incarnation.resize(command.accelerators)
 
     async def _remove(self, record: RecordWriter) -> None:
         await record.remove()
@@ -263,7 +272,7 @@
             return
         await asyncio.sleep(back_s)
         async with self._returning:
-            if self.life is not None:
+            if self.incarnation is not None:
                 return
             self._server.abort()
             self._server = HttpServer(self._handle)
@@ -283,29 +292,29 @@
             self._record.cut_until_s = 0.0
         self._tasks_heal_s = 0.0
         self._heal_tasks()
-        if self.life is None:
+        if self.incarnation is None:
             self._spawn(self._return(0.0))
 
     # Tasks
 
     async def _trouble_tasks(self, command: TroubleTasks) -> None:
-        life = self.life
-        if life is None:
+        incarnation = self.incarnation
+        if incarnation is None:
             return
         self._tasks_heal_s = _now() + command.seconds
-        if command.how is TaskTrouble.FAIL:
-            life.fails_all = True
+        if command.how is TaskFault.FAIL:
+            incarnation.fails_new_runs = True
         else:
-            stands = command.how is TaskTrouble.STAND_STILL
-            life.set_speed(0.0 if stands else 1.0 / command.factor)
+            stands = command.how is TaskFault.STUCK
+            incarnation.set_speed(0.0 if stands else 1.0 / command.factor)
         await asyncio.sleep(command.seconds)
         if _now() >= self._tasks_heal_s:
             self._heal_tasks()
 
     def _heal_tasks(self) -> None:
-        if self.life is not None:
-            self.life.fails_all = False
-            self.life.set_speed(1.0)
+        if self.incarnation is not None:
+            self.incarnation.fails_new_runs = False
+            self.incarnation.set_speed(1.0)
 
     # Calls
 
@@ -339,20 +348,20 @@
         return await _silence()
 
     async def _carry_out(self, request: Request, arrival: Arrival) -> Response:
-        life = self.life
-        if life is None:
+        incarnation = self.incarnation
+        if incarnation is None:
             return await _silence()
         try:
-            return await WorkerServing(_Desk(life, arrival)).handle(request)
+            return await WorkerServing(_Desk(incarnation, arrival)).handle(request)
         except WorkerUnreachable:
             if self._silent:
                 return await _silence()
             raise asyncio.CancelledError from None
 
     async def _carry_out_late(self, request: Request, arrived_s: float, after_s: float) -> None:
-        life = self.life
+        incarnation = self.incarnation
         await asyncio.sleep(after_s)
-        if life is not None and self.life is life:
+        if incarnation is not None and self.incarnation is incarnation:
             await self._quietly(self._carry_out(request, Arrival(arrived_s, late=True)))
 
     async def _quietly(self, work: Awaitable[Response]) -> None:
--- a/src/saddlestack/soak/messages.py
+++ b/src/saddlestack/soak/messages.py
@@ -54,7 +54,7 @@
     LOOK = "look"
 
 
-class CutWay(enum.StrEnum):
+class CutDirection(enum.StrEnum):
     """What a cut holds back."""
 
     BOTH = "both"
@@ -70,7 +70,7 @@
     UNAVAILABLE = 503
 
 
-class Rewriting(enum.StrEnum):
+class RecordCorruption(enum.StrEnum):
     """What another writer changes in a worker's record."""
 
     UNREADABLE = "unreadable"
@@ -83,11 +83,11 @@
     OTHER_BIRTH = "other_birth"
 
 
-class TaskTrouble(enum.StrEnum):
+class TaskFault(enum.StrEnum):
     """What is wrong with the tasks of a worker."""
 
     FAIL = "fail"
-    STAND_STILL = "stand_still"
+    STUCK = "stand_still"
     SLOW = "slow"
 
 
@@ -154,7 +154,7 @@
     :param fences: only calls with these tokens are cut; empty for all calls.
     """
 
-    way: CutWay = CutWay.BOTH
+    way: CutDirection = CutDirection.BOTH
     fences: tuple[int, ...] = ()
 
 
@@ -175,7 +175,7 @@
     :param factor: how many times longer slow tasks take.
     """
 
-    how: TaskTrouble
+    how: TaskFault
     factor: float = 5.0
 
 
@@ -221,7 +221,7 @@
 class RewriteRecord(Command, frozen=True, tag=True, kw_only=True):
     """Another writer changes the worker's record, until the worker writes it again."""
 
-    how: Rewriting
+    how: RecordCorruption
 
 
 class Heal(Command, frozen=True, tag=True, kw_only=True):
--- a/src/saddlestack/soak/meters.py
+++ b/src/saddlestack/soak/meters.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True)
-class VmUse:
+class VmUsage:
     """What one VM used, over all its lives.
 
     :param highest: the largest share of a processor in one sample.
@@ -77,7 +77,7 @@
     """
 
     entries: Sequence[EntryProcess]
-    uses: dict[str, VmUse] = field(default_factory=dict)
+    uses: dict[str, VmUsage] = field(default_factory=dict)
     lags_s: list[float] = field(default_factory=list)
     memory_mb: float = 0.0
     own_processor_s: float = 0.0
@@ -96,7 +96,7 @@
                 usage = None if entry.pid is None else usage_of(entry.pid)
                 if usage is None or entry.pid is None:
                     continue
-                use = self.uses.setdefault(entry.name, VmUse())
+                use = self.uses.setdefault(entry.name, VmUsage())
                 use.add(entry.pid, usage, loop.time())
                 memory_mb += usage.memory_mb
             self.memory_mb = max(self.memory_mb, memory_mb)
--- a/src/saddlestack/soak/platform.py
+++ b/src/saddlestack/soak/platform.py
@@ -18,6 +18,7 @@
     EndTrouble,
     FromStore,
     HoldAtRenewal,
+    LinkFault,
     StoreLoad,
     StoreReady,
     StoreSettings,
@@ -25,7 +26,6 @@
     TermEnded,
     ToStore,
     VmHeld,
-    WayTrouble,
 )
 from saddlestack.soak.stream import MessageStream
 from saddlestack.standins.pool.documents import HOST, SERVICE
@@ -66,7 +66,7 @@
         """The VM whose term has a token; empty where none has."""
         return next((term.vm for term in self.terms if term.fence == fence), "")
 
-    def note(self, change: TermBegan | TermEnded) -> None:
+    def record(self, change: TermBegan | TermEnded) -> None:
         """Take in a change of the leader key."""
         if self.current is not None:
             self.current.ended_s = change.at_s
@@ -149,7 +149,7 @@
         assert self._stream is not None
         self._stream.write(message)
 
-    def begin(self, vms: Sequence[str], trouble: WayTrouble, delay_s: float = 0.0) -> int:
+    def begin_link_fault(self, vms: Sequence[str], trouble: LinkFault, delay_s: float = 0.0) -> int:
         """Begin a trouble of some VMs' ways, in place of what they have.
 
         :return: its number, which ends it.
@@ -158,11 +158,11 @@
         self.send(BeginTrouble(number, tuple(vms), trouble, delay_s))
         return number
 
-    def end(self, number: int) -> None:
+    def end_link_fault(self, number: int) -> None:
         """End a trouble where no other has taken its place."""
         self.send(EndTrouble(number))
 
-    async def until_held(self, vm: str, pid: int, timeout_s: float) -> bool:
+    async def pause_at_renewal(self, vm: str, pid: int, timeout_s: float) -> bool:
         """Have a VM's process stopped at the next renewal of its leadership; whether it was."""
         held = self._held[vm] = asyncio.Event()
         self.send(HoldAtRenewal(vm, pid))
@@ -186,7 +186,7 @@
 
     def _take(self, message: FromStore) -> None:
         if isinstance(message, TermBegan | TermEnded):
-            self.terms.note(message)
+            self.terms.record(message)
         elif isinstance(message, StoreLoad):
             self.loads.append(message)
         elif isinstance(message, VmHeld):
@@ -197,7 +197,7 @@
             self._ready.set()
 
 
-def key_of(account: str) -> str:
+def api_key_of(account: str) -> str:
     """The key that a client account's calls carry."""
     return f"key-of-{account}"
 
@@ -220,7 +220,7 @@
     tenants = [
         {
             "name": account.name,
-            "api-keys": [key_of(account.name)],
+            "api-keys": [api_key_of(account.name)],
             "guaranteed": {"gpu": account.guaranteed},
         }
         for account in shape.accounts
--- a/src/saddlestack/soak/processes.py
+++ b/src/saddlestack/soak/processes.py
@@ -43,7 +43,7 @@
         return {**os.environ, "PYTHONPATH": str(self.src), "PYTHONSAFEPATH": "1"}
 
     @property
-    def knows_heartbeat(self) -> bool:
+    def has_heartbeat_setting(self) -> bool:
         """Whether its settings have the time between workers' heartbeats; older ones do not."""
         settings = self.src / "saddlestack" / "control" / "settings.py"
         return "worker_heartbeat_ms" in settings.read_text(encoding="utf-8")
@@ -76,7 +76,7 @@
     times: ShapeTimes
     program: Program = OWN_PROGRAM
     process: asyncio.subprocess.Process | None = None
-    changing: asyncio.Lock = field(default_factory=asyncio.Lock)
+    restart_lock: asyncio.Lock = field(default_factory=asyncio.Lock)
     _holds: int = 0
     _slept_s: float = 0.0
 
@@ -105,7 +105,7 @@
             "grace_s": self.times.grace_s,
             "status_s": self.times.status_s,
         }
-        if self.program.knows_heartbeat:
+        if self.program.has_heartbeat_setting:
             timings["worker_heartbeat_ms"] = self.times.heartbeat_s * 1000
         settings = {
             "vm": site.name,
@@ -119,9 +119,9 @@
             "timings": timings,
         }
         self._settings.write_text(json.dumps(settings))
-        self.cut_from(())
+        self.block_addresses(())
 
-    def cut_from(self, addresses: Iterable[str]) -> None:
+    def block_addresses(self, addresses: Iterable[str]) -> None:
         """Let nothing pass to or from these addresses, from now on."""
         self._write(self._cuts, "\n".join(sorted(addresses)))
 
@@ -158,7 +158,7 @@
 
         A VM has one process at a time: restarts of one VM follow each other.
         """
-        async with self.changing:
+        async with self.restart_lock:
             self.send(signal.SIGKILL)
             await self._ended()
             await asyncio.sleep(pause_s)
@@ -166,7 +166,7 @@
 
     async def stop_and_restart(self) -> None:
         """SIGTERM, SIGKILL after the grace, and a new life."""
-        async with self.changing:
+        async with self.restart_lock:
             self.send(signal.SIGTERM)
             try:
                 async with asyncio.timeout(self.times.grace_s):
@@ -178,19 +178,19 @@
 
     async def freeze(self, seconds: float) -> None:
         """SIGSTOP, and SIGCONT after a while."""
-        held = self.hold()
+        held = self.pause()
         await asyncio.sleep(seconds)
-        self.release(held)
+        self.resume(held)
 
     async def suspend(self, seconds: float) -> None:
         """As :meth:`freeze`, and the event loop of the process does not count the time."""
         loop = asyncio.get_running_loop()
-        began_s, held = loop.time(), self.hold()
+        began_s, held = loop.time(), self.pause()
         await asyncio.sleep(seconds)
         if held is self.process:
             self._slept_s += loop.time() - began_s
             self._write(self._slept, f"{self._slept_s:.6f}")
-        self.release(held)
+        self.resume(held)
 
     async def slow(self, seconds: float, share: float) -> None:
         """SIGSTOP and SIGCONT in turn, many times a second.
@@ -203,17 +203,17 @@
             await self.freeze(SLOW_PERIOD_S * (1 - share))
             await asyncio.sleep(SLOW_PERIOD_S * share)
 
-    def hold(self) -> asyncio.subprocess.Process | None:
+    def pause(self) -> asyncio.subprocess.Process | None:
         """Stop the process until it is released as often as it is held.
 
-        :return: the life that is held, for :meth:`release`.
+        :return: the life that is held, for :meth:`resume`.
         """
         self._holds += 1
         if self._holds == 1:
             self.send(signal.SIGSTOP)
         return self.process
 
-    def release(self, held: asyncio.subprocess.Process | None) -> None:
+    def resume(self, held: asyncio.subprocess.Process | None) -> None:
         """Let a life that was held go on; a later one does not stand still."""
         if held is not self.process:
             return
@@ -223,7 +223,7 @@
 
     async def end(self) -> None:
         """End the process for good."""
-        async with self.changing:
+        async with self.restart_lock:
             self.send(signal.SIGCONT)
             self.send(signal.SIGKILL)
             await self._ended()
--- a/src/saddlestack/soak/proxy.py
+++ b/src/saddlestack/soak/proxy.py
@@ -8,7 +8,7 @@
 READ_SIZE = 64 * 1024
 
 
-class Trouble(enum.StrEnum):
+class ConnectionFault(enum.StrEnum):
     """What a proxy does to its connections."""
 
     NONE = "none"
@@ -37,7 +37,7 @@
         self._stale: set[asyncio.StreamWriter] = set()
         self._passing = asyncio.Event()
         self._passing.set()
-        self.trouble = Trouble.NONE
+        self.trouble = ConnectionFault.NONE
         self.delay_s = 0.0
         self.port = 0
         self.accepted = 0
@@ -61,17 +61,17 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def set(self, trouble: Trouble, delay_s: float = 0.0) -> None:
-        """Begin a trouble, or end it with :attr:`Trouble.NONE`."""
+    def set_fault(self, trouble: ConnectionFault, delay_s: float = 0.0) -> None:
+        """Begin a trouble, or end it with :attr:`ConnectionFault.NONE`."""
         self.trouble = trouble
         self.delay_s = delay_s
-        if trouble in {Trouble.SILENT, Trouble.ONE_WAY}:
+        if trouble in {ConnectionFault.SILENT, ConnectionFault.ONE_WAY}:
             self._passing.clear()
         else:
             self._passing.set()
-        if trouble is Trouble.RESET:
+        if trouble is ConnectionFault.RESET:
             self._reset_all()
-        if trouble is Trouble.STALE:
+        if trouble is ConnectionFault.STALE:
             self._stale |= self._writers
 
     def _reset_all(self) -> None:
@@ -85,7 +85,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.trouble is Trouble.RESET:
+        if self.trouble is ConnectionFault.RESET:
             writer.transport.abort()
             return
         try:
@@ -121,8 +121,10 @@
             await writer.drain()
 
     async def _hold_up(self, answers: bool) -> None:
-        if self.trouble is Trouble.DELAY:
+        if self.trouble is ConnectionFault.DELAY:
             await asyncio.sleep(self.delay_s)
-        held = self.trouble is Trouble.SILENT or (self.trouble is Trouble.ONE_WAY and answers)
+        held = self.trouble is ConnectionFault.SILENT or (
+            self.trouble is ConnectionFault.ONE_WAY and answers
+        )
         if held:
             await self._passing.wait()
--- a/src/saddlestack/soak/recording.py
+++ b/src/saddlestack/soak/recording.py
@@ -13,8 +13,8 @@
 from saddlestack.platform import paths
 from saddlestack.platform.documents import PLACES
 from saddlestack.platform.messages import CapacityBody, PutRow, TransactionBody, WorkerBody
-from saddlestack.soak.life import WorkerLife
-from saddlestack.soak.messages import Rewriting
+from saddlestack.soak.life import WorkerIncarnation
+from saddlestack.soak.messages import RecordCorruption
 from saddlestack.soak.rewriting import rewritten
 from saddlestack.wire.http import AnswerLost, HttpClient, NotSent
 
@@ -38,7 +38,7 @@
     """
 
     store: HttpClient
-    life: WorkerLife
+    incarnation: WorkerIncarnation
     address: str
     service: str
     rng: random.Random
@@ -53,7 +53,7 @@
         """Write until cancelled, or until the record is removed."""
         while not self._removed:
             written = await self._write()
-            heartbeat_s = self.life.times.heartbeat_s
+            heartbeat_s = self.incarnation.times.heartbeat_s
             pause_s = heartbeat_s * self.rng.uniform(1 - JITTER, 1 + JITTER)
             await asyncio.sleep(pause_s if written else min(RETRY_S, pause_s))
 
@@ -66,7 +66,7 @@
         self._announced = _now()
         return self._announced
 
-    async def rewrite(self, how: Rewriting) -> None:
+    async def rewrite(self, how: RecordCorruption) -> None:
         """Another writer changes the record; the worker's next heartbeat writes it again."""
         value = base64.b64encode(rewritten(self._entry(), how)).decode()
         async with self._writing:
@@ -86,36 +86,36 @@
 
     @property
     def _key(self) -> str:
-        return f"{PLACES.workers_prefix}{worker_id_of(self.life.worker_id)}"
+        return f"{PLACES.workers_prefix}{worker_id_of(self.incarnation.worker_id)}"
 
     async def _write(self) -> bool:
         async with self._writing:
             if self._removed:
                 return True
             self._seq += 1
-            accelerators = self.life.accelerators
+            accelerators = self.incarnation.accelerators
             value = base64.b64encode(msgspec.json.encode(self._entry())).decode()
             written = await self._call(TransactionBody([], [PutRow(self._key, value)], []))
             if written:
-                self.life.recorded(accelerators)
+                self.incarnation.on_record_written(accelerators)
             return written
 
     def _entry(self) -> WorkerBody:
-        where = self.life.machine
+        where = self.incarnation.machine
         return WorkerBody(
             service=self.service,
             address=self.address,
             zone=where.hall,
             state="ready" if self._announced is None else "draining",
-            capacity=CapacityBody(where.cpu, where.memory_mb, self.life.accelerators),
+            capacity=CapacityBody(where.cpu, where.memory_mb, self.incarnation.accelerators),
             labels=["a", where.rack],
             machine=where.name,
-            clock_ms=self.life.clock_ms(),
+            clock_ms=self.incarnation.clock_ms(),
             seq=self._seq,
             slots=SLOTS,
             version=VERSION,
             remaining_ms=self._remaining_ms(),
-            born=started_ms_of(self.life.worker_id) or msgspec.UNSET,
+            born=started_ms_of(self.incarnation.worker_id) or msgspec.UNSET,
         )
 
     def _remaining_ms(self) -> int | None:
--- a/src/saddlestack/soak/run.py
+++ b/src/saddlestack/soak/run.py
@@ -118,11 +118,11 @@
         of_vms = VmFaults(self._entries, self._platform, workers)
         of_store = StoreFaults(self._platform)
         of_workers = WorkerFaults(hosts, shape.times)
-        plays = of_vms.plays | of_store.plays | of_workers.plays
-        players = [FaultPlayer(shape.faults, plays, self._fault_rng)]
+        actions = of_vms.actions | of_store.actions | of_workers.actions
+        players = [FaultPlayer(shape.faults, actions, self._fault_rng)]
         for number, mix in enumerate(shape.more_faults):
             rng = random.Random(f"{self._plan.seed} more faults {number}")
-            players.append(FaultPlayer(mix, plays, rng))
+            players.append(FaultPlayer(mix, actions, rng))
         try:
             await asyncio.gather(*(player.run(self._plan.seconds) for player in players))
         finally:
--- a/src/saddlestack/soak/store_faults.py
+++ b/src/saddlestack/soak/store_faults.py
@@ -13,11 +13,11 @@
     ForgetHistory,
     HealAll,
     LapseRecords,
+    LinkFault,
     LoseAnswers,
     ProlongLeases,
     SlowDown,
     TurnWorkersAway,
-    WayTrouble,
 )
 
 AWAY_SHARE = (0.2, 0.6)
@@ -31,10 +31,10 @@
 FORGETS = 4
 LAPSED_SHARE = (0.05, 0.3)
 AWAY_TROUBLES = (
-    WayTrouble.SILENT,
-    WayTrouble.ONE_WAY,
-    WayTrouble.RESET,
-    WayTrouble.REFUSED,
+    LinkFault.SILENT,
+    LinkFault.ONE_WAY,
+    LinkFault.RESET,
+    LinkFault.REFUSED,
 )
 
 
@@ -46,7 +46,7 @@
         self._away = 0
 
     @property
-    def plays(self) -> dict[FaultKind, Play]:
+    def actions(self) -> dict[FaultKind, Play]:
         """What plays each kind."""
         return {
             FaultKind.VM_STORE_CUT: self._cut_vm,
@@ -66,13 +66,13 @@
 
     async def _cut_vm(self, fault: Fault, rng: random.Random) -> None:
         name = rng.choice(self._platform.vms)
-        await self._trouble(fault, [name], rng.choice(list(WayTrouble)), rng)
+        await self._trouble(fault, [name], rng.choice(list(LinkFault)), rng)
 
     async def _cut_leader(self, fault: Fault, rng: random.Random) -> None:
         term = self._platform.terms.current
         any_vm = rng.choice(self._platform.vms)
         name = any_vm if term is None else term.vm
-        await self._trouble(fault, [name], rng.choice(list(WayTrouble)), rng)
+        await self._trouble(fault, [name], rng.choice(list(LinkFault)), rng)
 
     async def _share_away(self, fault: Fault, rng: random.Random) -> None:
         """Turn a share of the VMs away, each in its own manner or all in the same."""
@@ -119,7 +119,7 @@
     async def _stale(self, fault: Fault, rng: random.Random) -> None:
         """Connections that are open swallow everything; new ones work."""
         names = self._some(rng.uniform(*AWAY_SHARE), rng)
-        await self._trouble(fault, names, WayTrouble.STALE, rng)
+        await self._trouble(fault, names, LinkFault.STALE, rng)
 
     async def _forget(self, fault: Fault, rng: random.Random) -> None:
         times = rng.randint(1, FORGETS)
@@ -134,13 +134,13 @@
         self._platform.send(LapseRecords(share))
 
     async def _trouble(
-        self, fault: Fault, names: Sequence[str], trouble: WayTrouble, rng: random.Random
+        self, fault: Fault, names: Sequence[str], trouble: LinkFault, rng: random.Random
     ) -> None:
         fault.on = " ".join([fault.on, *names]).strip()
         fault.detail = f"{fault.detail} {trouble} for {len(names)}".strip()
-        number = self._platform.begin(names, trouble, rng.uniform(*DELAY_S))
+        number = self._platform.begin_link_fault(names, trouble, rng.uniform(*DELAY_S))
         await asyncio.sleep(fault.seconds)
-        self._platform.end(number)
+        self._platform.end_link_fault(number)
 
     def _some(self, share: float, rng: random.Random) -> list[str]:
         names = self._platform.vms
--- a/src/saddlestack/soak/store_way.py
+++ b/src/saddlestack/soak/store_link.py
@@ -12,7 +12,7 @@
 from http import HTTPStatus
 from urllib.parse import parse_qsl, urlsplit
 
-from saddlestack.soak.store_messages import WayTrouble
+from saddlestack.soak.store_messages import LinkFault
 from saddlestack.wire.http import Request, Response
 
 HEAD_END = b"\r\n\r\n"
@@ -21,7 +21,7 @@
 Handler = Callable[[Request], Awaitable[Response]]
 
 
-class StoreWay:
+class StoreLink:
     """Serves one VM on a port of its own.
 
     :ivar calls: calls that were handled.
@@ -33,7 +33,7 @@
         self._server: asyncio.Server | None = None
         self._connections: set[_Connection] = set()
         self._held: list[Callable[[], None]] = []
-        self.trouble: WayTrouble | None = None
+        self.trouble: LinkFault | None = None
         self.delay_s = 0.0
         self.port = 0
         self.calls = 0
@@ -50,23 +50,23 @@
             self._server.close()
         self._reset_all()
 
-    def set(self, trouble: WayTrouble | None, delay_s: float = 0.0) -> None:
+    def set_fault(self, trouble: LinkFault | None, delay_s: float = 0.0) -> None:
         """Begin a trouble, or end it with ``None``. What was held passes once nothing is held."""
         self.trouble = trouble
         self.delay_s = delay_s
-        if trouble is WayTrouble.RESET:
+        if trouble is LinkFault.RESET:
             self._reset_all()
-        if trouble is WayTrouble.STALE:
+        if trouble is LinkFault.STALE:
             for connection in self._connections:
                 connection.stale = True
-        if trouble not in {WayTrouble.SILENT, WayTrouble.ONE_WAY}:
+        if trouble not in {LinkFault.SILENT, LinkFault.ONE_WAY}:
             held, self._held = self._held, []
             for passes in held:
                 passes()
 
     def admit(self, connection: _Connection) -> bool:
         """Take a new connection, or none."""
-        if self.trouble is WayTrouble.RESET:
+        if self.trouble is LinkFault.RESET:
             return False
         self._connections.add(connection)
         return True
@@ -77,23 +77,23 @@
 
     def pass_call(self, deliver: Callable[[], None]) -> None:
         """Deliver a call now, later, or once it is held no more."""
-        self._pass(deliver, held=self.trouble is WayTrouble.SILENT)
+        self._pass(deliver, held=self.trouble is LinkFault.SILENT)
 
     def pass_answer(self, deliver: Callable[[], None]) -> None:
         """Deliver an answer now, later, or once it is held no more."""
-        self._pass(deliver, held=self.trouble in {WayTrouble.SILENT, WayTrouble.ONE_WAY})
+        self._pass(deliver, held=self.trouble in {LinkFault.SILENT, LinkFault.ONE_WAY})
 
     async def handle(self, request: Request) -> Response:
         """Answer a call, or refuse it."""
         self.calls += 1
-        if self.trouble is WayTrouble.REFUSED:
+        if self.trouble is LinkFault.REFUSED:
             return Response(self._rng.choice(REFUSALS))
         return await self._handler(request)
 
     def _pass(self, deliver: Callable[[], None], *, held: bool) -> None:
         if held:
             self._held.append(deliver)
-        elif self.trouble is WayTrouble.DELAY:
+        elif self.trouble is LinkFault.DELAY:
             asyncio.get_running_loop().call_later(self.delay_s, deliver)
         else:
             deliver()
@@ -109,7 +109,7 @@
     :ivar stale: it swallows everything.
     """
 
-    def __init__(self, way: StoreWay) -> None:
+    def __init__(self, way: StoreLink) -> None:
         self._way = way
         self._buffer = b""
         self._transport: asyncio.Transport | None = None
--- a/src/saddlestack/soak/store_messages.py
+++ b/src/saddlestack/soak/store_messages.py
@@ -29,7 +29,7 @@
     configuration: bytes
 
 
-class WayTrouble(enum.StrEnum):
+class LinkFault(enum.StrEnum):
     """What befalls a VM's way to the store.
 
     ``SILENT`` holds calls and answers, ``ONE_WAY`` answers alone; they pass afterwards. Connections
@@ -56,7 +56,7 @@
 
     number: int
     vms: tuple[str, ...]
-    trouble: WayTrouble
+    trouble: LinkFault
     delay_s: float = 0.0
 
 
--- a/src/saddlestack/soak/store_process.py
+++ b/src/saddlestack/soak/store_process.py
@@ -25,6 +25,7 @@
 from saddlestack.platform.documents import PLACES
 from saddlestack.platform.serving import StoreServing
 from saddlestack.soak.heartbeats import WorkerRecords
+from saddlestack.soak.store_link import StoreLink
 from saddlestack.soak.store_messages import (
     BeginTrouble,
     EndTrouble,
@@ -44,7 +45,6 @@
     TurnWorkersAway,
     VmHeld,
 )
-from saddlestack.soak.store_way import StoreWay
 from saddlestack.soak.stream import MessageStream
 from saddlestack.standins.pool.store import StoreState, StoreView
 from saddlestack.standins.ports import LOOPBACK
@@ -68,13 +68,13 @@
         self._vm = vm
         self.view = StoreView(process.state, check_s=WATCH_CHECK_S)
         self._serving = StoreServing(self.view)
-        self.way = StoreWay(self._handle, rng)
+        self.link = StoreLink(self._handle, rng)
         self.trouble = 0
 
     def heal(self) -> None:
         """End all troubles."""
         self.trouble = 0
-        self.way.set(None)
+        self.link.set_fault(None)
         self.view.faults.slow_s = 0.0
         self.view.faults.lose_answers = 0
 
@@ -113,9 +113,9 @@
         """Serve until the stream ends."""
         await self._records.start()
         for each in self._vms.values():
-            await each.way.start(LOOPBACK)
+            await each.link.start(LOOPBACK)
         self.state.put(PLACES.configuration_key, self._settings.configuration)
-        ports = {vm: each.way.port for vm, each in self._vms.items()}
+        ports = {vm: each.link.port for vm, each in self._vms.items()}
         self._stream.write(StoreReady(ports, self._records.port))
         keeping = asyncio.get_running_loop().create_task(self._keep())
         try:
@@ -125,7 +125,7 @@
         finally:
             keeping.cancel()
             for each in self._vms.values():
-                each.way.stop()
+                each.link.stop()
             await self._records.stop()
 
     def renewed(self, vm: str, lease: int) -> None:
@@ -142,11 +142,11 @@
             case BeginTrouble():
                 for vm in message.vms:
                     self._vms[vm].trouble = message.number
-                    self._vms[vm].way.set(message.trouble, message.delay_s)
+                    self._vms[vm].link.set_fault(message.trouble, message.delay_s)
             case EndTrouble():
                 for each in self._vms.values():
                     if each.trouble == message.number:
-                        each.way.set(None)
+                        each.link.set_fault(None)
             case SlowDown():
                 for each in self._vms.values():
                     each.view.faults.slow_s = message.slow_s
@@ -159,8 +159,8 @@
             case ProlongLeases():
                 self.state.prolong_leases(message.seconds)
             case TurnWorkersAway():
-                self._records.away = message.away
-                self._records.lapse_while_away = message.lapse
+                self._records.is_unavailable = message.away
+                self._records.expire_while_unavailable = message.lapse
             case LapseRecords():
                 self._lapse(message.share)
             case HoldAtRenewal():
@@ -171,14 +171,14 @@
     def _heal(self) -> None:
         for each in self._vms.values():
             each.heal()
-        self._records.away = False
+        self._records.is_unavailable = False
         self._hold_at_renewal.clear()
 
     def _lapse(self, share: float) -> None:
         prefix = PLACES.workers_prefix
         workers = [item.key.removeprefix(prefix) for item in self.state.keys(prefix)]
         if workers:
-            self._records.lapse(self._rng.sample(workers, max(1, round(share * len(workers)))))
+            self._records.expire(self._rng.sample(workers, max(1, round(share * len(workers)))))
 
     def _note(self, revision: int, item: Item) -> None:
         """Tell of changes of the leader key."""
@@ -210,7 +210,7 @@
                 told_s = _now()
 
     def _tell_load(self, lag_s: float) -> None:
-        calls = sum(each.way.calls for each in self._vms.values())
+        calls = sum(each.link.calls for each in self._vms.values())
         self._stream.write(StoreLoad(_now(), lag_s, calls - self._calls, time.process_time()))
         self._calls = calls
 
--- a/src/saddlestack/soak/troubles.py
+++ b/src/saddlestack/soak/troubles.py
@@ -10,8 +10,8 @@
 from saddlestack.soak.messages import (
     AnswerErrors,
     CallKind,
+    CutDirection,
     CutFromVms,
-    CutWay,
     DelayOrders,
     Hang,
     LastingCommand,
@@ -61,18 +61,18 @@
 
     async def pass_request(self, fence: int) -> bool:
         """Wait while requests are held back; whether this one was."""
-        return await self._wait(fence, CutWay.REQUESTS)
+        return await self._wait(fence, CutDirection.REQUESTS)
 
     async def pass_answer(self, fence: int) -> None:
         """Wait while answers are held back."""
-        await self._wait(fence, CutWay.ANSWERS)
+        await self._wait(fence, CutDirection.ANSWERS)
 
     def _hits(self, command: WayTrouble, kind: CallKind | None) -> bool:
         if isinstance(command, DelayOrders | LoseAnswers) and kind not in command.calls:
             return False
         return self.rng.random() < command.share
 
-    async def _wait(self, fence: int, way: CutWay) -> bool:
+    async def _wait(self, fence: int, way: CutDirection) -> bool:
         waited = False
         while (left_s := self._cut_for_s(fence, way)) > 0:
             waited = True
@@ -83,7 +83,7 @@
                 continue
         return waited
 
-    def _cut_for_s(self, fence: int, way: CutWay) -> float:
+    def _cut_for_s(self, fence: int, way: CutDirection) -> float:
         """How much longer calls with a token are cut."""
         now = _now()
         left = [
@@ -99,10 +99,10 @@
         return [lasting.command for lasting in self._lasting]
 
 
-def _cuts(cut: CutFromVms, fence: int, way: CutWay) -> bool:
+def _cuts(cut: CutFromVms, fence: int, way: CutDirection) -> bool:
     if cut.fences and fence not in cut.fences:
         return False
-    return cut.way in {way, CutWay.BOTH}
+    return cut.way in {way, CutDirection.BOTH}
 
 
 def _now() -> float:
--- a/src/saddlestack/soak/vm_faults.py
+++ b/src/saddlestack/soak/vm_faults.py
@@ -44,7 +44,7 @@
         self._cut: dict[str, int] = {}
 
     @property
-    def plays(self) -> dict[FaultKind, Play]:
+    def actions(self) -> dict[FaultKind, Play]:
         """What plays each kind."""
         return {
             FaultKind.VM_KILL: self._kill,
@@ -153,7 +153,7 @@
         pid = entry.pid
         if pid is None:
             return
-        held = await self._platform.until_held(entry.name, pid, RENEWAL_WAIT_S)
+        held = await self._platform.pause_at_renewal(entry.name, pid, RENEWAL_WAIT_S)
         # A stop that crosses with the end of the wait is undone as well.
         await entry.freeze(seconds if held else CROSSING_S)
 
@@ -201,7 +201,7 @@
             addresses.setdefault(entry.site.hall, []).append(entry.site.address)
         for entry in self._entries.values():
             cut = (hall for hall in addresses if self._are_apart(entry.site.hall, hall))
-            entry.cut_from(address for hall in cut for address in addresses[hall])
+            entry.block_addresses(address for hall in cut for address in addresses[hall])
 
     def _are_apart(self, one: str, other: str) -> bool:
         return one != other and bool(self._cut.get(one) or self._cut.get(other))
--- a/src/saddlestack/soak/worker_faults.py
+++ b/src/saddlestack/soak/worker_faults.py
@@ -12,20 +12,20 @@
     CallKind,
     Command,
     Crash,
+    CutDirection,
     CutFromStore,
     CutFromVms,
     CutOff,
-    CutWay,
     DelayOrders,
     ErrorAnswer,
     Hang,
     Heal,
     Leave,
     LoseAnswers,
+    RecordCorruption,
     Resize,
     RewriteRecord,
-    Rewriting,
-    TaskTrouble,
+    TaskFault,
     TroubleTasks,
 )
 from saddlestack.soak.shape import FaultKind, ShapeTimes
@@ -49,7 +49,7 @@
         self._times = times
 
     @property
-    def plays(self) -> dict[FaultKind, Play]:
+    def actions(self) -> dict[FaultKind, Play]:
         """What plays each kind."""
         return {
             FaultKind.WORKER_LATE_ORDERS: self._late_orders,
@@ -166,7 +166,7 @@
         """Another writer changes some workers' records, again and again."""
         machines = self._some(MANY_SHARE, rng)
         for _ in range(rng.choice((1, 2, 4))):
-            how = rng.choice(list(Rewriting))
+            how = rng.choice(list(RecordCorruption))
             await self._send(fault, RewriteRecord(machines=machines, how=how))
             await asyncio.sleep(rng.uniform(0.1, 1.0))
 
@@ -200,14 +200,14 @@
         command = TroubleTasks(
             machines=self._some(FEW_SHARE, rng),
             seconds=fault.seconds,
-            how=rng.choice((TaskTrouble.STAND_STILL, TaskTrouble.SLOW)),
+            how=rng.choice((TaskFault.STUCK, TaskFault.SLOW)),
         )
         await self._send(fault, command)
 
     async def _fail_tasks(self, fault: Fault, rng: random.Random) -> None:
         """Workers fail all that they start."""
         command = TroubleTasks(
-            machines=self._some(FEW_SHARE, rng), seconds=fault.seconds, how=TaskTrouble.FAIL
+            machines=self._some(FEW_SHARE, rng), seconds=fault.seconds, how=TaskFault.FAIL
         )
         await self._send(fault, command)
 
@@ -215,7 +215,7 @@
         """Workers run on that the VMs do not reach; about half of them reach nobody at all."""
         machines = self._some(MANY_SHARE, rng)
         command: Command = CutFromVms(
-            machines=machines, seconds=fault.seconds, way=rng.choice(list(CutWay))
+            machines=machines, seconds=fault.seconds, way=rng.choice(list(CutDirection))
         )
         if rng.random() < CUT_OFF_SHARE:
             command = CutOff(machines=machines, seconds=fault.seconds)
--- a/tests/soak_support.py
+++ b/tests/soak_support.py
@@ -10,7 +10,7 @@
 
 from saddlestack.interfaces.workers import EndKind, StartOrder, StartReply, WorkerReport
 from saddlestack.soak.gangs import GangHub
-from saddlestack.soak.life import Arrival, WorkerLife
+from saddlestack.soak.life import Arrival, WorkerIncarnation
 from saddlestack.soak.messages import (
     GangEnded,
     GangMessage,
@@ -61,7 +61,7 @@
     count: int = 1
     seed: int = 1
     records: list[Record] = field(default_factory=list)
-    lives: list[WorkerLife] = field(default_factory=list)
+    incarnations: list[WorkerIncarnation] = field(default_factory=list)
     hub: GangHub = field(init=False)
 
     def __post_init__(self) -> None:
@@ -69,17 +69,17 @@
         for number in range(self.count):
             self.add(number)
 
-    def add(self, host: int) -> WorkerLife:
+    def add(self, host: int) -> WorkerIncarnation:
         """A new life of a worker."""
-        life = WorkerLife(
-            f"i-{len(self.lives)}",
+        incarnation = WorkerIncarnation(
+            f"i-{len(self.incarnations)}",
             machine(host),
             TIMES,
             random.Random(self.seed + host),
             self._teller(host),
         )
-        self.lives.append(life)
-        return life
+        self.incarnations.append(incarnation)
+        return incarnation
 
     def start(
         self,
@@ -95,28 +95,28 @@
         late: bool = False,
     ) -> StartReply:
         """Start a run."""
-        life = self.lives[worker]
-        deadline_ms = life.clock_ms() + round(hold_s * 1000)
+        incarnation = self.incarnations[worker]
+        deadline_ms = incarnation.clock_ms() + round(hold_s * 1000)
         order = StartOrder(task(index, step), number, payload(plan), saved, deadline_ms, fence)
-        return life.start(order, Arrival(now(), late))
+        return incarnation.start(order, Arrival(now(), late))
 
     def stop(self, *, worker: int = 0, index: int = 0, number: int = 1, fence: int = 1) -> None:
         """Stop a run."""
-        self.lives[worker].stop(task(index), number, fence, Arrival(now()))
+        self.incarnations[worker].stop(task(index), number, fence, Arrival(now()))
 
     async def look(
         self, *, worker: int = 0, seen: int = 0, wait_s: float = 0.0, fence: int = 1
     ) -> WorkerReport:
         """Look, without a renewal."""
-        return await self.lives[worker].hold(fence, None, seen, wait_s)
+        return await self.incarnations[worker].hold(fence, None, seen, wait_s)
 
     async def renew_for(self, seconds: float) -> None:
         """Renew all leases for some time."""
         until = now() + seconds
         while now() < until:
-            for life in self.lives:
-                if not life.over:
-                    await life.hold(1, life.clock_ms() + 6000, 0, 0.0)
+            for incarnation in self.incarnations:
+                if not incarnation.has_ended:
+                    await incarnation.hold(1, incarnation.clock_ms() + 6000, 0, 0.0)
             await asyncio.sleep(min(1.0, max(0.001, until - now())))
 
     def ends(self) -> list[tuple[str, int, EndKind]]:
@@ -132,22 +132,22 @@
         return [how for _, _, how in self.ends()]
 
     def _send(self, host: int, message: GangMoved | GangEnded) -> None:
-        for life in self.lives:
-            if life.machine.name != f"m{host}":
+        for incarnation in self.incarnations:
+            if incarnation.machine.name != f"m{host}":
                 continue
             if isinstance(message, GangMoved):
-                life.gang_moved(message)
+                incarnation.gang_moved(message)
             else:
-                life.gang_ended(message)
+                incarnation.gang_ended(message)
 
     def _teller(self, host: int) -> Callable[[Record | GangMessage], None]:
-        def tell(message: Record | GangMessage) -> None:
+        def notify(message: Record | GangMessage) -> None:
             if isinstance(message, GangMessage):
                 self.hub.take(host, message)
             else:
                 self.records.append(message)
 
-        return tell
+        return notify
 
 
 def now() -> float:
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -13,7 +13,7 @@
 from saddlestack.platform.kv import KvStore
 from saddlestack.platform.orders import HttpWorkerOrders
 from saddlestack.platform.serving import StoreServing
-from saddlestack.soak.proxy import Proxy, Trouble
+from saddlestack.soak.proxy import ConnectionFault, Proxy
 from saddlestack.standins.loop import VirtualClock, run
 from saddlestack.standins.pool.cluster import PoolCluster, job
 from saddlestack.standins.pool.store import StoreState, StoreView
@@ -72,7 +72,7 @@
         async def body(proxy: Proxy) -> None:
             client = HttpClient(HOST, proxy.port)
             await fill(client, 8)
-            proxy.set(Trouble.STALE)
+            proxy.set_fault(ConnectionFault.STALE)
             with self.assertRaises(AnswerLost):
                 await client.request("GET", "/", timeout=CALL_S)
             response = await client.request("GET", "/", timeout=CALL_S)
@@ -85,7 +85,7 @@
         async def body(proxy: Proxy) -> None:
             client = HttpClient(HOST, proxy.port)
             await fill(client, 8)
-            proxy.set(Trouble.STALE)
+            proxy.set_fault(ConnectionFault.STALE)
             with self.assertRaises(TimeoutError):
                 async with asyncio.timeout(0.2):
                     await client.request("GET", "/", timeout=CALL_S)
@@ -121,7 +121,7 @@
         async def body(proxy: Proxy) -> None:
             orders = HttpWorkerOrders("i-1", HOST, proxy.port)
             await asyncio.gather(*(orders.hold(1, None, 0, 0.0, 0.3) for _ in range(4)))
-            proxy.set(Trouble.STALE)
+            proxy.set_fault(ConnectionFault.STALE)
             with self.assertRaises(WorkerUnreachable):
                 await orders.hold(1, None, 0, 0.0, 0.3)
             self.assertEqual((await orders.hold(1, None, 0, 0.0, 0.3)).clock_ms, 1)
@@ -140,7 +140,7 @@
             health = StoreHealth(store, VirtualClock())
             await health.start()
             await asyncio.sleep(1.0)
-            proxy.set(Trouble.STALE)
+            proxy.set_fault(ConnectionFault.STALE)
             lost_s = 0.0
             for _ in range(100):
                 await asyncio.sleep(0.01)
@@ -195,7 +195,7 @@
             link = await self.dial(proxy)
             await link.call("ping", {}, dict, 0.25)
             self.assertFalse(link.silent)
-            proxy.set(Trouble.STALE)
+            proxy.set_fault(ConnectionFault.STALE)
             with self.assertRaises(TimeoutError):
                 async with asyncio.timeout(0.25):
                     await link.call("ping", {}, dict, 0.6)
@@ -207,7 +207,7 @@
     def test_a_slow_link_is_used_again_and_loses_no_call(self) -> None:
         async def body(proxy: Proxy, accepted: list[PeerLink]) -> None:
             link = await self.dial(proxy)
-            proxy.set(Trouble.DELAY, 0.2)
+            proxy.set_fault(ConnectionFault.DELAY, 0.2)
             patient = asyncio.ensure_future(link.call("ping", {}, dict, 0.6))
             with self.assertRaises(TimeoutError):
                 async with asyncio.timeout(0.25):
@@ -223,7 +223,7 @@
         async def body(proxy: Proxy, accepted: list[PeerLink]) -> None:
             link = await self.dial(proxy)
             await link.call("ping", {}, dict, 0.25)
-            proxy.set(Trouble.STALE)
+            proxy.set_fault(ConnectionFault.STALE)
             await asyncio.sleep(ACCEPTED_IDLE_S + 1.0)
             self.assertTrue(accepted[0].closed)
             link.close()
@@ -233,7 +233,7 @@
     def test_a_lost_link_fails_its_open_calls(self) -> None:
         async def body(proxy: Proxy, accepted: list[PeerLink]) -> None:
             link = await self.dial(proxy)
-            proxy.set(Trouble.STALE)
+            proxy.set_fault(ConnectionFault.STALE)
             with self.assertRaises(LinkLost):
                 await link.call("ping", {}, dict, 0.6)
             link.close()
@@ -246,7 +246,7 @@
         async def body(proxy: Proxy) -> None:
             client = HttpClient(HOST, proxy.port)
             await client.request("GET", "/", timeout=CALL_S)
-            proxy.set(Trouble.STALE)
+            proxy.set_fault(ConnectionFault.STALE)
             self.assertEqual(proxy.open_at_target, 1)
             await asyncio.sleep(80.0)
             self.assertEqual(proxy.open_at_target, 0)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -21,16 +21,16 @@
 from saddlestack.soak.launcher import CuttableDialer
 from saddlestack.soak.load import ALWAYS, Load, Told, draw, request
 from saddlestack.soak.logsearch import lines_of
-from saddlestack.soak.meters import Usage, VmUse
+from saddlestack.soak.meters import Usage, VmUsage
 from saddlestack.soak.platform import TermHistory, configuration
 from saddlestack.soak.processes import EntryProcess, EntrySite
-from saddlestack.soak.proxy import Proxy, Trouble
+from saddlestack.soak.proxy import ConnectionFault, Proxy
 from saddlestack.soak.readiness import Readiness
 from saddlestack.soak.report import BrokenReport, LagReport, SoakReport, StandstillReport, Waits
 from saddlestack.soak.run import Soak, SoakPlan, run, sites_of
 from saddlestack.soak.shape import FaultKind, FaultMix, SoakShape, Spread, check, load
-from saddlestack.soak.store_messages import TermBegan, TermEnded, WayTrouble
-from saddlestack.soak.store_way import StoreWay
+from saddlestack.soak.store_link import StoreLink
+from saddlestack.soak.store_messages import LinkFault, TermBegan, TermEnded
 from saddlestack.soak.vm_faults import VmFaults
 from saddlestack.standins.loop import run as run_virtually
 from saddlestack.standins.pool.workers import TaskPlan
@@ -304,7 +304,7 @@
         workers = {"hall-1": ["127.64.0.1"], "hall-2": ["127.64.0.2"]}
         faults = VmFaults(entries, None, workers)  # type: ignore[arg-type]
         fault = Fault(FaultKind.HALL_CUT, 3.0)
-        run_virtually(faults.plays[FaultKind.HALL_CUT](fault, random.Random(1)))
+        run_virtually(faults.actions[FaultKind.HALL_CUT](fault, random.Random(1)))
         for entry in entries:
             other = "hall-2" if entry.site.hall == "hall-1" else "hall-1"
             apart = {each.site.address for each in entries if each.site.hall == other}
@@ -343,17 +343,17 @@
         EntryProcess.__init__(self, site, Path("/nowhere"), "", load(SMALL).times)
         self.cuts = []
 
-    def cut_from(self, addresses: object) -> None:
+    def block_addresses(self, addresses: object) -> None:
         self.cuts.append(set(addresses))  # type: ignore[call-overload]
 
 
 class TermTest(unittest.TestCase):
     def test_terms_are_told_by_their_tokens(self) -> None:
         history = TermHistory()
-        history.note(TermBegan(7, "a", 70_001, 1.0))
-        history.note(TermEnded(2.0))
+        history.record(TermBegan(7, "a", 70_001, 1.0))
+        history.record(TermEnded(2.0))
         self.assertIsNone(history.current)
-        history.note(TermBegan(9, "b", 70_002, 3.0))
+        history.record(TermBegan(9, "b", 70_002, 3.0))
         self.assertEqual([history.vm_of(fence) for fence in (7, 8, 9)], ["a", "", "b"])
         self.assertEqual([term.ended_s for term in history.terms], [2.0, None])
 
@@ -407,7 +407,7 @@
             self.assertIn(line, text)
 
     def test_use_is_counted_over_all_lives(self) -> None:
-        use = VmUse()
+        use = VmUsage()
         for pid, processor_s in ((1, 0.5), (1, 0.8), (2, 0.2)):
             use.add(pid, Usage(processor_s, 30.0), 0.0)
         self.assertAlmostEqual(use.processor_s, 1.0)
@@ -451,7 +451,7 @@
 class StoreWayTest(unittest.TestCase):
     """Every trouble of a VM's way to the store, as the program's own client meets it."""
 
-    def play(self, body: Callable[[StoreWay, HttpClient, list[str]], Awaitable[None]]) -> None:
+    def play(self, body: Callable[[StoreLink, HttpClient, list[str]], Awaitable[None]]) -> None:
         async def whole() -> None:
             handled: list[str] = []
 
@@ -459,7 +459,7 @@
                 handled.append(asked.query["n"])
                 return Response(200, asked.body)
 
-            way = StoreWay(handle, random.Random(1))
+            way = StoreLink(handle, random.Random(1))
             await way.start("127.0.0.1")
             client = HttpClient("127.0.0.1", way.port)
             try:
@@ -471,7 +471,7 @@
         asyncio.run(whole())
 
     def test_calls_pass(self) -> None:
-        async def body(way: StoreWay, client: HttpClient, handled: list[str]) -> None:
+        async def body(way: StoreLink, client: HttpClient, handled: list[str]) -> None:
             for number in range(3):
                 response = await client.request("POST", f"/x?n={number}", {"a": 1}, timeout=1.0)
                 self.assertEqual(response.body, b'{"a":1}')
@@ -480,37 +480,37 @@
         self.play(body)
 
     def test_silence_holds_calls(self) -> None:
-        async def body(way: StoreWay, client: HttpClient, handled: list[str]) -> None:
-            way.set(WayTrouble.SILENT)
+        async def body(way: StoreLink, client: HttpClient, handled: list[str]) -> None:
+            way.set_fault(LinkFault.SILENT)
             with self.assertRaises(AnswerLost):
                 await client.request("POST", "/x?n=1", timeout=0.1)
             waiting = asyncio.create_task(client.request("POST", "/x?n=2", timeout=5.0))
             await asyncio.sleep(0.05)
             self.assertEqual(handled, [])
-            way.set(None)
+            way.set_fault(None)
             self.assertEqual((await waiting).status, 200)
             self.assertEqual(handled, ["2"])
 
         self.play(body)
 
     def test_one_way_holds_answers(self) -> None:
-        async def body(way: StoreWay, client: HttpClient, handled: list[str]) -> None:
-            way.set(WayTrouble.ONE_WAY)
+        async def body(way: StoreLink, client: HttpClient, handled: list[str]) -> None:
+            way.set_fault(LinkFault.ONE_WAY)
             waiting = asyncio.create_task(client.request("POST", "/x?n=1", timeout=5.0))
             while not handled:
                 await asyncio.sleep(0.01)
             self.assertFalse(waiting.done())
-            way.set(None)
+            way.set_fault(None)
             self.assertEqual((await waiting).status, 200)
 
         self.play(body)
 
     def test_reset_and_refused(self) -> None:
-        async def body(way: StoreWay, client: HttpClient, handled: list[str]) -> None:
-            way.set(WayTrouble.RESET)
+        async def body(way: StoreLink, client: HttpClient, handled: list[str]) -> None:
+            way.set_fault(LinkFault.RESET)
             with self.assertRaises(AnswerLost):
                 await client.request("POST", "/x?n=1", timeout=1.0)
-            way.set(WayTrouble.REFUSED)
+            way.set_fault(LinkFault.REFUSED)
             response = await client.request("POST", "/x?n=2", timeout=1.0)
             self.assertIn(response.status, {429, 503})
             self.assertEqual(handled, [])
@@ -518,9 +518,9 @@
         self.play(body)
 
     def test_stale_connections_swallow_and_new_ones_work(self) -> None:
-        async def body(way: StoreWay, client: HttpClient, handled: list[str]) -> None:
+        async def body(way: StoreLink, client: HttpClient, handled: list[str]) -> None:
             await client.request("POST", "/x?n=1", timeout=1.0)
-            way.set(WayTrouble.STALE)
+            way.set_fault(LinkFault.STALE)
             with self.assertRaises(AnswerLost):
                 await client.request("POST", "/x?n=2", timeout=0.1)
             client.reconnect()
@@ -530,8 +530,8 @@
         self.play(body)
 
     def test_delay(self) -> None:
-        async def body(way: StoreWay, client: HttpClient, handled: list[str]) -> None:
-            way.set(WayTrouble.DELAY, 0.05)
+        async def body(way: StoreLink, client: HttpClient, handled: list[str]) -> None:
+            way.set_fault(LinkFault.DELAY, 0.05)
             began = asyncio.get_running_loop().time()
             await client.request("POST", "/x?n=1", timeout=1.0)
             self.assertGreaterEqual(asyncio.get_running_loop().time() - began, 0.1)
@@ -603,10 +603,10 @@
         async def body() -> None:
             entry = counted_process()
             await entry.start()
-            held = [entry.hold(), entry.hold()]
-            entry.release(held[0])
+            held = [entry.pause(), entry.pause()]
+            entry.resume(held[0])
             self.assertEqual(await entry.until_state("T"), "T")
-            entry.release(held[1])
+            entry.resume(held[1])
             self.assertEqual(await entry.until_state("S"), "S")
             await entry.end()
 
@@ -616,10 +616,10 @@
         async def body() -> None:
             entry = counted_process()
             await entry.start()
-            held = entry.hold()
+            held = entry.pause()
             await entry.kill_and_restart(0.0)
-            entry.hold()
-            entry.release(held)
+            entry.pause()
+            entry.resume(held)
             self.assertEqual(await entry.until_state("T"), "T")
             await entry.end()
 
@@ -670,20 +670,20 @@
             reader, writer = await asyncio.open_connection("127.0.0.1", proxy.port)
             writer.write(b"a")
             self.assertEqual(await reader.read(1), b"a")
-            for trouble in (Trouble.SILENT, Trouble.ONE_WAY):
-                proxy.set(trouble)
+            for trouble in (ConnectionFault.SILENT, ConnectionFault.ONE_WAY):
+                proxy.set_fault(trouble)
                 writer.write(b"b")
                 with self.assertRaises(TimeoutError):
                     async with asyncio.timeout(1.0):
                         await reader.read(1)
-                proxy.set(Trouble.NONE)
+                proxy.set_fault(ConnectionFault.NONE)
                 self.assertEqual(await reader.read(1), b"b")
-            proxy.set(Trouble.DELAY, 0.5)
+            proxy.set_fault(ConnectionFault.DELAY, 0.5)
             writer.write(b"c")
             began = asyncio.get_running_loop().time()
             self.assertEqual(await reader.read(1), b"c")
             self.assertGreaterEqual(asyncio.get_running_loop().time() - began, 0.5)
-            proxy.set(Trouble.RESET)
+            proxy.set_fault(ConnectionFault.RESET)
             with self.assertRaises(ConnectionResetError):
                 if not await reader.read(1):
                     raise ConnectionResetError
--- a/tests/test_soak_workers.py
+++ b/tests/test_soak_workers.py
@@ -21,15 +21,15 @@
 from saddlestack.platform.documents import PlatformDocuments
 from saddlestack.platform.orders import HttpWorkerOrders
 from saddlestack.soak.heartbeats import WorkerRecords
-from saddlestack.soak.machine import Machine, Surroundings
+from saddlestack.soak.machine import HostContext, Machine
 from saddlestack.soak.messages import (
     AnswerErrors,
     CallKind,
     Crash,
+    CutDirection,
     CutFromStore,
     CutFromVms,
     CutOff,
-    CutWay,
     DelayOrders,
     ErrorAnswer,
     GangMessage,
@@ -41,7 +41,7 @@
     LoseAnswers,
     Record,
     RunBegan,
-    TaskTrouble,
+    TaskFault,
     TroubleTasks,
 )
 from saddlestack.standins.pool.documents import SERVICE
@@ -68,7 +68,7 @@
         self.records = WorkerRecords(self.store, TIMES.heartbeat_s)
         await self.records.start()
         self.client = HttpClient("127.0.0.1", self.records.port)
-        surroundings = Surroundings(TIMES, SERVICE, self.client, self.told.append, lambda: None)
+        surroundings = HostContext(TIMES, SERVICE, self.client, self.told.append, lambda: None)
         self.machine = Machine(machine(0), surroundings, random.Random(1))
         await self.machine.start()
         await asyncio.sleep(TOLD_S)
@@ -82,17 +82,17 @@
 
     def dial(self) -> HttpWorkerOrders:
         """A way to the life that is present."""
-        assert self.machine.life is not None
+        assert self.machine.incarnation is not None
         if self.orders is not None:
             self.orders.close()
         address, _, port = self.machine.address.rpartition(":")
-        self.orders = HttpWorkerOrders(self.machine.life.worker_id, address, int(port))
+        self.orders = HttpWorkerOrders(self.machine.incarnation.worker_id, address, int(port))
         return self.orders
 
     async def begin(self, index: int = 0, number: int = 1, work_s: float = 100.0) -> None:
         """Start a run."""
-        assert self.machine.life is not None
-        deadline_ms = self.machine.life.clock_ms() + 6000
+        assert self.machine.incarnation is not None
+        deadline_ms = self.machine.incarnation.clock_ms() + 6000
         plan = payload(TaskPlan(work_s))
         order = StartOrder(task(index), number, plan, "", deadline_ms, self.fence)
         await self.orders.start(order, TIMEOUT_S)
@@ -100,8 +100,8 @@
     async def look(self, renew_ms: int | None = None, seen: int = 0) -> WorkerReport:
         """Look, and renew."""
         deadline_ms = None
-        if renew_ms is not None and self.machine.life is not None:
-            deadline_ms = self.machine.life.clock_ms() + renew_ms
+        if renew_ms is not None and self.machine.incarnation is not None:
+            deadline_ms = self.machine.incarnation.clock_ms() + renew_ms
         return await self.orders.hold(self.fence, deadline_ms, seen, 0.0, TIMEOUT_S)
 
     async def stop_run(self, index: int = 0, number: int = 1) -> None:
@@ -138,7 +138,7 @@
             delay = DelayOrders(
                 machines=ALL, seconds=2.0, calls=(CallKind.START,), least_s=2.0, longest_s=4.0
             )
-            site.machine.take(delay)
+            site.machine.apply(delay)
             sent = now()
             with self.assertRaises(WorkerUnreachable):
                 await site.begin()
@@ -158,7 +158,7 @@
             delay = DelayOrders(
                 machines=ALL, seconds=1.0, calls=(CallKind.LOOK,), least_s=2.0, longest_s=3.0
             )
-            site.machine.take(delay)
+            site.machine.apply(delay)
             with self.assertRaises(WorkerUnreachable):
                 await site.look(9000)
             await asyncio.sleep(7.0)
@@ -169,7 +169,7 @@
             delay = DelayOrders(
                 machines=ALL, seconds=1.0, calls=(CallKind.STOP,), least_s=2.0, longest_s=3.0
             )
-            site.machine.take(delay)
+            site.machine.apply(delay)
             with self.assertRaises(WorkerUnreachable):
                 await site.stop_run()
             self.assertEqual(len((await site.look(6000)).running), 1)
@@ -185,7 +185,7 @@
             with self.subTest(reset_share):
 
                 async def body(site: Site, reset_share: float = reset_share) -> None:
-                    site.machine.take(
+                    site.machine.apply(
                         LoseAnswers(machines=ALL, seconds=1.0, reset_share=reset_share)
                     )
                     began = now()
@@ -200,7 +200,7 @@
 
     def test_a_worker_that_hangs_does_nothing(self) -> None:
         async def body(site: Site) -> None:
-            site.machine.take(Hang(machines=ALL, seconds=1.0))
+            site.machine.apply(Hang(machines=ALL, seconds=1.0))
             with self.assertRaises(WorkerUnreachable):
                 await site.begin()
             await asyncio.sleep(20.0)
@@ -223,7 +223,7 @@
                     answer: ErrorAnswer = answer,
                     error: type[Exception] = error,
                 ) -> None:
-                    site.machine.take(AnswerErrors(machines=ALL, seconds=1.0, answer=answer))
+                    site.machine.apply(AnswerErrors(machines=ALL, seconds=1.0, answer=answer))
                     began = now()
                     with self.assertRaises(error):
                         await site.begin()
@@ -235,7 +235,7 @@
 
     def test_a_share_of_calls_is_drawn_by_chance(self) -> None:
         async def body(site: Site) -> None:
-            site.machine.take(AnswerErrors(machines=ALL, seconds=100.0, share=0.4))
+            site.machine.apply(AnswerErrors(machines=ALL, seconds=100.0, share=0.4))
             busy = 0
             for _ in range(200):
                 try:
@@ -250,7 +250,7 @@
 class CutTest(SiteTest):
     def test_what_a_cut_holds_back_passes_afterwards(self) -> None:
         async def body(site: Site) -> None:
-            site.machine.take(CutFromVms(machines=ALL, seconds=3.0))
+            site.machine.apply(CutFromVms(machines=ALL, seconds=3.0))
             sent = now()
             with self.assertRaises(WorkerUnreachable):
                 await site.begin()
@@ -264,7 +264,7 @@
 
     def test_a_cut_of_answers_lets_orders_through(self) -> None:
         async def body(site: Site) -> None:
-            site.machine.take(CutFromVms(machines=ALL, seconds=3.0, way=CutWay.ANSWERS))
+            site.machine.apply(CutFromVms(machines=ALL, seconds=3.0, way=CutDirection.ANSWERS))
             with self.assertRaises(WorkerUnreachable):
                 await site.begin()
             self.assertEqual([run.late for run in site.begun()], [False])
@@ -273,7 +273,7 @@
 
     def test_a_cut_from_one_leader(self) -> None:
         async def body(site: Site) -> None:
-            site.machine.take(CutFromVms(machines=ALL, seconds=3.0, fences=(1,)))
+            site.machine.apply(CutFromVms(machines=ALL, seconds=3.0, fences=(1,)))
             with self.assertRaises(WorkerUnreachable):
                 await site.look()
             site.fence = 2
@@ -284,7 +284,7 @@
     def test_a_worker_that_is_cut_off_runs_on_while_its_record_lapses(self) -> None:
         async def body(site: Site) -> None:
             await site.begin(work_s=4.0)
-            site.machine.take(CutOff(machines=ALL, seconds=8.0))
+            site.machine.apply(CutOff(machines=ALL, seconds=8.0))
             with self.assertRaises(WorkerUnreachable):
                 await site.look()
             await asyncio.sleep(3 * TIMES.heartbeat_s + 1.0)
@@ -300,8 +300,8 @@
         async def body(site: Site) -> None:
             await site.begin()
             address = site.machine.address
-            site.machine.take(CutFromVms(machines=ALL, seconds=5.0))
-            site.machine.take(Crash(machines=ALL, silent=True, back_s=2.0))
+            site.machine.apply(CutFromVms(machines=ALL, seconds=5.0))
+            site.machine.apply(Crash(machines=ALL, silent=True, back_s=2.0))
             with self.assertRaises(WorkerUnreachable):
                 await site.look()
             await asyncio.sleep(6.0)
@@ -319,7 +319,7 @@
     def test_a_crash_refuses_connections_and_its_record_lapses(self) -> None:
         async def body(site: Site) -> None:
             await site.begin()
-            site.machine.take(Crash(machines=ALL, back_s=None))
+            site.machine.apply(Crash(machines=ALL, back_s=None))
             await asyncio.sleep(0.2)
             began = now()
             with self.assertRaises(WorkerUnreachable):
@@ -333,7 +333,7 @@
 
     def test_a_crash_that_takes_the_record_along(self) -> None:
         async def body(site: Site) -> None:
-            site.machine.take(Crash(machines=ALL, removed=True, back_s=None))
+            site.machine.apply(Crash(machines=ALL, removed=True, back_s=None))
             await asyncio.sleep(0.2)
             self.assertEqual(site.recorded(), [])
 
@@ -342,7 +342,7 @@
     def test_an_announced_end(self) -> None:
         async def body(site: Site) -> None:
             await site.begin()
-            site.machine.take(Leave(machines=ALL, notice_s=3.0, linger_s=2.0, back_s=None))
+            site.machine.apply(Leave(machines=ALL, notice_s=3.0, linger_s=2.0, back_s=None))
             await asyncio.sleep(0.2)
             (item,) = site.store.keys("servers/")
             record = PlatformDocuments().worker(item)
@@ -365,7 +365,7 @@
     def test_an_announced_end_whose_record_goes_first(self) -> None:
         async def body(site: Site) -> None:
             leave = Leave(machines=ALL, notice_s=2.0, linger_s=2.0, record_first=True, back_s=None)
-            site.machine.take(leave)
+            site.machine.apply(leave)
             await asyncio.sleep(2.5)
             self.assertEqual(site.recorded(), [])
             await site.look()
@@ -378,7 +378,7 @@
     def test_an_end_that_is_not_announced(self) -> None:
         async def body(site: Site) -> None:
             leave = Leave(machines=ALL, announced=False, notice_s=3.0, linger_s=1.0, back_s=0.5)
-            site.machine.take(leave)
+            site.machine.apply(leave)
             await asyncio.sleep(3.8)
             self.assertEqual(site.recorded(), [])
             await site.look()
@@ -394,11 +394,11 @@
 
     def test_an_announcement_counts_from_when_the_store_takes_it(self) -> None:
         async def body(site: Site) -> None:
-            site.records.away = True
-            site.machine.take(Leave(machines=ALL, notice_s=1.0, back_s=None))
+            site.records.is_unavailable = True
+            site.machine.apply(Leave(machines=ALL, notice_s=1.0, back_s=None))
             await asyncio.sleep(5.0)
             await site.look()
-            site.records.away = False
+            site.records.is_unavailable = False
             await asyncio.sleep(3.0)
             with self.assertRaises(WorkerUnreachable):
                 await site.look()
@@ -407,11 +407,11 @@
 
     def test_healing_brings_a_worker_back_and_ends_troubles(self) -> None:
         async def body(site: Site) -> None:
-            site.machine.take(Hang(machines=ALL, seconds=1000.0))
-            site.machine.take(CutFromVms(machines=ALL, seconds=1000.0))
-            site.machine.take(Crash(machines=ALL, back_s=None))
+            site.machine.apply(Hang(machines=ALL, seconds=1000.0))
+            site.machine.apply(CutFromVms(machines=ALL, seconds=1000.0))
+            site.machine.apply(Crash(machines=ALL, back_s=None))
             await asyncio.sleep(1.0)
-            site.machine.take(Heal(machines=ALL))
+            site.machine.apply(Heal(machines=ALL))
             await asyncio.sleep(0.5)
             site.dial()
             self.assertEqual((await site.look()).running, ())
@@ -420,8 +420,8 @@
 
     def test_tasks_in_trouble(self) -> None:
         async def body(site: Site) -> None:
-            trouble = TroubleTasks(machines=ALL, seconds=2.0, how=TaskTrouble.FAIL)
-            site.machine.take(trouble)
+            trouble = TroubleTasks(machines=ALL, seconds=2.0, how=TaskFault.FAIL)
+            site.machine.apply(trouble)
             await asyncio.sleep(0.1)
             await site.begin()
             await asyncio.sleep(0.2)
@@ -432,8 +432,8 @@
             await asyncio.sleep(1.2)
             (end,) = (await site.look(seen=1)).ended
             self.assertIs(end.how, EndKind.DONE)
-            standing = TroubleTasks(machines=ALL, seconds=3.0, how=TaskTrouble.STAND_STILL)
-            site.machine.take(standing)
+            standing = TroubleTasks(machines=ALL, seconds=3.0, how=TaskFault.STUCK)
+            site.machine.apply(standing)
             await asyncio.sleep(0.1)
             await site.begin(number=3, work_s=1.0)
             await asyncio.sleep(2.5)
@@ -462,7 +462,7 @@
 
     def test_a_record_lapses_while_its_worker_is_cut_from_the_store_and_serves(self) -> None:
         async def body(site: Site) -> None:
-            site.machine.take(CutFromStore(machines=ALL, seconds=8.0))
+            site.machine.apply(CutFromStore(machines=ALL, seconds=8.0))
             await asyncio.sleep(7.0)
             self.assertEqual(site.recorded(), [])
             await site.look()
@@ -473,8 +473,8 @@
 
     def test_a_new_life_behind_a_cut_from_the_store_is_not_recorded_before_it_ends(self) -> None:
         async def body(site: Site) -> None:
-            site.machine.take(CutFromStore(machines=ALL, seconds=6.0))
-            site.machine.take(Crash(machines=ALL, back_s=1.0))
+            site.machine.apply(CutFromStore(machines=ALL, seconds=6.0))
+            site.machine.apply(Crash(machines=ALL, back_s=1.0))
             await asyncio.sleep(5.5)
             self.assertEqual(site.recorded(), [])
             await asyncio.sleep(2.0)
@@ -484,11 +484,11 @@
 
     def test_records_are_back_within_two_seconds_of_the_stores_return(self) -> None:
         async def body(site: Site) -> None:
-            site.records.away = True
-            site.records.lapse_while_away = True
+            site.records.is_unavailable = True
+            site.records.expire_while_unavailable = True
             await asyncio.sleep(10.0)
             self.assertEqual(site.recorded(), [])
-            site.records.away = False
+            site.records.is_unavailable = False
             await asyncio.sleep(2.0)
             self.assertEqual(site.recorded(), ["i-m0-1"])
 
@@ -496,7 +496,7 @@
 
     def test_records_wait_while_nobody_is_heard(self) -> None:
         async def body(site: Site) -> None:
-            site.records.away = True
+            site.records.is_unavailable = True
             await asyncio.sleep(10.0)
             self.assertEqual(site.recorded(), ["i-m0-1"])
 
--- a/tests/test_worker_gangs.py
+++ b/tests/test_worker_gangs.py
@@ -50,7 +50,7 @@
         if rng.random() < 0.03:
             self._crash()
         if rng.random() < 0.05:
-            rng.choice(self.workers.lives).set_speed(rng.choice((0.0, 0.5, 1.0)))
+            rng.choice(self.workers.incarnations).set_speed(rng.choice((0.0, 0.5, 1.0)))
 
     async def _start(self) -> None:
         """Some members of a gang, or a task that works alone."""
@@ -79,18 +79,24 @@
 
     async def _look(self) -> None:
         worker = self._worker()
-        life = self.workers.lives[worker]
-        await life.hold(self._fence(), life.clock_ms() + 6000, self.rng.randrange(20), 0.0)
+        incarnation = self.workers.incarnations[worker]
+        await incarnation.hold(
+            self._fence(), incarnation.clock_ms() + 6000, self.rng.randrange(20), 0.0
+        )
 
     def _crash(self) -> None:
         """One worker crashes, and another one comes in its place."""
         worker = self._worker()
-        life = self.workers.lives[worker]
-        life.end(crashed=True)
-        self.workers.add(int(life.machine.name.removeprefix("m")))
+        incarnation = self.workers.incarnations[worker]
+        incarnation.end(crashed=True)
+        self.workers.add(int(incarnation.machine.name.removeprefix("m")))
 
     def _worker(self) -> int:
-        up = [n for n, life in enumerate(self.workers.lives) if not life.over]
+        up = [
+            n
+            for n, incarnation in enumerate(self.workers.incarnations)
+            if not incarnation.has_ended
+        ]
         return self.rng.choice(up)
 
     def _fence(self) -> int:
@@ -131,8 +137,8 @@
         self.assertEqual(len(set(began)), len(began), "a run begins once at a life of a worker")
         self.assertEqual(len(set(ended)), len(ended), "and ends once")
         self.assertLessEqual(set(ended), set(began))
-        for life in workers.lives:
-            self.assertEqual(life.runs, {}, "leases are over")
+        for incarnation in workers.incarnations:
+            self.assertEqual(incarnation.runs, {}, "leases are over")
 
     def check_gangs_work_whole_and_end_done_together(self, workers: Workers) -> None:
         ends = defaultdict(list)
@@ -157,8 +163,8 @@
         found = judge(workers.records, [job], PromiseTimes(TIMES.drain_s))
         self.assertNotIn(Promise.ROOM, {each.promise for each in found})
         self.assertNotIn(Promise.WHOLE_GANG, {each.promise for each in found})
-        for life in workers.lives:
-            self.assertEqual(life.machine.accelerators, ACCELERATORS)
+        for incarnation in workers.incarnations:
+            self.assertEqual(incarnation.machine.accelerators, ACCELERATORS)
 
 
 if __name__ == "__main__":
--- a/tests/test_worker_hosts.py
+++ b/tests/test_worker_hosts.py
@@ -97,7 +97,7 @@
             ended = {each.worker for each in hosts.records if isinstance(each, LifeEnded)}
             self.assertEqual(ended, {"i-m001-1", "i-m004-1"})
             expected = {"i-m001-2", "i-m002-1", "i-m003-1", "i-m004-2"}
-            self.assertEqual(set(hosts.lives), expected)
+            self.assertEqual(set(hosts.incarnations), expected)
 
         self.with_hosts(body)
 
--- a/tests/test_worker_life.py
+++ b/tests/test_worker_life.py
@@ -136,7 +136,7 @@
             workers.start(LONG)
             look = asyncio.create_task(workers.look(wait_s=2.0))
             await asyncio.sleep(0.1)
-            workers.lives[0].end(crashed=True)
+            workers.incarnations[0].end(crashed=True)
             with self.assertRaises(WorkerUnreachable):
                 await look
             await asyncio.sleep(200.0)
@@ -149,10 +149,13 @@
     def test_clocks_start_at_other_values_and_run_up_to_2_percent_slow(self) -> None:
         async def body() -> None:
             workers = Workers(20)
-            before = [life.clock_ms() for life in workers.lives]
+            before = [incarnation.clock_ms() for incarnation in workers.incarnations]
             self.assertEqual(len(set(before)), 20)
             await asyncio.sleep(100.0)
-            passed = [life.clock_ms() - ms for life, ms in zip(workers.lives, before, strict=True)]
+            passed = [
+                incarnation.clock_ms() - ms
+                for incarnation, ms in zip(workers.incarnations, before, strict=True)
+            ]
             self.assertGreaterEqual(min(passed), 97_999)
             self.assertLessEqual(max(passed), 100_001)
             self.assertGreater(len(set(passed)), 10)
@@ -248,7 +251,7 @@
     def test_all_are_broken_when_one_has_ended(self) -> None:
         endings = {
             "stopped": lambda workers: workers.stop(worker=0),
-            "crashed": lambda workers: workers.lives[0].end(crashed=True),
+            "crashed": lambda workers: workers.incarnations[0].end(crashed=True),
         }
         for name, ending in endings.items():
             with self.subTest(name):
@@ -298,7 +301,7 @@
             workers.start(PAIR, worker=0, index=0)
             workers.start(PAIR, worker=1, index=1)
             await asyncio.sleep(1.0)
-            workers.lives[1].set_speed(0.5)
+            workers.incarnations[1].set_speed(0.5)
             await asyncio.sleep(1.9)
             self.assertEqual(workers.hows(), [])
             percents = [row.percent for row in (await workers.look()).running]
@@ -330,10 +333,10 @@
             workers.start(PAIR, worker=0, index=0)
             workers.start(PAIR, worker=1, index=1)
             await asyncio.sleep(1.0)
-            workers.lives[1].set_speed(0.0)
+            workers.incarnations[1].set_speed(0.0)
             await workers.renew_for(10.0)
             self.assertEqual(workers.hows(), [])
-            workers.lives[1].set_speed(1.0)
+            workers.incarnations[1].set_speed(1.0)
             await asyncio.sleep(1.1)
             self.assertEqual(workers.hows(), [EndKind.DONE] * 2)
 
@@ -356,7 +359,7 @@
     def test_tasks_that_fail_at_once(self) -> None:
         async def body() -> None:
             workers = Workers(2)
-            workers.lives[0].fails_all = True
+            workers.incarnations[0].fails_new_runs = True
             workers.start(LONG, index=7)
             await asyncio.sleep(0.2)
             self.assertEqual(workers.hows(), [EndKind.FAILED])
@@ -372,10 +375,10 @@
             workers = Workers()
             workers.start(TaskPlan(2.0))
             await asyncio.sleep(1.0)
-            workers.lives[0].set_speed(0.0)
+            workers.incarnations[0].set_speed(0.0)
             await workers.renew_for(20.0)
             self.assertEqual(workers.hows(), [])
-            workers.lives[0].set_speed(0.5)
+            workers.incarnations[0].set_speed(0.5)
             await asyncio.sleep(1.9)
             self.assertEqual(workers.hows(), [])
             await asyncio.sleep(0.2)
@@ -387,10 +390,10 @@
         async def body() -> None:
             workers = Workers()
             workers.start(TaskPlan(2.0))
-            workers.lives[0].pace("00000000000000aa.0.0.0", 1, 0, 1)
+            workers.incarnations[0].pace("00000000000000aa.0.0.0", 1, 0, 1)
             await workers.renew_for(10.0)
             self.assertEqual(workers.hows(), [])
-            workers.lives[0].pace("00000000000000aa.0.0.0", 1, 100, 1)
+            workers.incarnations[0].pace("00000000000000aa.0.0.0", 1, 100, 1)
             await asyncio.sleep(2.1)
             self.assertEqual(workers.hows(), [EndKind.DONE])
 
