--- a/benchmarks/variants.py
+++ b/benchmarks/variants.py
@@ -94,8 +94,8 @@
         (
             Edit(
                 "policy/cluster/preemption.py",
-                "        return lost * weight(run.allocation) + TOUCH_COST",
-                "        return TOUCH_COST",
+                "        return lost * weight(run.allocation) + STOP_COST_CORE_S",
+                "        return STOP_COST_CORE_S",
             ),
         ),
     ),
@@ -105,7 +105,7 @@
         (
             Edit(
                 "policy/cluster/preemption.py",
-                "        self._spare_needless(wanted)\n",
+                "        self._drop_unneeded(wanted)\n",
                 "",
             ),
         ),
@@ -169,7 +169,7 @@
         (
             Edit(
                 "control/health.py",
-                "            recovery.set_result(self._latest_s)",
+                "            recovery.set_result(self._latest_answered_s)",
                 "            recovery.set_result(-math.inf)",
             ),
         ),
@@ -202,7 +202,7 @@
         (
             Edit(
                 "control/access.py",
-                "            if found.cut_off and only:",
+                "            if relay.cut_off and only:",
                 "            if False:",
             ),
         ),
@@ -229,9 +229,9 @@
         (
             Edit(
                 "control/session.py",
-                "                self._settle(key)\n"
-                "                self._tasks.spawn(self._look_now())",
-                "                self._settle(key)",
+                "                self._close_order(key)\n"
+                "                self._tasks.spawn(self._poll_now())",
+                "                self._close_order(key)",
             ),
         ),
     ),
--- a/src/saddlestack/policy/cluster/planner.py
+++ b/src/saddlestack/policy/cluster/planner.py
@@ -1,4 +1,4 @@
-"""What starts next, and what has to give room for it."""
+"""Planning rounds: which waiting tasks start where, and which runs are preempted for them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from saddlestack.policy.cluster.backfill import Backfill
 from saddlestack.policy.cluster.candidates import Candidates, prefers_near
 from saddlestack.policy.cluster.crashes import CrashTracker
-from saddlestack.policy.cluster.headroom import may_open
+from saddlestack.policy.cluster.headroom import headroom_allows
 from saddlestack.policy.cluster.index import CapacityIndex
 from saddlestack.policy.cluster.isolation import IsolatedPlacement, Isolation, IsolationPool
 from saddlestack.policy.cluster.jobs import TOP_PRIORITY, Job, Run, StepState, Task
@@ -40,26 +40,27 @@
 from saddlestack.policy.cluster.workers import Worker
 
 MAX_STARTS_PER_ROUND = 400
-"""A round decides no more, by whole steps. Deciding and ordering a start takes 0.1 to 0.15 ms of a
-core: a new leader of 3,000 workers with a backlog of 11,000 tasks held its process for over a
-second, longer than its lease. So bounded it holds it for 0.06 s, 0.2 s on a third of a core."""
+"""A round begins no further step after this many starts. Deciding and ordering a start takes 0.1 to
+0.15 ms of a core: without a limit, a new leader of 3,000 workers with a backlog of 11,000 tasks
+blocked its process for over a second, longer than its lease. With it, a round blocks for 0.06 s, or
+for 0.2 s on a third of a core."""
 MAX_ISOLATED_PER_ROUND = 20
-"""For so many tasks or gangs that are to be alone a round looks at all workers."""
+"""Tasks or gangs that are to be isolated for which a round searches all workers."""
 
 
 class Planner:
-    """Goes through the waiting work of all jobs in order and gives it workers."""
+    """Assigns the waiting steps of all jobs to workers, in priority order."""
 
     def __init__(
         self,
         cluster_state: PlannerContext,
         index: CapacityIndex,
-        caution: WorkerPreferences,
+        worker_preferences: WorkerPreferences,
         crashes: CrashTracker,
     ) -> None:
         self._cluster_state = cluster_state
         self._index = index
-        self._worker_preferences = caution
+        self._worker_preferences = worker_preferences
         self._isolation = Isolation(crashes)
         self._isolated: set[Task] = set()
         self._waiting = WaitingSteps()
@@ -72,45 +73,45 @@
             cluster_state, self._candidates, self._reservations, self._lending
         )
         self._shapes = ShapeNumbers()
-        self._started = 0
-        self._sought_alone = 0
+        self._starts = 0
+        self._isolation_searches = 0
 
     @property
     def next_loan_s(self) -> float | None:
-        """When work that waits may next be lent reserved room, on the board's clock."""
+        """When waiting work may next borrow reserved resources, on the monotonic clock."""
         return self._stalled.next_loan_s
 
     def add(self, job: Job) -> None:
-        """A job with work left."""
+        """Add a job with work left."""
         self._waiting.add(job)
 
     def requeue(self, step: StepState, *, ran: bool) -> None:
-        """A task of a step waits again.
+        """Queue a step again whose task has to run again.
 
-        :param ran: whether its run may have begun.
+        :param ran: whether the task's last run may have begun.
         """
         self._waiting.requeue(step, ran=ran)
 
     def step_finished(self, step: StepState) -> None:
-        """Tasks of a step are done; what it reserved is given up."""
+        """Release the reservation of a finished step, and queue the steps that follow it."""
         if step.finished:
             self._release(step)
             self._waiting.step_finished(step)
 
     def run_ended(self, run: Run, how: EndKind, now: float) -> None:
-        """A run is over, as its worker tells."""
+        """Record how long a run took to stop or to finish, as its worker reported it."""
         if how is EndKind.STOPPED:
             self._lending.note_stopped(run, now)
         elif how is EndKind.DONE:
             self._lending.note_done(run, now)
 
     def plan(self, now: float, wall_ms: float) -> bool:
-        """Decide what starts and what has to give room, the most urgent first.
+        """Decide what starts and what is preempted, in priority order.
 
-        :return: whether the round was full, so that more may be decided at once.
+        :return: whether the round reached its limit, so that another may follow at once.
         """
-        self._started = 0
-        self._sought_alone = 0
+        self._starts = 0
+        self._isolation_searches = 0
         self._stalled.begin()
         self._backfill.clear()
         self._failed_shapes.clear()
@@ -118,15 +119,15 @@
         self._isolation.refresh(now)
         entitled = self._waiting.entitled(self._cluster_state.guaranteed)
         for step in self._waiting.in_order(now, wall_ms, entitled):
-            if self._started >= MAX_STARTS_PER_ROUND:
+            if self._starts >= MAX_STARTS_PER_ROUND:
                 return True
             self._place(step, entitled, now)
         return False
 
-    # What a diagnosis reads
+    # Read by the diagnosis
 
     def kept_from(self, step: StepState) -> IsKept | None:
-        """Tells workers that were kept from a step in the last round; ``None`` for none."""
+        """Test for workers that were kept from a step in the last round; ``None`` if none were."""
         with self._index.without_refresh():
             return self._candidates.kept(step)
 
@@ -136,19 +137,19 @@
             return bool(step.step.data_rack) and prefers_near(step, now)
 
     def reserved_until(self, step: StepState) -> float | None:
-        """How long room is being made for a step at most; ``None`` where none is."""
+        """When a step's reservation expires; ``None`` if it has none."""
         reservation = self._reservations.of(step)
         return None if reservation is None else reservation.expires_s
 
-    def may_open(self, step: StepState, places: list[Worker], now: float) -> bool:
-        """Whether the headroom that the last round has left lets a step go to some workers."""
+    def headroom_allows(self, step: StepState, places: list[Worker], now: float) -> bool:
+        """Whether the headroom left by the last round allows a step to take these workers."""
         with self._index.without_refresh():
-            return self._may_open(step, places, now)
+            return self._headroom_allows(step, places, now)
 
-    # Placing
+    # Placement
 
     def _place(self, step: StepState, entitled: set[str], now: float) -> None:
-        top = step.occurrence.job.priority == TOP_PRIORITY
+        is_top = step.occurrence.job.priority == TOP_PRIORITY
         shape = self._shape(step, now)
         full = shape in self._failed_shapes.full
         if not may_start(step):
@@ -156,31 +157,31 @@
             return
         if not self._isolate(step, now):
             return
-        hopeless = full or self._failed_shapes.is_shut(shape, step.waited_s(now))
-        if hopeless and not top:
-            if not self._place_anywhere(step, now):
-                self._keep_for(step, shape, now)
+        cannot_start = full or self._failed_shapes.is_headroom_closed(shape, step.waited_s(now))
+        if cannot_start and not is_top:
+            if not self._place_without_preferences(step, now):
+                self._keep_workers(step, shape, now)
             return
         if self._use_reservation(step, now):
             return
-        if not full and self._place_with_caution(step, now):
+        if not full and self._place_on_preferred(step, now):
             return
         places = self._candidates.places(step, now)
         if not full and self._place_on(step, shape, places, now):
             return
-        if self._place_anywhere(step, now):
+        if self._place_without_preferences(step, now):
             return
-        if not top:
-            self._keep_for(step, shape, now)
+        if not is_top:
+            self._keep_workers(step, shape, now)
         elif self._reservations.of(step) is None:
             self._preempt(step, places, entitled, now)
 
     # Isolation
 
     def _isolate(self, step: StepState, now: float) -> bool:
-        """Start those tasks of a step alone that may crash their workers.
+        """Start tasks of a step that may crash their workers in isolation.
 
-        :return: whether the step has others to start.
+        :return: whether the step has other tasks to start.
         """
         self._isolated.clear()
         suspects = self._isolation.suspects(step)
@@ -190,15 +191,17 @@
         self._isolated.update(suspects)
         pool = self._service_pool(step)
         eligible = (
-            self._able_alone(step, now) if self._sought_alone < MAX_ISOLATED_PER_ROUND else []
+            self._eligible_for_isolation(step, now)
+            if self._isolation_searches < MAX_ISOLATED_PER_ROUND
+            else []
         )
         for tasks in [suspects] if step.step.gang else [[task] for task in suspects]:
-            self._sought_alone += 1
-            if self._sought_alone > MAX_ISOLATED_PER_ROUND:
+            self._isolation_searches += 1
+            if self._isolation_searches > MAX_ISOLATED_PER_ROUND:
                 break
             found = self._isolation.find(tasks, eligible, pool, now)
             if found.places:
-                self._assign_apart(tasks, found, now)
+                self._assign_isolated(tasks, found, now)
                 eligible = [worker for worker in eligible if not worker.isolating]
             elif not found.must_wait:
                 self._isolated.difference_update(tasks)
@@ -214,14 +217,14 @@
             not self._cluster_state.is_advised(job),
         )
 
-    def _able_alone(self, step: StepState, now: float) -> list[Worker]:
-        """Workers that a step's tasks may go to whatever they prefer."""
+    def _eligible_for_isolation(self, step: StepState, now: float) -> list[Worker]:
+        """Workers that may run a step's tasks, regardless of the step's preferences."""
         eligible = self._candidates.eligible(self._candidates.fit(step), now)
         if self._cluster_state.is_advised(step.occurrence.job):
             eligible = self._candidates.with_approval(step, eligible, now)
         return eligible
 
-    def _assign_apart(self, tasks: Sequence[Task], found: IsolatedPlacement, now: float) -> None:
+    def _assign_isolated(self, tasks: Sequence[Task], found: IsolatedPlacement, now: float) -> None:
         number = max(task.record.run for task in tasks) + 1
         for task, worker in zip(tasks, found.places, strict=True):
             self._assign(task, worker, number, now)
@@ -229,23 +232,23 @@
                 task.run.isolated = found.alone
 
     def _is_open(self, task: Task) -> bool:
-        """Whether a task is to be started where others may be."""
+        """Whether a task is to be started, and need not be isolated."""
         return is_waiting(task) and task not in self._isolated
 
     def awaits_isolation(self, step: StepState) -> bool:
-        """Whether tasks of a step wait to be started alone."""
-        return self._isolation.is_waited_for(step)
+        """Whether tasks of a step wait for workers to run isolated on."""
+        return self._isolation.has_waiting_tasks(step)
 
-    def _keep_for(self, step: StepState, shape: int | None, now: float) -> None:
-        """Keep the workers where a gang fits soonest; once for those of a shape."""
+    def _keep_workers(self, step: StepState, shape: int | None, now: float) -> None:
+        """Keep the workers where a gang fits soonest, for one gang of each shape."""
         if not step.step.gang or self._backfill.is_full or self._failed_shapes.is_kept(shape):
             return
         self._failed_shapes.note_kept(shape)
         soonest = self._candidates.places(step, now).soonest()
         self._backfill.keep(soonest, step.occurrence.job.priority)
 
-    def _place_with_caution(self, step: StepState, now: float) -> bool:
-        """Place a step on workers that it had better go to, if there are such and it fits."""
+    def _place_on_preferred(self, step: StepState, now: float) -> bool:
+        """Place a step on preferred workers only, if there are such and it fits there."""
         for preferred in self._worker_preferences.preferences(step, now):
             eligible = self._candidates.listed(step, now)
             chosen = [worker for worker in eligible if preferred(worker)]
@@ -255,27 +258,27 @@
                 return True
         return False
 
-    def _place_anywhere(self, step: StepState, now: float) -> bool:
-        """Place something of a job that would stall beside a pool that is mostly free.
+    def _place_without_preferences(self, step: StepState, now: float) -> bool:
+        """Place work of a job that would stall although the pool is mostly free.
 
-        Neither its data, one rack, the headroom nor waiting gangs hold it up any more, nor does
-        what failed lately on workers. Of tasks that run alone one is placed, so that the others
-        still get the better places.
+        Data locality, a single rack, the headroom, workers kept for gangs and recent failures on
+        workers are ignored. Of a step without a gang one task is placed, so that the others can
+        still get better places.
         """
-        service_capacity = self._stalled.choices(step, now)
-        return any(self._place_first(step, room, now) for room in service_capacity)
+        choices = self._stalled.choices(step, now)
+        return any(self._place_first(step, choice, now) for choice in choices)
 
-    def _place_first(self, step: StepState, room: WorkerChoice, now: float) -> bool:
-        """Place a gang, or one task that runs alone."""
+    def _place_first(self, step: StepState, choice: WorkerChoice, now: float) -> bool:
+        """Place a gang, or one task of a step without a gang."""
         if step.step.gang:
-            chosen = room.choose_gang()
+            chosen = choice.choose_gang()
             if chosen is None:
                 return False
             self._release(step)
             self._assign_gang(step, chosen, now)
             return True
         for task in step.tasks:
-            worker = room.choose_worker(task.avoid) if self._is_open(task) else None
+            worker = choice.choose_worker(task.avoid) if self._is_open(task) else None
             if worker is not None:
                 self._assign(task, worker, task.record.run + 1, now)
                 return True
@@ -287,7 +290,7 @@
         return self._place_tasks(step, shape, places, now)
 
     def _shape(self, step: StepState, now: float) -> int | None:
-        """What decides whether a step fits; ``None`` where more does than its shape."""
+        """Number of the step's shape; ``None`` if its shape alone doesn't tell whether it fits."""
         if self._cluster_state.is_advised(step.occurrence.job):
             return None
         if not step.step.gang and (step.step.per_worker or step.has_avoided_workers):
@@ -318,8 +321,8 @@
         if chosen is None:
             self._failed_shapes.note_full(shape)
             return False
-        if not self._may_open(step, chosen, now):
-            self._failed_shapes.note_shut(shape, step.waited_s(now))
+        if not self._headroom_allows(step, chosen, now):
+            self._failed_shapes.note_headroom_closed(shape, step.waited_s(now))
             return False
         self._release(step)
         self._assign_gang(step, chosen, now)
@@ -335,7 +338,7 @@
             run.lent_by = lenders
 
     def _place_tasks(self, step: StepState, shape: int | None, places: Places, now: float) -> bool:
-        """Place tasks that run alone; one that has failed on what is free holds up no others."""
+        """Place tasks one by one. A task that avoids all free workers does not block the others."""
         left = False
         for task in step.tasks:
             if not self._is_open(task):
@@ -347,8 +350,8 @@
             if worker is None:
                 self._failed_shapes.note_full(shape)
                 return False
-            if not self._may_open(step, [worker], now):
-                self._failed_shapes.note_shut(shape, step.waited_s(now))
+            if not self._headroom_allows(step, [worker], now):
+                self._failed_shapes.note_headroom_closed(shape, step.waited_s(now))
                 return False
             self._assign(task, worker, task.record.run + 1, now)
         if left:
@@ -357,45 +360,45 @@
         return True
 
     def _assign(self, task: Task, worker: Worker, number: int, now: float) -> None:
-        self._started += 1
+        self._starts += 1
         self._stalled.note_started(task.name.job_id)
         self._cluster_state.assign(task, worker, number, now)
         task.step.preempts_since_s = None
         task.step.times_delayed = 0
-        if task.run is not None and worker.is_overbooked and _may_be_taken_back(task.run):
+        if task.run is not None and worker.is_overbooked and _is_reclaimable(task.run):
             task.run.lent_by = self._reservations.lenders(worker)
 
-    # The headroom
+    # Headroom
 
-    def _may_open(self, step: StepState, places: list[Worker], now: float) -> bool:
-        """Whether a step may take these workers, some of them empty."""
+    def _headroom_allows(self, step: StepState, places: list[Worker], now: float) -> bool:
+        """Whether the headroom allows a step to take these workers."""
         if step.occurrence.job.priority == TOP_PRIORITY or step.step.long_running:
             return True
         waited_s = step.waited_s(now)
         if waited_s > HEADROOM_WAIT_S:
             return True
-        return may_open(self._candidates.service_capacity(step), places, waited_s)
+        return headroom_allows(self._candidates.service_capacity(step), places, waited_s)
 
     # Preemption
 
     def _preempt(self, step: StepState, places: Places, entitled: set[str], now: float) -> None:
         job = step.occurrence.job
-        within = job.job_id in entitled
+        is_entitled = job.job_id in entitled
 
         def may_stop(run: Run) -> bool:
             other = run.task.step.occurrence.job
-            if other is job or is_overdue(run, now) or _lost_if_stopped(run):
+            if other is job or is_overdue(run, now) or _loses_work_if_stopped(run):
                 return False
-            if run.isolated or self._isolation.is_counted(run):
+            if run.isolated or self._isolation.has_limited_starts(run):
                 return False
-            if run.stopping or gives_back(run) or other.priority > job.priority:
+            if run.stopping or returns_loan(run) or other.priority > job.priority:
                 return True
-            return within and other.job_id not in entitled
+            return is_entitled and other.job_id not in entitled
 
-        def gives_back(run: Run) -> bool:
+        def returns_loan(run: Run) -> bool:
             return step in run.lent_by
 
-        preemptor = Preemptor(self._cluster_state.members, may_stop, gives_back, now)
+        preemptor = Preemptor(self._cluster_state.members, may_stop, returns_loan, now)
         wanted = sum(1 for task in step.tasks if self._is_open(task))
         domains = list(places.domains(wanted))
         found = preemptor.cheapest(step, wanted, domains)
@@ -404,17 +407,17 @@
         if found is None:
             return
         for run in found.victims:
-            if not gives_back(run):
+            if not returns_loan(run):
                 self._cluster_state.preempt(run, job)
-        self._take_back(self._reservations.reserve(step, found.places, now), now)
+        self._reclaim_loans(self._reservations.reserve(step, found.places, now), now)
 
     def _release(self, step: StepState) -> None:
         if self._reservations.release(step):
             self._failed_shapes.clear()
             self._stalled.note_released()
 
-    def _take_back(self, held: Reservation, now: float) -> None:
-        """Stop what was lent of a reservation, once it alone has kept the step for long enough."""
+    def _reclaim_loans(self, held: Reservation, now: float) -> None:
+        """Preempt the borrowers of a reservation once they alone have delayed the step too long."""
         if held.awaits_stops:
             return
         for run in held.borrowers:
@@ -427,12 +430,12 @@
         held.step.times_delayed += bool(due)
 
     def _use_reservation(self, step: StepState, now: float) -> bool:
-        """Start what has its room by now; ``True`` where all of it could."""
+        """Start tasks whose reserved resources are free; ``True`` if all that wait have started."""
         held = self._reservations.of(step)
         if held is None or held.is_suspected:
             return False
         if not held.is_free:
-            self._take_back(held, now)
+            self._reclaim_loans(held, now)
             return False
         places = held.places
         self._release(step)
@@ -445,12 +448,12 @@
         return len(waiting) <= len(places)
 
 
-def _may_be_taken_back(run: Run) -> bool:
-    """Whether a run can give room back that it was lent, whatever else runs of its step."""
-    return not _lost_if_stopped(run) and not run.task.step.step.may_miss
+def _is_reclaimable(run: Run) -> bool:
+    """Whether a run can be preempted to return a loan, regardless of its step's other runs."""
+    return not _loses_work_if_stopped(run) and not run.task.step.step.may_miss
 
 
-def _lost_if_stopped(run: Run) -> bool:
-    """Work that may run only once and saves nothing cannot be taken back."""
+def _loses_work_if_stopped(run: Run) -> bool:
+    """Whether a run may not be repeated and has no checkpoint, so that stopping loses its work."""
     step = run.task.step.step
     return step.once and not (step.checkpoint and run.saved)
