--- a/src/saddlestack/soak/host.py
+++ b/src/saddlestack/soak/host.py
@@ -1,4 +1,4 @@
-"""A process that plays some of a soak's workers: ``python -m saddlestack.soak.host SETTINGS``.
+"""A process that simulates some of a soak's workers: ``python -m saddlestack.soak.host SETTINGS``.
 
 It serves until its stream to the soak ends.
 """
@@ -30,16 +30,16 @@
 from saddlestack.standins.ports import LOOPBACK
 from saddlestack.wire.http import HttpClient
 
-LAG_STEP_S = 0.02
-"""How finely the lateness of the event loop is measured..."""
-LOAD_EVERY_S = 1.0
-"""...and how often it is told."""
+LAG_SAMPLE_S = 0.02
+"""Interval between samples of the event loop's lag."""
+LOAD_INTERVAL_S = 1.0
+"""Interval between reports of the load."""
 
 
 class WorkerHost:
     """All machines of one process.
 
-    :param stream: to and from the soak.
+    :param stream: the connection to the soak.
     """
 
     def __init__(self, settings: HostSettings, stream: MessageStream) -> None:
@@ -48,12 +48,12 @@
         self._calls = 0
         address, _, port = settings.store.rpartition(":")
         self._store = HttpClient(address, int(port))
-        surroundings = HostContext(
+        context = HostContext(
             settings.times, settings.service, self._store, stream.write, self._count_call
         )
         self._machines = {
             machine.name: Machine(
-                machine, surroundings, random.Random(f"{settings.seed} {machine.name}")
+                machine, context, random.Random(f"{settings.seed} {machine.name}")
             )
             for machine in settings.machines
         }
@@ -61,21 +61,21 @@
     async def run(self) -> None:
         """Serve until the stream ends."""
         self._stream.write(HostHello(self._settings.number))
-        measuring = asyncio.get_running_loop().create_task(self._measure())
+        load_task = asyncio.get_running_loop().create_task(self._report_load())
         try:
             for machine in self._machines.values():
                 await machine.start()
             self._stream.write(HostReady(self._settings.number))
             with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
                 while True:
-                    self._take(await self._stream.read())
+                    self._receive(await self._stream.read())
         finally:
-            measuring.cancel()
+            load_task.cancel()
             for machine in self._machines.values():
                 await machine.stop()
             self._store.close()
 
-    def _take(self, message: Command | GangMoved | GangEnded) -> None:
+    def _receive(self, message: Command | GangMoved | GangEnded) -> None:
         if isinstance(message, GangMoved):
             for machine in self._machines.values():
                 machine.gang_moved(message)
@@ -90,34 +90,34 @@
     def _count_call(self) -> None:
         self._calls += 1
 
-    async def _measure(self) -> None:
-        """Tell the host's load, and by how much its event loop is late."""
+    async def _report_load(self) -> None:
+        """Report the host's load and the maximum lag of its event loop at each interval."""
         loop = asyncio.get_running_loop()
         while True:
             lag_s = 0.0
-            until = loop.time() + LOAD_EVERY_S
+            until = loop.time() + LOAD_INTERVAL_S
             while loop.time() < until:
-                due = loop.time() + LAG_STEP_S
-                await asyncio.sleep(LAG_STEP_S)
+                due = loop.time() + LAG_SAMPLE_S
+                await asyncio.sleep(LAG_SAMPLE_S)
                 lag_s = max(lag_s, loop.time() - due)
-            self._tell_load(lag_s)
+            self._send_load(lag_s)
 
-    def _tell_load(self, lag_s: float) -> None:
+    def _send_load(self, lag_s: float) -> None:
         now = asyncio.get_running_loop().time()
-        runs = sum(len(incarnation.runs) for incarnation in self._lives())
+        runs = sum(len(incarnation.runs) for incarnation in self._incarnations())
         calls, self._calls = self._calls, 0
         self._stream.write(
             HostLoad(self._settings.number, now, lag_s, runs, calls, time.process_time())
         )
 
-    def _lives(self) -> list[WorkerIncarnation]:
+    def _incarnations(self) -> list[WorkerIncarnation]:
         return [
             each.incarnation for each in self._machines.values() if each.incarnation is not None
         ]
 
 
 async def main(settings: HostSettings) -> None:
-    """Play the workers of some settings."""
+    """Simulate the workers of some settings."""
     reader, writer = await asyncio.open_connection(LOOPBACK, settings.parent_port)
     stream = MessageStream(reader, writer, ToHost)
     try:
--- a/src/saddlestack/soak/hosts.py
+++ b/src/saddlestack/soak/hosts.py
@@ -1,4 +1,4 @@
-"""The processes that play a soak's workers, as the soak sees them."""
+"""Starts and controls the processes that simulate a soak's workers."""
 
 from __future__ import annotations
 
@@ -33,20 +33,20 @@
 from saddlestack.standins.pool.documents import SERVICE
 from saddlestack.standins.ports import LOOPBACK
 
-READY_S = 20.0
-END_S = 3.0
-"""A host that has not ended so long after its stream was closed is killed."""
+START_TIMEOUT_S = 20.0
+STOP_TIMEOUT_S = 3.0
+"""A host that is still running this long after its stream was closed is killed."""
 
 
 class WorkerHosts:
-    """All workers of a soak, spread over some processes.
+    """All workers of a soak, distributed over several processes.
 
     :param store_address: where workers write their records.
-    :param folder: for settings and logs.
-    :param on_record: told of each record as it arrives.
-    :ivar records: all that workers told, in the order of arrival.
-    :ivar loads: the hosts' loads.
-    :ivar incarnations: present lives, by worker.
+    :param folder: folder for settings and logs.
+    :param on_record: called with each record as it arrives.
+    :ivar records: all events reported by workers, in the order of arrival.
+    :ivar loads: load reports of the hosts.
+    :ivar incarnations: current incarnations, by their names.
     """
 
     def __init__(
@@ -64,14 +64,14 @@
         self._seed = seed
         self._on_record = on_record
         self.machines = machines_of(shape)
-        self._host_of = {
+        self._host_by_machine = {
             machine.name: number % shape.worker_hosts
             for number, machine in enumerate(self.machines)
         }
         self._hub = GangHub(self._send_to)
         self._server: asyncio.Server | None = None
         self._streams: dict[int, MessageStream] = {}
-        self._reading: set[asyncio.Task[None]] = set()
+        self._read_tasks: set[asyncio.Task[None]] = set()
         self._processes: list[asyncio.subprocess.Process] = []
         self._ready: dict[int, asyncio.Event] = {
             number: asyncio.Event() for number in range(shape.worker_hosts)
@@ -83,46 +83,50 @@
     async def start(self) -> None:
         """Start all processes, and wait until their workers serve.
 
-        :raises TimeoutError: they do not, in time.
+        :raises TimeoutError: the workers do not serve in time.
         """
         self._server = await asyncio.start_server(self._accept, LOOPBACK, 0)
         port = int(self._server.sockets[0].getsockname()[1])
         for number in range(self._shape.worker_hosts):
             self._processes.append(await self._start_host(number, port))
-        async with asyncio.timeout(READY_S):
+        async with asyncio.timeout(START_TIMEOUT_S):
             for ready in self._ready.values():
                 await ready.wait()
 
     async def stop(self) -> None:
-        """End all processes."""
+        """Stop all processes."""
         self.close_streams()
         if self._server is not None:
             self._server.close()
         for process in self._processes:
-            await _end(process)
-        for task in self._reading:
+            await _stop_process(process)
+        for task in self._read_tasks:
             task.cancel()
-        await asyncio.gather(*self._reading, return_exceptions=True)
+        await asyncio.gather(*self._read_tasks, return_exceptions=True)
 
     def close_streams(self) -> None:
-        """Have all processes end by themselves."""
+        """Close all streams, upon which the processes end by themselves."""
         for stream in self._streams.values():
             stream.close()
 
     async def send(self, command: Command) -> None:
-        """Have something befall the machines that a command names."""
+        """Send a command to the hosts of the machines that it names."""
         for number, stream in self._streams.items():
-            names = tuple(name for name in command.machines if self._host_of[name] == number)
+            names = tuple(
+                name for name in command.machines if self._host_by_machine[name] == number
+            )
             if names:
                 stream.write(msgspec.structs.replace(command, machines=names))
 
     @property
     def alive(self) -> bool:
-        """Whether all processes run."""
+        """Whether all processes are running."""
         return all(process.returncode is None for process in self._processes)
 
     async def _start_host(self, number: int, port: int) -> asyncio.subprocess.Process:
-        machines = tuple(each for each in self.machines if self._host_of[each.name] == number)
+        machines = tuple(
+            each for each in self.machines if self._host_by_machine[each.name] == number
+        )
         settings = HostSettings(
             number, port, self._store, SERVICE, self._seed, self._shape.times, machines
         )
@@ -141,19 +145,19 @@
     def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         stream = MessageStream(reader, writer, FromHost)
         task = asyncio.get_running_loop().create_task(self._read(stream))
-        self._reading.add(task)
-        task.add_done_callback(self._reading.discard)
+        self._read_tasks.add(task)
+        task.add_done_callback(self._read_tasks.discard)
 
     async def _read(self, stream: MessageStream) -> None:
-        """Take a host's messages until its stream ends; its first one names it."""
+        """Read a host's messages until its stream ends; the first one identifies the host."""
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
             hello = await stream.read()
             assert isinstance(hello, HostHello)
             self._streams[hello.host] = stream
             while True:
-                self._take(hello.host, await stream.read())
+                self._receive(hello.host, await stream.read())
 
-    def _take(self, host: int, message: HostReady | HostLoad | GangMessage | Record) -> None:
+    def _receive(self, host: int, message: HostReady | HostLoad | GangMessage | Record) -> None:
         if isinstance(message, HostReady):
             self._ready[host].set()
         elif isinstance(message, HostLoad):
@@ -161,9 +165,9 @@
         elif isinstance(message, GangMessage):
             self._hub.take(host, message)
         else:
-            self._note(message)
+            self._record(message)
 
-    def _note(self, record: Record) -> None:
+    def _record(self, record: Record) -> None:
         self.records.append(record)
         if isinstance(record, LifeBegan):
             self.incarnations[record.worker] = record
@@ -179,9 +183,9 @@
 
 
 def machines_of(shape: SoakShape) -> list[MachineSettings]:
-    """The machines of a shape, each with a loopback address of its own.
+    """Return the machines of a shape, each with a loopback address of its own.
 
-    Addresses differ by process, so that soaks beside each other do not meet.
+    Addresses depend on the process id, so that concurrent soaks do not collide.
     """
     first = os.getpid() % 62 + 64
     machines = []
@@ -198,20 +202,20 @@
                     accelerators=shape.worker.accelerators,
                     cpu=shape.worker.cpu,
                     memory_mb=shape.worker.memory_mb,
-                    births=_is_among(number, shape.worker.births_share),
+                    births=_is_in_share(number, shape.worker.births_share),
                 )
             )
     return machines
 
 
-def _is_among(number: int, share: float) -> bool:
-    """Whether one of the machines numbered from 1 is among a share of them, spread evenly."""
+def _is_in_share(number: int, share: float) -> bool:
+    """Whether the machine with a number, from 1, is in an evenly spread share of all."""
     return int(number * share) > int((number - 1) * share)
 
 
-async def _end(process: asyncio.subprocess.Process) -> None:
+async def _stop_process(process: asyncio.subprocess.Process) -> None:
     try:
-        async with asyncio.timeout(END_S):
+        async with asyncio.timeout(STOP_TIMEOUT_S):
             await process.wait()
     except TimeoutError:
         process.kill()
--- a/src/saddlestack/soak/machine.py
+++ b/src/saddlestack/soak/machine.py
@@ -1,4 +1,4 @@
-"""A worker's machine: one loopback address, one life after the other, and the troubles of both."""
+"""A worker's machine: one loopback address, successive incarnations, and their faults."""
 
 from __future__ import annotations
 
@@ -45,10 +45,10 @@
 from saddlestack.wire.http import HttpClient, HttpServer, Request, Response
 from saddlestack.work import TaskName
 
-CRASHED_BACK_S = (1.0, 5.0)
-"""After a crash under a task another life comes."""
-SILENCE_S = 30.0
-"""A call that is never answered keeps its connection for so long."""
+CRASH_RESTART_DELAY_S = (1.0, 5.0)
+"""Delay until the next incarnation after a task has crashed the worker."""
+UNANSWERED_S = 30.0
+"""Time after which the connection of an unanswered call is closed."""
 
 
 class _Fence(msgspec.Struct):
@@ -59,9 +59,9 @@
 class HostContext:
     """What all machines of a host share.
 
-    :param store: the way to the store.
-    :param notify: told of all that happens.
-    :param count_call: told of each call.
+    :param store: client of the store.
+    :param notify: called with each event.
+    :param count_call: called once per incoming call.
     """
 
     times: ShapeTimes
@@ -72,8 +72,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Desk:
-    """One call's way to a life: see :class:`saddlestack.platform.serving.WorkerDesk`."""
+class _CallHandler:
+    """Passes one call to an incarnation: see :class:`saddlestack.platform.serving.WorkerDesk`."""
 
     incarnation: WorkerIncarnation
     arrival: Arrival
@@ -107,50 +107,48 @@
 class Machine:
     """One machine with a worker.
 
-    :ivar incarnation: the present life, or ``None`` while there is none.
+    :ivar incarnation: the current incarnation of the worker, or ``None`` while it is down.
     """
 
-    def __init__(
-        self, settings: MachineSettings, surroundings: HostContext, rng: random.Random
-    ) -> None:
+    def __init__(self, settings: MachineSettings, context: HostContext, rng: random.Random) -> None:
         self._settings = settings
-        self._surroundings = surroundings
+        self._context = context
         self._rng = rng
-        self._troubles = Troubles(rng)
+        self._call_faults = Troubles(rng)
         self._tasks = TaskGroup(settings.name)
         self._server = HttpServer(self._handle)
         self._port = 0
-        self._lives = itertools.count(1)
-        self._born_ms = 0
+        self._incarnation_numbers = itertools.count(1)
+        self._started_ms = 0
         self._record: RecordWriter | None = None
-        self._writing: asyncio.Task[None] | None = None
-        self._tasks_heal_s = 0.0
+        self._record_task: asyncio.Task[None] | None = None
+        self._tasks_faulty_until_s = 0.0
         self._store_cut_until_s = 0.0
-        self._leaving = False
-        self._silent = False
-        self._returning = asyncio.Lock()
+        self._is_draining = False
+        self._is_silent = False
+        self._return_lock = asyncio.Lock()
         self.incarnation: WorkerIncarnation | None = None
 
     @property
     def address(self) -> str:
-        """Where it serves."""
+        """The host and port on which the worker serves."""
         return f"{self._settings.address}:{self._port}"
 
     async def start(self) -> None:
-        """Serve, and begin a first life."""
+        """Serve, and begin the first incarnation."""
         await self._server.start(self._settings.address, 0)
         self._port = self._server.port
-        self._begin_life()
+        self._begin_incarnation()
 
     async def stop(self) -> None:
-        """End everything."""
+        """Stop the server and all tasks."""
         await self._tasks.cancel()
         await self._server.stop()
 
     def apply(self, command: Command) -> None:
-        """Something befalls the machine."""
+        """Apply a command to the machine."""
         if isinstance(command, Heal):
-            self._heal()
+            self._heal_all()
         elif isinstance(command, Leave):
             self._spawn(self._leave(command))
         elif isinstance(command, Crash):
@@ -161,79 +159,75 @@
             if self._record is not None:
                 self._spawn(self._record.rewrite(command.how))
         elif isinstance(command, TroubleTasks):
-            self._spawn(self._trouble_tasks(command))
+            self._spawn(self._apply_task_fault(command))
         elif isinstance(command, CutFromStore):
             self._cut_from_store(command.seconds)
         elif isinstance(command, CutOff):
             self._cut_from_store(command.seconds)
-            self._troubles.add(CutFromVms(machines=command.machines, seconds=command.seconds))
+            self._call_faults.add(CutFromVms(machines=command.machines, seconds=command.seconds))
         elif isinstance(command, LastingCommand):
-            self._troubles.add(command)
+            self._call_faults.add(command)
 
     def gang_moved(self, moved: GangMoved) -> None:
-        """A gang is whole, or works at another rate."""
+        """Pass on that a gang became complete or changed its rate."""
         if self.incarnation is not None:
             self.incarnation.gang_moved(moved)
 
     def gang_ended(self, ended: GangEnded) -> None:
-        """A gang that was whole is over."""
+        """Pass on the end of a gang that was complete."""
         if self.incarnation is not None:
             self.incarnation.gang_ended(ended)
 
-    # Lives
-
-    def _begin_life(self) -> None:
-        where = self._surroundings
+    def _begin_incarnation(self) -> None:
+        context = self._context
         incarnation = WorkerIncarnation(
-            self._next_life(), self._settings, where.times, self._rng, where.notify
+            self._next_name(), self._settings, context.times, self._rng, context.notify
         )
         self.incarnation = incarnation
-        incarnation.on_crash = self._crash_under
-        self._leaving = False
+        incarnation.on_crash = self._crash_by_task
+        self._is_draining = False
         self._record = RecordWriter(
-            where.store,
+            context.store,
             incarnation,
             self.address,
-            where.service,
+            context.service,
             self._rng,
             self._store_cut_until_s,
         )
-        self._writing = self._tasks.spawn(self._record.run())
+        self._record_task = self._tasks.spawn(self._record.run())
 
-    def _next_life(self) -> str:
-        """The name of a life that begins now."""
+    def _next_name(self) -> str:
+        """Return the name of an incarnation that begins now."""
         if not self._settings.births:
-            return f"i-{self._settings.name}-{next(self._lives)}"
-        self._born_ms = max(self._born_ms + 1, time.time_ns() // 1_000_000)
-        return incarnation_name(f"i-{self._settings.name}", self._born_ms)
+            return f"i-{self._settings.name}-{next(self._incarnation_numbers)}"
+        self._started_ms = max(self._started_ms + 1, time.time_ns() // 1_000_000)
+        return incarnation_name(f"i-{self._settings.name}", self._started_ms)
 
-    def _crash_under(self, task: TaskName) -> None:
-        """A task crashes the worker; another life comes after some seconds."""
-        back_s = self._rng.uniform(*CRASHED_BACK_S)
+    def _crash_by_task(self, task: TaskName) -> None:
+        """Crash the worker on behalf of a task; a new incarnation begins some seconds later."""
+        back_s = self._rng.uniform(*CRASH_RESTART_DELAY_S)
         crash = Crash(machines=(self._settings.name,), back_s=back_s)
         self._spawn(self._crash(crash, str(task)))
 
-    def _end_life(self, *, crashed: bool, by: str = "") -> None:
+    def _end_incarnation(self, *, crashed: bool, by: str = "") -> None:
         if self.incarnation is not None:
             self.incarnation.end(crashed=crashed, by=by)
             self.incarnation = None
         if self._record is not None:
             self._record.close()
-        if self._writing is not None:
-            self._writing.cancel()
+        if self._record_task is not None:
+            self._record_task.cancel()
 
     async def _leave(self, command: Leave) -> None:
         incarnation, record = self.incarnation, self._record
-        if incarnation is None or record is None or self._leaving:
+        if incarnation is None or record is None or self._is_draining:
             return
-        self._leaving = True
+        self._is_draining = True
         if command.announced:
             accepted_s = await record.announce(command.notice_s)
             if self.incarnation is not incarnation:
                 return
-            self._surroundings.notify(
-                LifeAnnounced(incarnation.worker_id, accepted_s, command.notice_s)
-            )
+            self._context.notify(LifeAnnounced(incarnation.worker_id, accepted_s, command.notice_s))
         else:
             await record.remove()
         await asyncio.sleep(command.notice_s)
@@ -242,22 +236,22 @@
         await asyncio.sleep(command.linger_s)
         if self.incarnation is not incarnation:
             return
-        self._end_life(crashed=False)
+        self._end_incarnation(crashed=False)
         self._server.abort()
         await record.remove()
-        await self._return(command.back_s)
+        await self._restart_after(command.back_s)
 
     async def _crash(self, command: Crash, by: str = "") -> None:
         incarnation, record = self.incarnation, self._record
         if incarnation is None or record is None:
             return
-        self._silent = command.silent
-        self._end_life(crashed=True, by=by)
+        self._is_silent = command.silent
+        self._end_incarnation(crashed=True, by=by)
         if not command.silent:
             self._server.abort()
         if command.removed:
             self._spawn(self._remove(record))
-        await self._return(command.back_s)
+        await self._restart_after(command.back_s)
 
     def _resize(self, command: Resize) -> None:
         if self.incarnation is not None:
@@ -266,49 +260,47 @@
     async def _remove(self, record: RecordWriter) -> None:
         await record.remove()
 
-    async def _return(self, back_s: float | None) -> None:
-        """Begin a new life at the same address after a while."""
+    async def _restart_after(self, back_s: float | None) -> None:
+        """Begin a new incarnation at the same address after a delay; ``None`` for never."""
         if back_s is None:
             return
         await asyncio.sleep(back_s)
-        async with self._returning:
+        async with self._return_lock:
             if self.incarnation is not None:
                 return
             self._server.abort()
             self._server = HttpServer(self._handle)
             await self._server.start(self._settings.address, self._port)
-            self._silent = False
-            self._begin_life()
+            self._is_silent = False
+            self._begin_incarnation()
 
     def _cut_from_store(self, seconds: float) -> None:
         self._store_cut_until_s = _now() + seconds
         if self._record is not None:
             self._record.cut_until_s = self._store_cut_until_s
 
-    def _heal(self) -> None:
-        self._troubles.clear()
+    def _heal_all(self) -> None:
+        self._call_faults.clear()
         self._store_cut_until_s = 0.0
         if self._record is not None:
             self._record.cut_until_s = 0.0
-        self._tasks_heal_s = 0.0
+        self._tasks_faulty_until_s = 0.0
         self._heal_tasks()
         if self.incarnation is None:
-            self._spawn(self._return(0.0))
-
-    # Tasks
+            self._spawn(self._restart_after(0.0))
 
-    async def _trouble_tasks(self, command: TroubleTasks) -> None:
+    async def _apply_task_fault(self, command: TroubleTasks) -> None:
         incarnation = self.incarnation
         if incarnation is None:
             return
-        self._tasks_heal_s = _now() + command.seconds
+        self._tasks_faulty_until_s = _now() + command.seconds
         if command.how is TaskFault.FAIL:
             incarnation.fails_new_runs = True
         else:
-            stands = command.how is TaskFault.STUCK
-            incarnation.set_speed(0.0 if stands else 1.0 / command.factor)
+            is_stuck = command.how is TaskFault.STUCK
+            incarnation.set_speed(0.0 if is_stuck else 1.0 / command.factor)
         await asyncio.sleep(command.seconds)
-        if _now() >= self._tasks_heal_s:
+        if _now() >= self._tasks_faulty_until_s:
             self._heal_tasks()
 
     def _heal_tasks(self) -> None:
@@ -316,56 +308,56 @@
             self.incarnation.fails_new_runs = False
             self.incarnation.set_speed(1.0)
 
-    # Calls
-
     async def _handle(self, request: Request) -> Response:
-        self._surroundings.count_call()
+        self._context.count_call()
         arrived_s = _now()
         fence = _fence_of(request)
-        held_up = await self._troubles.pass_request(fence)
-        trouble = self._troubles.of_call(KINDS.get(request.path))
-        if trouble is not None:
-            return await self._through(trouble, request, arrived_s)
-        response = await self._carry_out(request, Arrival(arrived_s, late=held_up))
-        await self._troubles.pass_answer(fence)
+        was_held = await self._call_faults.pass_request(fence)
+        fault = self._call_faults.of_call(KINDS.get(request.path))
+        if fault is not None:
+            return await self._handle_faulty(fault, request, arrived_s)
+        response = await self._carry_out(request, Arrival(arrived_s, late=was_held))
+        await self._call_faults.pass_answer(fence)
         return response
 
-    async def _through(self, trouble: WayTrouble, request: Request, arrived_s: float) -> Response:
-        """A call that something befalls."""
-        if isinstance(trouble, AnswerErrors):
-            if trouble.answer is ErrorAnswer.RESET:
+    async def _handle_faulty(
+        self, fault: WayTrouble, request: Request, arrived_s: float
+    ) -> Response:
+        """Handle a call that a fault affects."""
+        if isinstance(fault, AnswerErrors):
+            if fault.answer is ErrorAnswer.RESET:
                 raise asyncio.CancelledError
-            return Response(trouble.answer.value)
-        if isinstance(trouble, DelayOrders):
-            after_s = self._rng.uniform(trouble.least_s, trouble.longest_s)
-            self._spawn(self._carry_out_late(request, arrived_s, after_s))
-        elif isinstance(trouble, LoseAnswers):
-            self._spawn(self._quietly(self._carry_out(request, Arrival(arrived_s))))
-            if self._rng.random() < trouble.reset_share:
+            return Response(fault.answer.value)
+        if isinstance(fault, DelayOrders):
+            after_s = self._rng.uniform(fault.least_s, fault.longest_s)
+            self._spawn(self._carry_out_after(request, arrived_s, after_s))
+        elif isinstance(fault, LoseAnswers):
+            self._spawn(self._discard_answer(self._carry_out(request, Arrival(arrived_s))))
+            if self._rng.random() < fault.reset_share:
                 raise asyncio.CancelledError
         else:
-            assert isinstance(trouble, Hang)
-        return await _silence()
+            assert isinstance(fault, Hang)
+        return await _never_answer()
 
     async def _carry_out(self, request: Request, arrival: Arrival) -> Response:
         incarnation = self.incarnation
         if incarnation is None:
-            return await _silence()
+            return await _never_answer()
         try:
-            return await WorkerServing(_Desk(incarnation, arrival)).handle(request)
+            return await WorkerServing(_CallHandler(incarnation, arrival)).handle(request)
         except WorkerUnreachable:
-            if self._silent:
-                return await _silence()
+            if self._is_silent:
+                return await _never_answer()
             raise asyncio.CancelledError from None
 
-    async def _carry_out_late(self, request: Request, arrived_s: float, after_s: float) -> None:
+    async def _carry_out_after(self, request: Request, arrived_s: float, after_s: float) -> None:
         incarnation = self.incarnation
         await asyncio.sleep(after_s)
         if incarnation is not None and self.incarnation is incarnation:
-            await self._quietly(self._carry_out(request, Arrival(arrived_s, late=True)))
+            await self._discard_answer(self._carry_out(request, Arrival(arrived_s, late=True)))
 
-    async def _quietly(self, work: Awaitable[Response]) -> None:
-        """Carry out a call that nobody hears the answer of."""
+    async def _discard_answer(self, work: Awaitable[Response]) -> None:
+        """Carry out a call and discard its answer."""
         await work
 
     def _spawn(self, work: Awaitable[None]) -> None:
@@ -375,12 +367,12 @@
         self._tasks.spawn(do())
 
 
-async def _silence() -> Response:
-    """Never answer; the connection is closed in the end.
+async def _never_answer() -> Response:
+    """Never answer; the connection is closed after a while.
 
     A handler that is cancelled ends its connection without an answer.
     """
-    await asyncio.sleep(SILENCE_S)
+    await asyncio.sleep(UNANSWERED_S)
     raise asyncio.CancelledError
 
 
--- a/src/saddlestack/soak/messages.py
+++ b/src/saddlestack/soak/messages.py
@@ -1,7 +1,7 @@
-"""Messages between a soak and the processes that play its workers.
+"""Messages between a soak and the processes that simulate its workers.
 
-They travel as msgpack, each behind its length. All times are seconds of the system's monotonic
-clock, which all processes of one machine share.
+They are encoded as msgpack, each prefixed with its length. All times are seconds of the system's
+monotonic clock, which all processes of one machine share.
 """
 
 from __future__ import annotations
@@ -14,10 +14,10 @@
 
 
 class MachineSettings(msgspec.Struct, frozen=True):
-    """One machine with a worker.
+    """Settings of one machine with a worker.
 
-    :param address: its own loopback address.
-    :param births: its worker tells when it was born, and starts again under the id that it had.
+    :param address: the machine's own loopback address.
+    :param births: the worker publishes its start time and keeps its id when it starts again.
     """
 
     name: str
@@ -31,10 +31,10 @@
 
 
 class HostSettings(msgspec.Struct, frozen=True):
-    """What a host process plays.
+    """Settings of one host process.
 
-    :param parent_port: where the soak waits for it.
-    :param store: the address that workers write their records to.
+    :param parent_port: the port on which the soak accepts the host's connection.
+    :param store: the address to which workers write their records.
     """
 
     number: int
@@ -55,7 +55,7 @@
 
 
 class CutDirection(enum.StrEnum):
-    """What a cut holds back."""
+    """The direction in which a cut holds data back."""
 
     BOTH = "both"
     REQUESTS = "requests"
@@ -63,7 +63,7 @@
 
 
 class ErrorAnswer(enum.IntEnum):
-    """What an unhealthy worker does to a call, which it does not carry out."""
+    """How an unhealthy worker answers a call that it does not carry out."""
 
     RESET = 0
     INTERNAL = 500
@@ -71,7 +71,7 @@
 
 
 class RecordCorruption(enum.StrEnum):
-    """What another writer changes in a worker's record."""
+    """How another writer corrupts a worker's record."""
 
     UNREADABLE = "unreadable"
     NO_ADDRESS = "no_address"
@@ -84,29 +84,29 @@
 
 
 class TaskFault(enum.StrEnum):
-    """What is wrong with the tasks of a worker."""
+    """A fault of all tasks of a worker."""
 
     FAIL = "fail"
     STUCK = "stand_still"
     SLOW = "slow"
 
 
-# What the soak tells a host
+# Messages from the soak to a host
 
 
 class Command(msgspec.Struct, frozen=True, tag=True, kw_only=True):
-    """Something that befalls some machines.
+    """A fault or change to apply to some machines.
 
-    :param machines: their names.
+    :param machines: the names of the machines.
     """
 
     machines: tuple[str, ...]
 
 
 class LastingCommand(Command, frozen=True, tag=True, kw_only=True):
-    """A trouble that ends by itself.
+    """A fault that ends by itself.
 
-    :param seconds: how long it lasts.
+    :param seconds: the duration of the fault.
     """
 
     seconds: float
@@ -115,7 +115,9 @@
 class DelayOrders(LastingCommand, frozen=True, tag=True, kw_only=True):
     """Calls are left unanswered and carried out later.
 
-    :param share: of the calls of these kinds.
+    :param share: the share of calls of these kinds that is affected.
+    :param least_s: the shortest delay.
+    :param longest_s: the longest delay.
     """
 
     calls: tuple[CallKind, ...] = tuple(CallKind)
@@ -125,9 +127,10 @@
 
 
 class LoseAnswers(LastingCommand, frozen=True, tag=True, kw_only=True):
-    """Calls are carried out, and their answers lost.
+    """Calls are carried out, and their answers are lost.
 
-    :param reset_share: of them, so many end their connections; the others go silent.
+    :param reset_share: the share of these calls whose connection is reset; the others get no
+        answer.
     """
 
     calls: tuple[CallKind, ...] = tuple(CallKind)
@@ -136,7 +139,7 @@
 
 
 class Hang(LastingCommand, frozen=True, tag=True, kw_only=True):
-    """Calls are accepted and neither carried out nor answered."""
+    """Calls are accepted but neither carried out nor answered."""
 
     share: float = 1.0
 
@@ -149,9 +152,9 @@
 
 
 class CutFromVms(LastingCommand, frozen=True, tag=True, kw_only=True):
-    """Nothing passes between the machines and the VMs; what is held back passes afterwards.
+    """Nothing passes between the machines and the VMs; held data is delivered afterwards.
 
-    :param fences: only calls with these tokens are cut; empty for all calls.
+    :param fences: cut only calls with these fence tokens; empty for all calls.
     """
 
     way: CutDirection = CutDirection.BOTH
@@ -159,20 +162,21 @@
 
 
 class CutFromStore(LastingCommand, frozen=True, tag=True, kw_only=True):
-    """The worker's record is not written, and lapses; the worker serves on."""
+    """The worker's record is not written, and expires; the worker continues to serve."""
 
 
 class CutOff(LastingCommand, frozen=True, tag=True, kw_only=True):
-    """Nothing passes between the machines and anybody else; what they hold runs on.
+    """The machines are partitioned from the VMs and the store.
 
-    As long as their leases last: their records lapse, and nobody sees how their runs end.
+    Their runs continue as long as their leases last. Their records expire, and no VM learns how
+    the runs end.
     """
 
 
 class TroubleTasks(LastingCommand, frozen=True, tag=True, kw_only=True):
-    """Tasks fail at once, stand still, or are slow.
+    """Tasks fail at once, make no progress, or are slow.
 
-    :param factor: how many times longer slow tasks take.
+    :param factor: the factor by which slow tasks take longer.
     """
 
     how: TaskFault
@@ -180,13 +184,13 @@
 
 
 class Leave(Command, frozen=True, tag=True, kw_only=True):
-    """The worker ends as planned.
+    """The worker shuts down as planned.
 
-    :param announced: whether its record says so before; else the record goes at once.
-    :param notice_s: from the announcement, or the removal, to the announced end...
-    :param linger_s: ...and for so long it serves on after that.
-    :param record_first: its record goes at the announced end; else when it has ended.
-    :param back_s: after that, a new life begins at the same address; ``None`` for never.
+    :param announced: whether its record announces the end; otherwise the record is removed at once.
+    :param notice_s: time from the announcement, or the removal, to the announced end.
+    :param linger_s: time for which the worker continues to serve after the announced end.
+    :param record_first: remove the record at the announced end; otherwise after the actual end.
+    :param back_s: delay until a new incarnation begins at the same address; ``None`` for never.
     """
 
     announced: bool = True
@@ -197,11 +201,11 @@
 
 
 class Crash(Command, frozen=True, tag=True, kw_only=True):
-    """The worker is gone at once.
+    """The worker crashes.
 
-    :param removed: whether its record goes at once too; else it lapses.
-    :param silent: its connections are not reset: they hang until a new life begins.
-    :param back_s: after that, a new life begins at the same address; ``None`` for never.
+    :param removed: whether its record is removed at once; otherwise it expires.
+    :param silent: connections are not reset: they hang until a new incarnation begins.
+    :param back_s: delay until a new incarnation begins at the same address; ``None`` for never.
     """
 
     removed: bool = False
@@ -210,31 +214,32 @@
 
 
 class Resize(Command, frozen=True, tag=True, kw_only=True):
-    """The worker has other room from now on, says so, and guards it no longer.
+    """The worker changes its accelerators, publishes that, and stops enforcing capacity.
 
-    :param accelerators: that it has; the life after it has all of them again.
+    :param accelerators: their new number; the next incarnation has all of them again.
     """
 
     accelerators: int
 
 
 class RewriteRecord(Command, frozen=True, tag=True, kw_only=True):
-    """Another writer changes the worker's record, until the worker writes it again."""
+    """Another writer corrupts the worker's record, until the worker writes it again."""
 
     how: RecordCorruption
 
 
 class Heal(Command, frozen=True, tag=True, kw_only=True):
-    """All lasting troubles end; machines without a worker get a new one."""
+    """All lasting faults end; machines without a worker start a new one."""
 
 
 class GangMoved(msgspec.Struct, frozen=True, tag=True):
-    """A gang is whole and works at this rate from then on.
+    """A complete gang works at this rate from a given time on.
 
-    :param members: those at the host: workers and tasks.
-    :param whole_s: when it became whole.
-    :param done_s: seconds of work that were done then.
-    :param rate: seconds of work a second.
+    :param members: the members at the host, as pairs of worker and task.
+    :param at_s: when the rate takes effect.
+    :param done_s: seconds of work done by ``at_s``.
+    :param rate: seconds of work per second.
+    :param whole_s: when the gang became complete.
     """
 
     step: str
@@ -247,11 +252,11 @@
 
 
 class GangEnded(msgspec.Struct, frozen=True, tag=True):
-    """A gang that was whole is over.
+    """A gang that was complete has ended.
 
-    :param members: those at the host: workers and tasks.
-    :param how: how its members ended...
-    :param failed: ...but for this task, which has failed.
+    :param members: the members at the host, as pairs of worker and task.
+    :param how: how its members ended.
+    :param failed: the task that has failed instead, or empty.
     """
 
     step: str
@@ -280,8 +285,8 @@
 )
 
 
-# What a host tells the soak. Hundreds of thousands are kept: plain fields, so that the garbage
-# collector need not visit them.
+# Messages from a host to the soak. Hundreds of thousands are kept, so they have only plain fields
+# and are not tracked by the garbage collector (``gc=False``).
 
 
 class HostHello(msgspec.Struct, frozen=True, tag=True, gc=False):
@@ -291,7 +296,7 @@
 
 
 class HostReady(msgspec.Struct, frozen=True, tag=True, gc=False):
-    """All machines of a host serve."""
+    """All machines of a host accept calls."""
 
     host: int
 
@@ -299,12 +304,13 @@
 class MemberPresent(msgspec.Struct, frozen=True, tag=True, gc=False):
     """A member of a gang has begun to wait for the others.
 
-    :param size: members of the whole gang.
-    :param work_s: seconds of work of the gang...
-    :param done_s: ...of which so many are done.
-    :param failures: so many runs fail, at their end.
-    :param rate: seconds of work a second at this worker.
-    :param far_x: the gang takes so many times as long on more than one rack.
+    :param size: the number of members of the complete gang.
+    :param work_s: seconds of work of the gang.
+    :param done_s: seconds of that work which are done.
+    :param restore_s: time to restore the saved work once the gang is complete.
+    :param failures: the number of first runs that fail at their end.
+    :param rate: seconds of work per second at this worker.
+    :param far_x: the factor by which the gang takes longer on more than one rack.
     """
 
     worker: str
@@ -322,7 +328,7 @@
 
 
 class MemberPaced(msgspec.Struct, frozen=True, tag=True, gc=False):
-    """A member of a gang works at another rate."""
+    """A member of a gang has changed its rate."""
 
     worker: str
     step: str
@@ -332,7 +338,7 @@
 
 
 class MemberGone(msgspec.Struct, frozen=True, tag=True, gc=False):
-    """A member of a gang has ended, other than together with the whole."""
+    """A member of a gang has ended on its own, not together with the gang."""
 
     worker: str
     step: str
@@ -341,7 +347,7 @@
 
 
 class LifeBegan(msgspec.Struct, frozen=True, tag=True, gc=False):
-    """A worker's life has begun."""
+    """An incarnation of a worker has begun."""
 
     worker: str
     machine: str
@@ -352,7 +358,7 @@
 
 
 class LifeAnnounced(msgspec.Struct, frozen=True, tag=True, gc=False):
-    """The store has taken a worker's announcement of its end."""
+    """The store has accepted a worker's announcement of its end."""
 
     worker: str
     at_s: float
@@ -360,7 +366,7 @@
 
 
 class LifeEnded(msgspec.Struct, frozen=True, tag=True, gc=False):
-    """A worker's life is over, and all that ran there.
+    """An incarnation of a worker has ended, with all of its runs.
 
     :param by: the task that crashed it, or empty.
     """
@@ -372,9 +378,9 @@
 
 
 class LifeResized(msgspec.Struct, frozen=True, tag=True, gc=False):
-    """A worker's room has grown, or has shrunk and its record tells.
+    """A worker's accelerators have increased, or have decreased and the store lists it.
 
-    :param at_s: when it grew, or when the store had taken the record that tells of less.
+    :param at_s: time of the increase, or when the store had accepted the record of the decrease.
     """
 
     worker: str
@@ -383,10 +389,11 @@
 
 
 class RunBegan(msgspec.Struct, frozen=True, tag=True, gc=False):
-    """A run has begun to be present at a worker.
+    """A run has begun at a worker.
 
     :param ordered_s: when its order arrived.
     :param late: the order was left unanswered and carried out later.
+    :param gang: the size of its gang; 0 for none.
     """
 
     worker: str
@@ -403,7 +410,7 @@
 class RunWorks(msgspec.Struct, frozen=True, tag=True, gc=False):
     """A member of a gang has begun to work.
 
-    :param at_s: when the hub saw that the gang is whole.
+    :param at_s: when the hub saw that the gang is complete.
     """
 
     worker: str
@@ -437,7 +444,7 @@
 class EndNoted(msgspec.Struct, frozen=True, tag=True, gc=False):
     """A VM has acknowledged the end of a run.
 
-    :param lapsed: the worker's lease had lapsed between the end and this.
+    :param lapsed: the worker's lease expired between the end and the acknowledgment.
     """
 
     worker: str
@@ -449,11 +456,12 @@
 
 
 class HostLoad(msgspec.Struct, frozen=True, tag=True, gc=False):
-    """What a host did since its last message of this kind.
+    """The load of a host since its last message of this kind.
 
-    :param lag_s: the most by which its event loop was late.
-    :param runs: runs that are present.
-    :param calls: calls since the last such message.
+    :param lag_s: the maximum lag of its event loop.
+    :param runs: the number of runs that are present.
+    :param calls: the number of calls.
+    :param processor_s: processor time since the start of the process.
     """
 
     host: int
--- a/src/saddlestack/soak/platform.py
+++ b/src/saddlestack/soak/platform.py
@@ -1,4 +1,4 @@
-"""The platform of a soak, as the soak sees it: its store in a process, and who led when."""
+"""Starts and controls the process with a soak's store, and tracks the leader terms."""
 
 from __future__ import annotations
 
@@ -31,16 +31,16 @@
 from saddlestack.standins.pool.documents import HOST, SERVICE
 from saddlestack.standins.ports import LOOPBACK
 
-READY_S = 20.0
-END_S = 3.0
-"""A store that has not ended so long after its stream was closed is killed."""
+START_TIMEOUT_S = 20.0
+STOP_TIMEOUT_S = 3.0
+"""A store that is still running this long after its stream was closed is killed."""
 
 
 class Term(msgspec.Struct):
-    """One leadership, as the store saw it.
+    """A term of a leader, from the creation to the removal of the leader key in the store.
 
     :param fence: the revision that created the leader key.
-    :param ended_s: when the key went; ``None`` while it is there.
+    :param ended_s: when the key was removed; ``None`` while it exists.
     """
 
     fence: int
@@ -50,24 +50,24 @@
 
 
 class TermHistory:
-    """All terms, from the changes of the leader key."""
+    """All terms, derived from the changes of the leader key."""
 
     def __init__(self) -> None:
         self.terms: list[Term] = []
 
     @property
     def current(self) -> Term | None:
-        """The term of now, as far as the store has told."""
+        """The current term according to the store's messages; ``None`` without a leader."""
         if not self.terms or self.terms[-1].ended_s is not None:
             return None
         return self.terms[-1]
 
     def vm_of(self, fence: int) -> str:
-        """The VM whose term has a token; empty where none has."""
+        """Return the VM whose term has a fence token; empty if there is none."""
         return next((term.vm for term in self.terms if term.fence == fence), "")
 
     def record(self, change: TermBegan | TermEnded) -> None:
-        """Take in a change of the leader key."""
+        """Record a change of the leader key."""
         if self.current is not None:
             self.current.ended_s = change.at_s
         if isinstance(change, TermBegan):
@@ -75,11 +75,11 @@
 
 
 class SoakPlatform:
-    """The store's process: started, told what befalls it, and heard.
+    """Controls the store's process: starts it, sends it faults, and receives its messages.
 
-    :ivar ports: of each VM's way to the store.
-    :ivar records_port: where workers write their records.
-    :ivar loads: what the process told of its load.
+    :ivar ports: the port of each VM's link to the store.
+    :ivar records_port: the port to which workers write their records.
+    :ivar loads: load reports of the process.
     """
 
     def __init__(self, shape: SoakShape, vms: Sequence[str], folder: Path, seed: int) -> None:
@@ -92,22 +92,22 @@
         self.records_port = 0
         self.loads: list[StoreLoad] = []
         self._ready = asyncio.Event()
-        self._held: dict[str, asyncio.Event] = {}
-        self._numbers = itertools.count(1)
+        self._paused: dict[str, asyncio.Event] = {}
+        self._fault_numbers = itertools.count(1)
         self._server: asyncio.Server | None = None
         self._stream: MessageStream | None = None
         self._process: asyncio.subprocess.Process | None = None
-        self._reading: set[asyncio.Task[None]] = set()
+        self._read_tasks: set[asyncio.Task[None]] = set()
 
     @property
     def alive(self) -> bool:
-        """Whether the store's process runs."""
+        """Whether the store's process is running."""
         return self._process is not None and self._process.returncode is None
 
     async def start(self) -> None:
         """Start the process, and wait until it serves.
 
-        :raises TimeoutError: it does not, in time.
+        :raises TimeoutError: it does not serve in time.
         """
         self._server = await asyncio.start_server(self._accept, LOOPBACK, 0)
         settings = StoreSettings(
@@ -129,68 +129,72 @@
                 stdout=log,
                 stderr=log,
             )
-        async with asyncio.timeout(READY_S):
+        async with asyncio.timeout(START_TIMEOUT_S):
             await self._ready.wait()
 
     async def stop(self) -> None:
-        """End the process."""
+        """Stop the process."""
         if self._stream is not None:
             self._stream.close()
         if self._server is not None:
             self._server.close()
         if self._process is not None:
-            await _end(self._process)
-        for task in self._reading:
+            await _stop_process(self._process)
+        for task in self._read_tasks:
             task.cancel()
-        await asyncio.gather(*self._reading, return_exceptions=True)
+        await asyncio.gather(*self._read_tasks, return_exceptions=True)
 
     def send(self, message: ToStore) -> None:
-        """Tell the store something."""
+        """Send a message to the store."""
         assert self._stream is not None
         self._stream.write(message)
 
-    def begin_link_fault(self, vms: Sequence[str], trouble: LinkFault, delay_s: float = 0.0) -> int:
-        """Begin a trouble of some VMs' ways, in place of what they have.
+    def begin_link_fault(self, vms: Sequence[str], fault: LinkFault, delay_s: float = 0.0) -> int:
+        """Begin a fault of some VMs' links, in place of the faults that they have.
 
-        :return: its number, which ends it.
+        :param delay_s: delay of calls and answers, for :attr:`LinkFault.DELAY`.
+        :return: the number of the fault, for :meth:`end_link_fault`.
         """
-        number = next(self._numbers)
-        self.send(BeginTrouble(number, tuple(vms), trouble, delay_s))
+        number = next(self._fault_numbers)
+        self.send(BeginTrouble(number, tuple(vms), fault, delay_s))
         return number
 
     def end_link_fault(self, number: int) -> None:
-        """End a trouble where no other has taken its place."""
+        """End a fault on the links where no other fault has replaced it."""
         self.send(EndTrouble(number))
 
     async def pause_at_renewal(self, vm: str, pid: int, timeout_s: float) -> bool:
-        """Have a VM's process stopped at the next renewal of its leadership; whether it was."""
-        held = self._held[vm] = asyncio.Event()
+        """Have a VM's process paused at the next renewal of its leadership.
+
+        :return: whether it was paused before the timeout.
+        """
+        paused = self._paused[vm] = asyncio.Event()
         self.send(HoldAtRenewal(vm, pid))
         try:
             async with asyncio.timeout(timeout_s):
-                await held.wait()
+                await paused.wait()
         except TimeoutError:
             self.send(HoldAtRenewal(vm, 0))
-        return held.is_set()
+        return paused.is_set()
 
     def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._stream = MessageStream(reader, writer, FromStore)
         task = asyncio.get_running_loop().create_task(self._read(self._stream))
-        self._reading.add(task)
-        task.add_done_callback(self._reading.discard)
+        self._read_tasks.add(task)
+        task.add_done_callback(self._read_tasks.discard)
 
     async def _read(self, stream: MessageStream) -> None:
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
             while True:
-                self._take(await stream.read())
+                self._receive(await stream.read())
 
-    def _take(self, message: FromStore) -> None:
+    def _receive(self, message: FromStore) -> None:
         if isinstance(message, TermBegan | TermEnded):
             self.terms.record(message)
         elif isinstance(message, StoreLoad):
             self.loads.append(message)
         elif isinstance(message, VmHeld):
-            self._held[message.vm].set()
+            self._paused[message.vm].set()
         elif isinstance(message, StoreReady):
             self.ports = message.ports
             self.records_port = message.records_port
@@ -198,12 +202,12 @@
 
 
 def api_key_of(account: str) -> str:
-    """The key that a client account's calls carry."""
+    """Return the API key that a client account sends with its calls."""
     return f"key-of-{account}"
 
 
 def configuration(shape: SoakShape) -> bytes:
-    """The operators' document of a shape, as the platform's store keeps it."""
+    """Return the operators' configuration of a shape, as the platform's store keeps it."""
     routes = [
         {
             "name": kind.name,
@@ -229,9 +233,9 @@
     return to_json({"version": 1, "routes": routes, "services": services, "tenants": tenants})
 
 
-async def _end(process: asyncio.subprocess.Process) -> None:
+async def _stop_process(process: asyncio.subprocess.Process) -> None:
     try:
-        async with asyncio.timeout(END_S):
+        async with asyncio.timeout(STOP_TIMEOUT_S):
             await process.wait()
     except TimeoutError:
         process.kill()
--- a/src/saddlestack/soak/store_process.py
+++ b/src/saddlestack/soak/store_process.py
@@ -1,4 +1,4 @@
-"""The process that plays a soak's store: ``python -m saddlestack.soak.store_process SETTINGS``.
+"""The process that simulates a soak's store: ``python -m saddlestack.soak.store_process SETTINGS``.
 
 It serves until its stream to the soak ends.
 """
@@ -50,30 +50,30 @@
 from saddlestack.standins.ports import LOOPBACK
 from saddlestack.wire.http import Request, Response
 
-WATCH_CHECK_S = 30.0
-"""Watches are silenced on their connections, so they need not look after that themselves."""
-TICK_S = 0.02
-"""Leases that have lapsed are ended this often; the lateness of these ticks is the loop's."""
-LOAD_EVERY_S = 1.0
+WATCH_CHECK_INTERVAL_S = 30.0
+"""Links silence watches on their connections, so the store itself rarely has to check them."""
+EXPIRY_INTERVAL_S = 0.02
+"""Interval at which expired leases are removed; its overrun is the event loop's lag."""
+LOAD_INTERVAL_S = 1.0
 
 
 class VmStore:
-    """The store as one VM has it.
+    """One VM's view of the store, and its link to it.
 
-    :ivar trouble: number of the trouble that its way has.
+    :ivar fault_number: number of the current fault of the link.
     """
 
     def __init__(self, process: StoreProcess, vm: str, rng: random.Random) -> None:
         self._process = process
         self._vm = vm
-        self.view = StoreView(process.state, check_s=WATCH_CHECK_S)
+        self.view = StoreView(process.state, check_s=WATCH_CHECK_INTERVAL_S)
         self._serving = StoreServing(self.view)
         self.link = StoreLink(self._handle, rng)
-        self.trouble = 0
+        self.fault_number = 0
 
     def heal(self) -> None:
-        """End all troubles."""
-        self.trouble = 0
+        """End all faults."""
+        self.fault_number = 0
         self.link.set_fault(None)
         self.view.faults.slow_s = 0.0
         self.view.faults.lose_answers = 0
@@ -84,14 +84,14 @@
         except StoreUnavailable:
             return Response(503)
         if response.status == 200 and request.path.startswith(paths.KEEP):
-            self._process.renewed(self._vm, int(request.path.removeprefix(paths.KEEP)))
+            self._process.on_lease_renewed(self._vm, int(request.path.removeprefix(paths.KEEP)))
         return response
 
 
 class StoreProcess:
-    """The store, each VM's way to it, and the workers' records.
+    """The store, the link of each VM, and the workers' records.
 
-    :param stream: to and from the soak.
+    :param stream: the connection to the soak.
     """
 
     def __init__(self, settings: StoreSettings, stream: MessageStream) -> None:
@@ -100,13 +100,13 @@
         self._stream = stream
         self._rng = rng
         self.state = StoreState()
-        self.state.observers.append(self._note)
+        self.state.observers.append(self._report_leader_change)
         self._records = WorkerRecords(self.state, settings.heartbeat_s)
         self._vms = {
             vm: VmStore(self, vm, random.Random(rng.getrandbits(64))) for vm in settings.vms
         }
         self._leader_lease = 0
-        self._hold_at_renewal: dict[str, int] = {}
+        self._pause_at_renewal: dict[str, int] = {}
         self._calls = 0
 
     async def run(self) -> None:
@@ -117,35 +117,38 @@
         self.state.put(PLACES.configuration_key, self._settings.configuration)
         ports = {vm: each.link.port for vm, each in self._vms.items()}
         self._stream.write(StoreReady(ports, self._records.port))
-        keeping = asyncio.get_running_loop().create_task(self._keep())
+        maintenance = asyncio.get_running_loop().create_task(self._maintain())
         try:
             with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
                 while True:
-                    self._take(await self._stream.read())
+                    self._receive(await self._stream.read())
         finally:
-            keeping.cancel()
+            maintenance.cancel()
             for each in self._vms.values():
                 each.link.stop()
             await self._records.stop()
 
-    def renewed(self, vm: str, lease: int) -> None:
-        """A lease was renewed, and this is not answered yet."""
-        pid = self._hold_at_renewal.get(vm, 0)
+    def on_lease_renewed(self, vm: str, lease: int) -> None:
+        """Pause a VM's process if this renews its leadership and a pause was ordered.
+
+        Called before the renewal is answered.
+        """
+        pid = self._pause_at_renewal.get(vm, 0)
         if pid and lease == self._leader_lease:
-            del self._hold_at_renewal[vm]
+            del self._pause_at_renewal[vm]
             with contextlib.suppress(ProcessLookupError):
                 os.kill(pid, signal.SIGSTOP)
             self._stream.write(VmHeld(vm, pid))
 
-    def _take(self, message: msgspec.Struct) -> None:
+    def _receive(self, message: msgspec.Struct) -> None:
         match message:
             case BeginTrouble():
                 for vm in message.vms:
-                    self._vms[vm].trouble = message.number
+                    self._vms[vm].fault_number = message.number
                     self._vms[vm].link.set_fault(message.trouble, message.delay_s)
             case EndTrouble():
                 for each in self._vms.values():
-                    if each.trouble == message.number:
+                    if each.fault_number == message.number:
                         each.link.set_fault(None)
             case SlowDown():
                 for each in self._vms.values():
@@ -162,26 +165,26 @@
                 self._records.is_unavailable = message.away
                 self._records.expire_while_unavailable = message.lapse
             case LapseRecords():
-                self._lapse(message.share)
+                self._expire_share(message.share)
             case HoldAtRenewal():
-                self._hold_at_renewal[message.vm] = message.pid
+                self._pause_at_renewal[message.vm] = message.pid
             case HealAll():
-                self._heal()
+                self._heal_all()
 
-    def _heal(self) -> None:
+    def _heal_all(self) -> None:
         for each in self._vms.values():
             each.heal()
         self._records.is_unavailable = False
-        self._hold_at_renewal.clear()
+        self._pause_at_renewal.clear()
 
-    def _lapse(self, share: float) -> None:
+    def _expire_share(self, share: float) -> None:
         prefix = PLACES.workers_prefix
         workers = [item.key.removeprefix(prefix) for item in self.state.keys(prefix)]
         if workers:
             self._records.expire(self._rng.sample(workers, max(1, round(share * len(workers)))))
 
-    def _note(self, revision: int, item: Item) -> None:
-        """Tell of changes of the leader key."""
+    def _report_leader_change(self, revision: int, item: Item) -> None:
+        """Report changes of the leader key."""
         if item.key != LEADER:
             return
         if not item.revision:
@@ -191,25 +194,25 @@
         self._leader_lease = record.lease
         self._stream.write(TermBegan(revision, record.vm, record.lease, _now()))
 
-    async def _keep(self) -> None:
-        """End leases that have lapsed, forget old changes, and tell the load, until cancelled."""
+    async def _maintain(self) -> None:
+        """Remove expired leases and old changes, and report the load, until cancelled."""
         seen: deque[tuple[float, int]] = deque()
         lag_s = 0.0
-        told_s = _now()
+        reported_s = _now()
         while True:
-            due = _now() + TICK_S
-            await asyncio.sleep(TICK_S)
+            due = _now() + EXPIRY_INTERVAL_S
+            await asyncio.sleep(EXPIRY_INTERVAL_S)
             lag_s = max(lag_s, _now() - due)
             self.state.item(LEADER)
             seen.append((_now(), self.state.revision))
             while seen[0][0] < _now() - self._settings.history_s:
                 self.state.forget_until(seen.popleft()[1])
-            if _now() >= told_s + LOAD_EVERY_S:
-                self._tell_load(lag_s)
+            if _now() >= reported_s + LOAD_INTERVAL_S:
+                self._send_load(lag_s)
                 lag_s = 0.0
-                told_s = _now()
+                reported_s = _now()
 
-    def _tell_load(self, lag_s: float) -> None:
+    def _send_load(self, lag_s: float) -> None:
         calls = sum(each.link.calls for each in self._vms.values())
         self._stream.write(StoreLoad(_now(), lag_s, calls - self._calls, time.process_time()))
         self._calls = calls
@@ -220,7 +223,7 @@
 
 
 async def main(settings: StoreSettings) -> None:
-    """Play the store of some settings."""
+    """Simulate the store of some settings."""
     reader, writer = await asyncio.open_connection(LOOPBACK, settings.parent_port)
     stream = MessageStream(reader, writer, ToStore)
     try:
