--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -17,20 +17,26 @@
 from saddlestack.errors import SaddlestackError
 from saddlestack.platform.documents import PlatformDocuments
 from saddlestack.soak.disturbances import RECOVERY_S, Disturbances
-from saddlestack.soak.faults import Fault, FaultPlayer, Play
+from saddlestack.soak.faults import Fault, FaultAction, FaultInjector
 from saddlestack.soak.launcher import CuttableDialer
-from saddlestack.soak.load import ALWAYS, Load, Told, draw, request
+from saddlestack.soak.load import ALWAYS_FAILS, Load, SubmittedJob, draw, request
 from saddlestack.soak.logsearch import lines_of
-from saddlestack.soak.meters import Usage, VmUse
+from saddlestack.soak.meters import Usage, VmUsage
 from saddlestack.soak.platform import TermHistory, configuration
 from saddlestack.soak.processes import EntryProcess, EntrySite
-from saddlestack.soak.proxy import Proxy, Trouble
+from saddlestack.soak.proxy import ConnectionFault, Proxy
 from saddlestack.soak.readiness import Readiness
-from saddlestack.soak.report import BrokenReport, LagReport, SoakReport, StandstillReport, Waits
-from saddlestack.soak.run import Soak, SoakPlan, run, sites_of
+from saddlestack.soak.report import (
+    BrokenReport,
+    LagReport,
+    SoakReport,
+    StandstillReport,
+    TimeSummary,
+)
+from saddlestack.soak.run import Soak, SoakPlan, entry_sites, run
 from saddlestack.soak.shape import FaultKind, FaultMix, SoakShape, Spread, check, load
-from saddlestack.soak.store_messages import TermBegan, TermEnded, WayTrouble
-from saddlestack.soak.store_way import StoreWay
+from saddlestack.soak.store_link import StoreLink
+from saddlestack.soak.store_messages import LinkFault, TermBegan, TermEnded
 from saddlestack.soak.vm_faults import VmFaults
 from saddlestack.standins.loop import run as run_virtually
 from saddlestack.standins.pool.workers import TaskPlan
@@ -141,7 +147,7 @@
                 load(path)
 
     def test_each_vm_has_an_address_of_its_own(self) -> None:
-        sites = sites_of(load(GROWN))
+        sites = entry_sites(load(GROWN))
         self.assertEqual(len({site.address for site in sites}), 41)
         self.assertEqual(sum(site.strong for site in sites), 6)
 
@@ -169,8 +175,8 @@
 class BurstTest(unittest.TestCase):
     """Jobs that fail by their own fault, as clients hand them in."""
 
-    def handed_in(self, shape: SoakShape) -> list[Told]:
-        async def body() -> list[Told]:
+    def handed_in(self, shape: SoakShape) -> list[SubmittedJob]:
+        async def body() -> list[SubmittedJob]:
             load = Load(shape, [], random.Random(1), random.Random(2))
             task = asyncio.get_running_loop().create_task(load.run())
             await asyncio.sleep(30.0)
@@ -178,7 +184,7 @@
             await asyncio.gather(task, return_exceptions=True)
             return load.jobs
 
-        async def drop(load: Load, told: Told, rng: random.Random) -> None:
+        async def drop(load: Load, told: SubmittedJob, rng: random.Random) -> None:
             return
 
         with patch.object(Load, "_drive", drop), patch.object(Readiness, "run", _nothing):
@@ -189,7 +195,7 @@
         others = msgspec.structs.replace(shape, failing=None)
         before = {told.job_id for told in self.handed_in(others)}
         jobs = self.handed_in(shape)
-        bursts: dict[float, list[Told]] = {}
+        bursts: dict[float, list[SubmittedJob]] = {}
         for told in jobs:
             if told.job_id not in before:
                 bursts.setdefault(told.submitted_s, []).append(told)
@@ -201,7 +207,7 @@
             self.assertEqual(len({told.kind.name for told in burst}), 1)
             for told in burst:
                 plan = msgspec.json.decode(told.request.payload, type=TaskPlan)
-                self.assertEqual(plan.failures, ALWAYS)
+                self.assertEqual(plan.failures, ALWAYS_FAILS)
                 self.assertLessEqual(plan.work_s, 1.0)
 
 
@@ -210,7 +216,7 @@
 
     def test_the_first_final_state_or_the_cancel_closes_a_job(self) -> None:
         kind = load(SMALL).kinds[0]
-        told = Told("x1", kind, "others", request(kind, random.Random(1)), 0.0)
+        told = SubmittedJob("x1", kind, "others", request(kind, random.Random(1)), 0.0)
         self.assertEqual(told.closed_s, math.inf)
         told.changes += [(1.0, JobState.RUNNING), (2.0, JobState.FAILED), (3.0, JobState.FAILED)]
         self.assertEqual(told.closed_s, 2.0)
@@ -221,7 +227,7 @@
 class LogsTest(unittest.TestCase):
     """The logs of a soak, once it is over."""
 
-    def kept(self, report: SoakReport, *, keeps_logs: bool) -> bool:
+    def kept(self, report: SoakReport, *, keep_logs: bool) -> bool:
         folders: list[Path] = []
 
         async def played(soak: Soak) -> SoakReport:
@@ -229,7 +235,7 @@
             return report
 
         with patch.object(Soak, "run", played):
-            asyncio.run(run(SoakPlan(load(SMALL), 1, 0.0, keeps_logs=keeps_logs)))
+            asyncio.run(run(SoakPlan(load(SMALL), 1, 0.0, keep_logs=keep_logs)))
         there = folders[0].exists()
         if there:
             folders[0].rmdir()
@@ -237,11 +243,11 @@
         return there
 
     def test_they_go_where_all_was_good_unless_they_are_to_be_kept(self) -> None:
-        self.assertFalse(self.kept(_report([0.01]), keeps_logs=False))
-        self.assertTrue(self.kept(_report([0.01]), keeps_logs=True))
+        self.assertFalse(self.kept(_report([0.01]), keep_logs=False))
+        self.assertTrue(self.kept(_report([0.01]), keep_logs=True))
         broken = _report([0.01])
         broken.broken.append(BrokenReport("two runs at once", 2.5, "x1", "x1 ran twice", []))
-        self.assertTrue(self.kept(broken, keeps_logs=False))
+        self.assertTrue(self.kept(broken, keep_logs=False))
 
 
 async def _nothing(readiness: Readiness) -> None:
@@ -276,7 +282,7 @@
                 first_s=first_s,
             )
             start_s = asyncio.get_running_loop().time()
-            player = FaultPlayer(mix, {FaultKind.ALL_KILL: play}, random.Random(1))
+            player = FaultInjector(mix, {FaultKind.ALL_KILL: play}, random.Random(1))
             await player.run(seconds)
             return start_s
 
@@ -300,11 +306,11 @@
 
     def test_halls_are_cut_from_each_other_and_not_within(self) -> None:
         shape = load(SMALL)
-        entries = [RecordedEntry(site) for site in sites_of(shape)]
+        entries = [RecordedEntry(site) for site in entry_sites(shape)]
         workers = {"hall-1": ["127.64.0.1"], "hall-2": ["127.64.0.2"]}
         faults = VmFaults(entries, None, workers)  # type: ignore[arg-type]
         fault = Fault(FaultKind.HALL_CUT, 3.0)
-        run_virtually(faults.plays[FaultKind.HALL_CUT](fault, random.Random(1)))
+        run_virtually(faults.actions[FaultKind.HALL_CUT](fault, random.Random(1)))
         for entry in entries:
             other = "hall-2" if entry.site.hall == "hall-1" else "hall-1"
             apart = {each.site.address for each in entries if each.site.hall == other}
@@ -317,20 +323,20 @@
             Fault(FaultKind.HALL_KILL, 1.0, 200.0, 201.0, on="hall-1"),
         ]
         near = Disturbances(faults, {"a": "hall-1", "b": "hall-2"})
-        self.assertTrue(near.in_touch("a", 9.9))
-        self.assertFalse(near.in_touch("a", 10.0 + RECOVERY_S))
-        self.assertTrue(near.in_touch("b", 10.5))
-        self.assertFalse(near.in_touch("b", 100.5))
-        self.assertFalse(near.in_touch("a", 200.5))
-        self.assertTrue(near.in_touch("b", 200.5))
-        self.assertFalse(near.calm(11.0 + RECOVERY_S))
-        self.assertTrue(near.calm(12.0 + RECOVERY_S))
+        self.assertTrue(near.is_undisturbed("a", 9.9))
+        self.assertFalse(near.is_undisturbed("a", 10.0 + RECOVERY_S))
+        self.assertTrue(near.is_undisturbed("b", 10.5))
+        self.assertFalse(near.is_undisturbed("b", 100.5))
+        self.assertFalse(near.is_undisturbed("a", 200.5))
+        self.assertTrue(near.is_undisturbed("b", 200.5))
+        self.assertFalse(near.is_fault_free(11.0 + RECOVERY_S))
+        self.assertTrue(near.is_fault_free(12.0 + RECOVERY_S))
 
 
-def _player(play: Play, seed: int) -> FaultPlayer:
+def _player(play: FaultAction, seed: int) -> FaultInjector:
     weights = {FaultKind.VM_KILL: 1.0, FaultKind.STORE_SLOW: 2.0, FaultKind.WORKER_HANG: 0.0}
     mix = FaultMix(weights=weights, pause_s=(0.5, 1.5), lasting_s=(0.5, 3.0))
-    return FaultPlayer(mix, dict.fromkeys(weights, play), random.Random(seed))
+    return FaultInjector(mix, dict.fromkeys(weights, play), random.Random(seed))
 
 
 @dataclass(slots=True)
@@ -343,28 +349,28 @@
         EntryProcess.__init__(self, site, Path("/nowhere"), "", load(SMALL).times)
         self.cuts = []
 
-    def cut_from(self, addresses: object) -> None:
+    def block_addresses(self, addresses: object) -> None:
         self.cuts.append(set(addresses))  # type: ignore[call-overload]
 
 
 class TermTest(unittest.TestCase):
     def test_terms_are_told_by_their_tokens(self) -> None:
         history = TermHistory()
-        history.note(TermBegan(7, "a", 70_001, 1.0))
-        history.note(TermEnded(2.0))
+        history.record(TermBegan(7, "a", 70_001, 1.0))
+        history.record(TermEnded(2.0))
         self.assertIsNone(history.current)
-        history.note(TermBegan(9, "b", 70_002, 3.0))
+        history.record(TermBegan(9, "b", 70_002, 3.0))
         self.assertEqual([history.vm_of(fence) for fence in (7, 8, 9)], ["a", "", "b"])
         self.assertEqual([term.ended_s for term in history.terms], [2.0, None])
 
 
 class ReportTest(unittest.TestCase):
     def test_waits(self) -> None:
-        waits = Waits.of([float(number) for number in range(1, 101)])
+        waits = TimeSummary.of([float(number) for number in range(1, 101)])
         self.assertEqual(
             (waits.count, waits.median_s, waits.p99_s, waits.longest_s), (100, 50, 99, 100)
         )
-        self.assertEqual(Waits.of([]), Waits())
+        self.assertEqual(TimeSummary.of([]), TimeSummary())
 
     def test_stand_ins_that_are_late_are_named(self) -> None:
         report = _report([0.01, 0.24], [0.01, 0.3])
@@ -407,7 +413,7 @@
             self.assertIn(line, text)
 
     def test_use_is_counted_over_all_lives(self) -> None:
-        use = VmUse()
+        use = VmUsage()
         for pid, processor_s in ((1, 0.5), (1, 0.8), (2, 0.2)):
             use.add(pid, Usage(processor_s, 30.0), 0.0)
         self.assertAlmostEqual(use.processor_s, 1.0)
@@ -438,7 +444,7 @@
         busiest=[],
         memory_mb=0.0,
         stand_ins=[
-            LagReport(f"stand-in {number}", Waits.of(lags), 0.1)
+            LagReport(f"stand-in {number}", TimeSummary.of(lags), 0.1)
             for number, lags in enumerate(lags_s)
         ],
         faults=[],
@@ -451,7 +457,7 @@
 class StoreWayTest(unittest.TestCase):
     """Every trouble of a VM's way to the store, as the program's own client meets it."""
 
-    def play(self, body: Callable[[StoreWay, HttpClient, list[str]], Awaitable[None]]) -> None:
+    def play(self, body: Callable[[StoreLink, HttpClient, list[str]], Awaitable[None]]) -> None:
         async def whole() -> None:
             handled: list[str] = []
 
@@ -459,7 +465,7 @@
                 handled.append(asked.query["n"])
                 return Response(200, asked.body)
 
-            way = StoreWay(handle, random.Random(1))
+            way = StoreLink(handle, random.Random(1))
             await way.start("127.0.0.1")
             client = HttpClient("127.0.0.1", way.port)
             try:
@@ -471,7 +477,7 @@
         asyncio.run(whole())
 
     def test_calls_pass(self) -> None:
-        async def body(way: StoreWay, client: HttpClient, handled: list[str]) -> None:
+        async def body(way: StoreLink, client: HttpClient, handled: list[str]) -> None:
             for number in range(3):
                 response = await client.request("POST", f"/x?n={number}", {"a": 1}, timeout=1.0)
                 self.assertEqual(response.body, b'{"a":1}')
@@ -480,37 +486,37 @@
         self.play(body)
 
     def test_silence_holds_calls(self) -> None:
-        async def body(way: StoreWay, client: HttpClient, handled: list[str]) -> None:
-            way.set(WayTrouble.SILENT)
+        async def body(way: StoreLink, client: HttpClient, handled: list[str]) -> None:
+            way.set_fault(LinkFault.SILENT)
             with self.assertRaises(AnswerLost):
                 await client.request("POST", "/x?n=1", timeout=0.1)
             waiting = asyncio.create_task(client.request("POST", "/x?n=2", timeout=5.0))
             await asyncio.sleep(0.05)
             self.assertEqual(handled, [])
-            way.set(None)
+            way.set_fault(None)
             self.assertEqual((await waiting).status, 200)
             self.assertEqual(handled, ["2"])
 
         self.play(body)
 
     def test_one_way_holds_answers(self) -> None:
-        async def body(way: StoreWay, client: HttpClient, handled: list[str]) -> None:
-            way.set(WayTrouble.ONE_WAY)
+        async def body(way: StoreLink, client: HttpClient, handled: list[str]) -> None:
+            way.set_fault(LinkFault.ONE_WAY)
             waiting = asyncio.create_task(client.request("POST", "/x?n=1", timeout=5.0))
             while not handled:
                 await asyncio.sleep(0.01)
             self.assertFalse(waiting.done())
-            way.set(None)
+            way.set_fault(None)
             self.assertEqual((await waiting).status, 200)
 
         self.play(body)
 
     def test_reset_and_refused(self) -> None:
-        async def body(way: StoreWay, client: HttpClient, handled: list[str]) -> None:
-            way.set(WayTrouble.RESET)
+        async def body(way: StoreLink, client: HttpClient, handled: list[str]) -> None:
+            way.set_fault(LinkFault.RESET)
             with self.assertRaises(AnswerLost):
                 await client.request("POST", "/x?n=1", timeout=1.0)
-            way.set(WayTrouble.REFUSED)
+            way.set_fault(LinkFault.REFUSED)
             response = await client.request("POST", "/x?n=2", timeout=1.0)
             self.assertIn(response.status, {429, 503})
             self.assertEqual(handled, [])
@@ -518,9 +524,9 @@
         self.play(body)
 
     def test_stale_connections_swallow_and_new_ones_work(self) -> None:
-        async def body(way: StoreWay, client: HttpClient, handled: list[str]) -> None:
+        async def body(way: StoreLink, client: HttpClient, handled: list[str]) -> None:
             await client.request("POST", "/x?n=1", timeout=1.0)
-            way.set(WayTrouble.STALE)
+            way.set_fault(LinkFault.STALE)
             with self.assertRaises(AnswerLost):
                 await client.request("POST", "/x?n=2", timeout=0.1)
             client.reconnect()
@@ -530,8 +536,8 @@
         self.play(body)
 
     def test_delay(self) -> None:
-        async def body(way: StoreWay, client: HttpClient, handled: list[str]) -> None:
-            way.set(WayTrouble.DELAY, 0.05)
+        async def body(way: StoreLink, client: HttpClient, handled: list[str]) -> None:
+            way.set_fault(LinkFault.DELAY, 0.05)
             began = asyncio.get_running_loop().time()
             await client.request("POST", "/x?n=1", timeout=1.0)
             self.assertGreaterEqual(asyncio.get_running_loop().time() - began, 0.1)
@@ -603,10 +609,10 @@
         async def body() -> None:
             entry = counted_process()
             await entry.start()
-            held = [entry.hold(), entry.hold()]
-            entry.release(held[0])
+            held = [entry.pause(), entry.pause()]
+            entry.resume(held[0])
             self.assertEqual(await entry.until_state("T"), "T")
-            entry.release(held[1])
+            entry.resume(held[1])
             self.assertEqual(await entry.until_state("S"), "S")
             await entry.end()
 
@@ -616,10 +622,10 @@
         async def body() -> None:
             entry = counted_process()
             await entry.start()
-            held = entry.hold()
+            held = entry.pause()
             await entry.kill_and_restart(0.0)
-            entry.hold()
-            entry.release(held)
+            entry.pause()
+            entry.resume(held)
             self.assertEqual(await entry.until_state("T"), "T")
             await entry.end()
 
@@ -670,20 +676,20 @@
             reader, writer = await asyncio.open_connection("127.0.0.1", proxy.port)
             writer.write(b"a")
             self.assertEqual(await reader.read(1), b"a")
-            for trouble in (Trouble.SILENT, Trouble.ONE_WAY):
-                proxy.set(trouble)
+            for trouble in (ConnectionFault.SILENT, ConnectionFault.ONE_WAY):
+                proxy.set_fault(trouble)
                 writer.write(b"b")
                 with self.assertRaises(TimeoutError):
                     async with asyncio.timeout(1.0):
                         await reader.read(1)
-                proxy.set(Trouble.NONE)
+                proxy.set_fault(ConnectionFault.NONE)
                 self.assertEqual(await reader.read(1), b"b")
-            proxy.set(Trouble.DELAY, 0.5)
+            proxy.set_fault(ConnectionFault.DELAY, 0.5)
             writer.write(b"c")
             began = asyncio.get_running_loop().time()
             self.assertEqual(await reader.read(1), b"c")
             self.assertGreaterEqual(asyncio.get_running_loop().time() - began, 0.5)
-            proxy.set(Trouble.RESET)
+            proxy.set_fault(ConnectionFault.RESET)
             with self.assertRaises(ConnectionResetError):
                 if not await reader.read(1):
                     raise ConnectionResetError
--- a/tests/test_unresponsive_connections.py
+++ b/tests/test_unresponsive_connections.py
@@ -16,7 +16,7 @@
 from saddlestack.platform.handlers import StoreHandler
 from saddlestack.platform.kv import KvStore
 from saddlestack.platform.orders import HttpWorkerOrders
-from saddlestack.soak.proxy import Proxy, Trouble
+from saddlestack.soak.proxy import ConnectionFault, Proxy
 from saddlestack.standins.loop import VirtualClock, run
 from saddlestack.standins.pool.cluster import PoolCluster, job
 from saddlestack.standins.pool.store import StoreState, StoreView
@@ -75,7 +75,7 @@
         async def body(proxy: Proxy) -> None:
             client = HttpClient(HOST, proxy.port)
             await fill(client, 8)
-            proxy.set(Trouble.STALE)
+            proxy.set_fault(ConnectionFault.STALE)
             with self.assertRaises(AnswerLost):
                 await client.request("GET", "/", timeout=CALL_S)
             response = await client.request("GET", "/", timeout=CALL_S)
@@ -88,7 +88,7 @@
         async def body(proxy: Proxy) -> None:
             client = HttpClient(HOST, proxy.port)
             await fill(client, 8)
-            proxy.set(Trouble.STALE)
+            proxy.set_fault(ConnectionFault.STALE)
             with self.assertRaises(TimeoutError):
                 async with asyncio.timeout(0.2):
                     await client.request("GET", "/", timeout=CALL_S)
@@ -124,7 +124,7 @@
         async def body(proxy: Proxy) -> None:
             orders = HttpWorkerOrders("i-1", HOST, proxy.port)
             await asyncio.gather(*(orders.hold(1, None, 0, 0.0, 0.3) for _ in range(4)))
-            proxy.set(Trouble.STALE)
+            proxy.set_fault(ConnectionFault.STALE)
             with self.assertRaises(WorkerUnreachable):
                 await orders.hold(1, None, 0, 0.0, 0.3)
             self.assertEqual((await orders.hold(1, None, 0, 0.0, 0.3)).clock_ms, 1)
@@ -143,7 +143,7 @@
             health = StoreHealth(store, VirtualClock())
             await health.start()
             await asyncio.sleep(1.0)
-            proxy.set(Trouble.STALE)
+            proxy.set_fault(ConnectionFault.STALE)
             max_outage_s = 0.0
             for _ in range(100):
                 await asyncio.sleep(0.01)
@@ -198,7 +198,7 @@
             link = await self.dial(proxy)
             await link.call("ping", {}, dict, 0.25)
             self.assertFalse(link.is_unresponsive)
-            proxy.set(Trouble.STALE)
+            proxy.set_fault(ConnectionFault.STALE)
             with self.assertRaises(TimeoutError):
                 async with asyncio.timeout(0.25):
                     await link.call("ping", {}, dict, 0.6)
@@ -210,7 +210,7 @@
     def test_a_slow_link_is_used_again_and_fails_no_call(self) -> None:
         async def body(proxy: Proxy, accepted: list[PeerLink]) -> None:
             link = await self.dial(proxy)
-            proxy.set(Trouble.DELAY, 0.2)
+            proxy.set_fault(ConnectionFault.DELAY, 0.2)
             pending = asyncio.ensure_future(link.call("ping", {}, dict, 0.6))
             with self.assertRaises(TimeoutError):
                 async with asyncio.timeout(0.25):
@@ -226,7 +226,7 @@
         async def body(proxy: Proxy, accepted: list[PeerLink]) -> None:
             link = await self.dial(proxy)
             await link.call("ping", {}, dict, 0.25)
-            proxy.set(Trouble.STALE)
+            proxy.set_fault(ConnectionFault.STALE)
             await asyncio.sleep(ACCEPTED_IDLE_S + 1.0)
             self.assertTrue(accepted[0].closed)
             link.close()
@@ -236,7 +236,7 @@
     def test_a_lost_link_fails_its_pending_calls(self) -> None:
         async def body(proxy: Proxy, accepted: list[PeerLink]) -> None:
             link = await self.dial(proxy)
-            proxy.set(Trouble.STALE)
+            proxy.set_fault(ConnectionFault.STALE)
             with self.assertRaises(LinkLost):
                 await link.call("ping", {}, dict, 0.6)
             link.close()
@@ -249,7 +249,7 @@
         async def body(proxy: Proxy) -> None:
             client = HttpClient(HOST, proxy.port)
             await client.request("GET", "/", timeout=CALL_S)
-            proxy.set(Trouble.STALE)
+            proxy.set_fault(ConnectionFault.STALE)
             self.assertEqual(proxy.open_at_target, 1)
             await asyncio.sleep(80.0)
             self.assertEqual(proxy.open_at_target, 0)
--- a/tests/test_worker_gangs.py
+++ b/tests/test_worker_gangs.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass, field
 
 from saddlestack.interfaces.workers import EndKind, WorkerFenced, WorkerUnreachable
-from saddlestack.soak.account import ClientJob, Promise, PromiseTimes, judge
+from saddlestack.soak.invariants import ClientJob, Invariant, InvariantTimes, check_invariants
 from saddlestack.soak.messages import RunBegan, RunEnded, RunWorks
-from saddlestack.soak.runs import RunBook
+from saddlestack.soak.runs import RunHistory
 from saddlestack.standins.pool.workers import TaskPlan
 from saddlestack.work import JobRequest, Resources, Step
 from tests.soak_support import ACCELERATORS, JOB, TIMES, Workers, virtually
@@ -50,7 +50,7 @@
         if rng.random() < 0.03:
             self._crash()
         if rng.random() < 0.05:
-            rng.choice(self.workers.lives).set_speed(rng.choice((0.0, 0.5, 1.0)))
+            rng.choice(self.workers.incarnations).set_speed(rng.choice((0.0, 0.5, 1.0)))
 
     async def _start(self) -> None:
         """Some members of a gang, or a task that works alone."""
@@ -79,18 +79,24 @@
 
     async def _look(self) -> None:
         worker = self._worker()
-        life = self.workers.lives[worker]
-        await life.hold(self._fence(), life.clock_ms() + 6000, self.rng.randrange(20), 0.0)
+        incarnation = self.workers.incarnations[worker]
+        await incarnation.hold(
+            self._fence(), incarnation.clock_ms() + 6000, self.rng.randrange(20), 0.0
+        )
 
     def _crash(self) -> None:
         """One worker crashes, and another one comes in its place."""
         worker = self._worker()
-        life = self.workers.lives[worker]
-        life.end(crashed=True)
-        self.workers.add(int(life.machine.name.removeprefix("m")))
+        incarnation = self.workers.incarnations[worker]
+        incarnation.end(crashed=True)
+        self.workers.add(int(incarnation.machine.name.removeprefix("m")))
 
     def _worker(self) -> int:
-        up = [n for n, life in enumerate(self.workers.lives) if not life.over]
+        up = [
+            n
+            for n, incarnation in enumerate(self.workers.incarnations)
+            if not incarnation.has_ended
+        ]
         return self.rng.choice(up)
 
     def _fence(self) -> int:
@@ -131,15 +137,15 @@
         self.assertEqual(len(set(began)), len(began), "a run begins once at a life of a worker")
         self.assertEqual(len(set(ended)), len(ended), "and ends once")
         self.assertLessEqual(set(ended), set(began))
-        for life in workers.lives:
-            self.assertEqual(life.runs, {}, "leases are over")
+        for incarnation in workers.incarnations:
+            self.assertEqual(incarnation.runs, {}, "leases are over")
 
     def check_gangs_work_whole_and_end_done_together(self, workers: Workers) -> None:
         ends = defaultdict(list)
-        for run in RunBook.of(workers.records).runs:
+        for run in RunHistory.of(workers.records).runs:
             if run.gang and run.how is EndKind.DONE:
-                self.assertIsNotNone(run.works_s)
-                ends[(run.number, run.works_s)].append(run)
+                self.assertIsNotNone(run.work_began_s)
+                ends[(run.number, run.work_began_s)].append(run)
         for gang, runs in ends.items():
             times = {run.ended_s for run in runs}
             self.assertLessEqual(max(times) - min(times), 1e-3, gang)
@@ -154,11 +160,11 @@
             refused=False,
             attempts=99,
         )
-        found = judge(workers.records, [job], PromiseTimes(TIMES.drain_s))
-        self.assertNotIn(Promise.ROOM, {each.promise for each in found})
-        self.assertNotIn(Promise.WHOLE_GANG, {each.promise for each in found})
-        for life in workers.lives:
-            self.assertEqual(life.machine.accelerators, ACCELERATORS)
+        found = check_invariants(workers.records, [job], InvariantTimes(TIMES.drain_s))
+        self.assertNotIn(Invariant.ROOM, {each.promise for each in found})
+        self.assertNotIn(Invariant.WHOLE_GANG, {each.promise for each in found})
+        for incarnation in workers.incarnations:
+            self.assertEqual(incarnation.machine.accelerators, ACCELERATORS)
 
 
 if __name__ == "__main__":
