--- a/src/saddlestack/platform/kv.py
+++ b/src/saddlestack/platform/kv.py
@@ -43,7 +43,7 @@
 T = TypeVar("T")
 
 CALL_TIMEOUT_S = 1.0
-SENT_BYTES_S = 1_000_000
+SEND_RATE_BYTES_S = 1_000_000
 """Rate assumed for sending a write, whose time is added to the timeout: a link of 10 Mbit/s carries
 1.25 MB per second."""
 LIST_TIMEOUT_S = 3.0
@@ -63,7 +63,7 @@
         self.calls = 0
 
     def reconnect(self) -> None:
-        """Use new connections from now on."""
+        """Open new connections for later calls."""
         self._http.reconnect()
 
     async def get(self, key: str) -> Item:
@@ -122,15 +122,15 @@
             ],
             delete=list(transaction.deletes),
         )
-        sending_s = sum(len(row.value) for row in body.put) / SENT_BYTES_S
+        sending_s = sum(len(row.value) for row in body.put) / SEND_RATE_BYTES_S
         response = await self._write("POST", paths.TRANSACTION, body, CALL_TIMEOUT_S + sending_s)
         if response.status == 412:
-            conflict = _decode_written(response, ConflictBody)
+            conflict = _decode_write_answer(response, ConflictBody)
             return Conflict(tuple(_decode_item(item) for item in conflict.items))
         if response.status == 404:
             raise LeaseExpired
         _check_status(response)
-        return Committed(_decode_written(response, CommittedBody).rev)
+        return Committed(_decode_write_answer(response, CommittedBody).rev)
 
     async def grant_lease(self, ttl_s: float) -> tuple[int, float]:
         """Create a lease; returns its number and its duration in seconds."""
@@ -212,7 +212,7 @@
         raise StoreUnavailable(str(error)) from error
 
 
-def _decode_written(response: Response, kind: type[T]) -> T:
+def _decode_write_answer(response: Response, kind: type[T]) -> T:
     """Decode the answer to a write; if it is unreadable, the write may or may not be done."""
     try:
         return from_json(response.body, kind, ANSWER)
