--- a/tests/test_waits_reviewed.py
+++ b/tests/test_waits_reviewed.py
@@ -18,7 +18,7 @@
 from saddlestack.interfaces.machines import Leave
 from saddlestack.interfaces.store import Committed, MetadataStore, Transaction, WriteInDoubt
 from saddlestack.interfaces.workers import EndKind
-from saddlestack.platform.kv import SENT_BYTES_S
+from saddlestack.platform.kv import SEND_RATE_BYTES_S
 from saddlestack.policy.cluster.places import IndexedPlaces
 from saddlestack.policy.cluster.reasons import WaitReason
 from saddlestack.policy.cluster.wait_limits import IDLE_POOL_WAIT_S
@@ -274,7 +274,7 @@
     async def transact(self, transaction: Transaction) -> Committed:
         async with self._line:
             size = sum(len(put.value) for put in transaction.puts) * 4 / 3
-            await asyncio.sleep(size / SENT_BYTES_S)
+            await asyncio.sleep(size / SEND_RATE_BYTES_S)
         self.revision += 1
         return Committed(self.revision)
 
