--- a/src/saddlestack/services/__init__.py
+++ b/src/saddlestack/services/__init__.py
@@ -1,1 +1,1 @@
-"""The services of a daemon, one task each."""
+"""The services of a daemon."""
--- a/src/saddlestack/services/access.py
+++ b/src/saddlestack/services/access.py
@@ -1,4 +1,4 @@
-"""Who may do what: bearer tokens of callers and operators, known by their hashes."""
+"""Authentication of callers and operators by bearer tokens, which are stored as hashes."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Caller:
-    """A caller, who acts for one client account."""
+    """A caller that acts for one client account."""
 
     account: str
 
 
 def hash_token(token: str) -> str:
-    """The hash that is stored in place of a token.
+    """The SHA-256 hash that is stored in place of a token.
 
     :rtype: str
     """
@@ -28,22 +28,22 @@
 
 
 class Access:
-    """Tells callers and operators by their tokens.
+    """Identifies callers and operators by their tokens.
 
-    :param operators: from the settings.
+    :param operators: operators from the settings.
     """
 
     def __init__(self, operators: tuple[Operator, ...]) -> None:
         self._operators = operators
 
     def identify(self, request: Request, document: Document) -> Caller | Operator:
-        """Who sent a request.
+        """The caller or operator that sent a request.
 
-        :raises SaddlestackError: no token, or one that nobody has.
+        :raises SaddlestackError: the token is missing or unknown.
         """
         token = request.bearer
         if token is None:
-            raise SaddlestackError(ErrorKind.UNAUTHENTICATED, "a bearer token is needed")
+            raise SaddlestackError(ErrorKind.UNAUTHENTICATED, "a bearer token is required")
         digest = hash_token(token)
         for operator in self._operators:
             if hmac.compare_digest(operator.token_sha256.lower(), digest):
@@ -52,34 +52,34 @@
             for known in account.tokens:
                 if hmac.compare_digest(known.lower(), digest):
                     return Caller(account.name)
-        raise SaddlestackError(ErrorKind.UNAUTHENTICATED, "nobody has this token")
+        raise SaddlestackError(ErrorKind.UNAUTHENTICATED, "unknown token")
 
     def operator(self, request: Request, document: Document) -> Operator:
-        """The operator who sent a request.
+        """The operator that sent a request.
 
-        :raises SaddlestackError: it was not an operator.
+        :raises SaddlestackError: the sender is not an operator.
         """
-        who = self.identify(request, document)
-        if not isinstance(who, Operator):
-            raise SaddlestackError(ErrorKind.FORBIDDEN, "this is for operators")
-        return who
+        sender = self.identify(request, document)
+        if not isinstance(sender, Operator):
+            raise SaddlestackError(ErrorKind.FORBIDDEN, "only operators may do this")
+        return sender
 
     def account(self, request: Request, document: Document, wanted: str | None) -> str:
         """The client account that a request acts for.
 
         :param wanted: the account that the request names; operators have to name one.
-        :raises SaddlestackError: the sender may not act for it, or it is not there.
+        :raises SaddlestackError: the sender may not act for the account, or it does not exist.
         """
-        who = self.identify(request, document)
-        if isinstance(who, Caller):
-            if wanted not in {None, who.account}:
+        sender = self.identify(request, document)
+        if isinstance(sender, Caller):
+            if wanted not in {None, sender.account}:
                 raise SaddlestackError(
                     ErrorKind.FORBIDDEN, f"the token does not act for account {wanted}"
                 )
-            return who.account
+            return sender.account
         if wanted is None:
             raise SaddlestackError(
-                ErrorKind.INVALID, "an operator names the account", where="account"
+                ErrorKind.INVALID, "an operator must name the account", where="account"
             )
         if document.account(wanted) is None:
             raise SaddlestackError(ErrorKind.NOT_FOUND, f"no account {wanted}")
--- a/src/saddlestack/services/audit.py
+++ b/src/saddlestack/services/audit.py
@@ -1,8 +1,8 @@
-"""The audit trail: every change and refusal, who and when, in the platform's store.
+"""The audit trail: every change and refusal, with author and time, in the platform's store.
 
-Accepted changes are also part of the configuration's own history, written by the same
-compare-and-swap, so a change is never without its record. Records are appended to pages of
-bounded size by group commit.
+Accepted changes are also part of the configuration's own history. It is written by the same
+compare-and-swap, so that no change lacks its record. Records are appended to pages of bounded
+size by group commit.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class AuditPage(Model, frozen=True):
-    """One page as the store holds it."""
+    """The stored form of one page."""
 
     writer: str
     sequence: int
@@ -32,14 +32,14 @@
 
 
 class Audit(Service):
-    """Appends records; reads them back together with the configuration's history."""
+    """Appends records, and reads them together with the configuration's history."""
 
     def __init__(self, context: Context) -> None:
         super().__init__(names.AUDIT, context.clock)
         self._store = context.registry.get(names.STORE, StoreClient)
         self._writer = f"{context.vm}#{context.incarnation}"
         self._records: dict[str, AuditRecord] = {}
-        self._kept: dict[str, AuditRecord] = {}
+        self._stored_records: dict[str, AuditRecord] = {}
         self._commit = GroupCommit(
             self._store,
             f"audit/{self._page(context.vm)}",
@@ -52,12 +52,12 @@
         )
 
     async def stop(self) -> None:
-        """End; what waits is written first where the store answers."""
+        """Stop; records that are not yet written are dropped."""
         await self._commit.close()
         await super().stop()
 
     def add(self, record: AuditRecord) -> None:
-        """Keep a record."""
+        """Log a record and schedule it to be written."""
         log.info(
             "audit",
             extra={
@@ -88,17 +88,17 @@
         return sum(vm.encode()) % PAGES
 
     def _build(self, sequence: int) -> bytes:
-        merged = {**self._kept, **self._records}
+        merged = {**self._stored_records, **self._records}
         latest = sorted(merged.values(), key=lambda record: record.at)[-PAGE_RECORDS:]
-        self._kept = {record.record: record for record in latest}
+        self._stored_records = {record.record: record for record in latest}
         return to_json(AuditPage(writer=self._writer, sequence=sequence, records=tuple(latest)))
 
     def _merge(self, value: bytes) -> None:
         page = from_json(value, AuditPage)
-        self._kept = {record.record: record for record in page.records}
+        self._stored_records = {record.record: record for record in page.records}
 
     def _committed(self) -> None:
-        for record in self._kept:
+        for record in self._stored_records:
             self._records.pop(record, None)
 
     def _read_stamp(self, value: bytes) -> WriterStamp:
--- a/src/saddlestack/services/claims.py
+++ b/src/saddlestack/services/claims.py
@@ -1,8 +1,8 @@
-"""Claims: which cell a request id belongs to, agreed across all data halls.
+"""Claims: assign each request id to one cell across all data halls.
 
-A claim is written before a job is handed to a cell, by compare-and-swap on one of a few keys.
-The first claim stands, so that the same request sent through two VMs or two halls at once
-reaches one cell and runs once.
+A claim is written by compare-and-swap on one of a few keys before a job is submitted to a cell.
+The first claim wins, so that the same request sent through two VMs or two halls at once reaches
+one cell and runs once.
 """
 
 from __future__ import annotations
@@ -34,14 +34,14 @@
 
 
 class Claim(msgspec.Struct, array_like=True):
-    """A cell and the wall time of the claim."""
+    """The cell that a request id belongs to, and the wall time of the claim."""
 
     cell: str
     at: float
 
 
 class ClaimValue(Model, frozen=True):
-    """A bucket of claims as the store holds it."""
+    """The stored form of a bucket of claims."""
 
     writer: str
     sequence: int
@@ -49,7 +49,7 @@
 
 
 class _ClaimBucket:
-    """Claims known to be in the store, and those this VM wishes to add."""
+    """Claims known to be in the store, and those that this VM has yet to add."""
 
     def __init__(self, owner: Claims, store: StoreClient, number: int, context: Context) -> None:
         self.known: dict[str, Claim] = {}
@@ -78,7 +78,7 @@
         self.known = self._built
 
     def _merge(self, value: bytes) -> None:
-        """What the store holds stands; own wishes go after it."""
+        """Replace the known claims by the stored ones; they win over pending claims."""
         other = from_json(value, ClaimValue)
         self.known = dict(other.claims)
 
@@ -88,7 +88,7 @@
 
 
 class Claims(Service):
-    """Makes and finds claims."""
+    """Claims request ids for cells and looks claims up."""
 
     def __init__(self, context: Context) -> None:
         super().__init__(names.CLAIMS, context.clock)
@@ -102,23 +102,24 @@
         ]
 
     async def stop(self) -> None:
-        """End; open claims fail."""
+        """Stop; claims that are not yet written fail."""
         for bucket in self._buckets:
             await bucket.commit.close()
         await super().stop()
 
     def oldest_kept(self) -> float:
-        """Wall time before which claims are dropped."""
+        """The wall time before which claims are dropped."""
         return self.clock.wall() - self._context.settings.retention_s
 
     async def claim(self, job_id: str, cell: str, *, patient: bool) -> str:
-        """Claim a request id for a cell, through the VM that writes its bucket just now.
+        """Claim a request id for a cell through the VM that currently writes its bucket.
 
-        Any VM may write any bucket; that one does spares the others conflicts.
+        Any VM may write any bucket; using one writer per bucket avoids conflicts.
 
         :param patient: wait longer for a slow store.
-        :return: the cell that has the claim: this one, or that of an earlier claim.
-        :raises SaddlestackError: the store is not available; nothing will run.
+        :return: the cell that has the claim, which an earlier claim may have chosen.
+        :raises SaddlestackError: the store is unavailable, or the bucket is full; the request
+            will not run.
         """
         writer = self._writer_of(job_id)
         if writer != self._context.vm:
@@ -150,7 +151,7 @@
             return known.cell
         if len(bucket.known) >= MAX_CLAIMS_PER_BUCKET:
             raise SaddlestackError(
-                ErrorKind.QUEUE_FULL, "too many requests are remembered", retry_after=60.0
+                ErrorKind.QUEUE_FULL, "too many claims are stored", retry_after=60.0
             )
         bucket.pending.setdefault(job_id, Claim(cell, self.clock.wall()))
         try:
@@ -167,7 +168,7 @@
         return bucket.known[job_id].cell
 
     async def find(self, job_id: str) -> str | None:
-        """The cell that has a request id, read from the store.
+        """The cell that has a request id, from memory or from the store.
 
         :raises StoreUnavailable: the store did not answer.
         """
@@ -182,7 +183,7 @@
 
     @property
     def reachable(self) -> bool:
-        """Whether the store answered last time."""
+        """Whether the store answered the last call."""
         return self._store.available
 
 
--- a/src/saddlestack/services/configuration.py
+++ b/src/saddlestack/services/configuration.py
@@ -199,9 +199,9 @@
         self, plan: Plan, who: str, outcome: str, message: str, changes: tuple[str, ...]
     ) -> AuditRecord:
         at = self.clock.wall()
-        seed = f"{plan.plan} {who} {self._context.vm} {at} {self._context.rng.random()}"
+        digest_input = f"{plan.plan} {who} {self._context.vm} {at} {self._context.rng.random()}"
         return AuditRecord(
-            record=hashlib.sha256(seed.encode()).hexdigest()[:16],
+            record=hashlib.sha256(digest_input.encode()).hexdigest()[:16],
             at=at,
             who=who,
             vm=self._context.vm,
--- a/src/saddlestack/services/context.py
+++ b/src/saddlestack/services/context.py
@@ -1,4 +1,4 @@
-"""What every service of a daemon is given."""
+"""The context shared by all services of a daemon."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 @dataclass(slots=True)
 class Context:
-    """Settings, clock, network, randomness and the registry of one daemon.
+    """Settings, clock, network dialer, random generator and service registry of one daemon.
 
-    :param incarnation: rises with each start of the VM's daemon.
+    :param incarnation: increases with each start of the VM's daemon.
     """
 
     settings: Settings
--- a/src/saddlestack/services/dispatch.py
+++ b/src/saddlestack/services/dispatch.py
@@ -1,8 +1,8 @@
-"""Carries decisions out at the endpoints: gangs start in two steps, and stop whole.
+"""Sends a gang's commands to its endpoints: two-phase start, and stop of all parts.
 
-A gang is first prepared on every endpoint, which holds room and runs nothing. Only when all
-have prepared, and for run-once work the start is in the ledger, is any told to start. When
-something fails, every part is taken back, and the answers prove whether anything ran.
+A gang is first prepared on every endpoint, which reserves accelerators and runs nothing. Parts
+are started only when all are prepared and, for run-once work, the start is in the ledger. If
+anything fails, every part is stopped, and the results show whether any of them ran.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 from saddlestack.platform.endpoint import Command, CommandResult, Op
 from saddlestack.services.link import EndpointLink, EndpointUnreachable, LeaseRefused
 
-START_TRIES_S = 8.0
-START_PAUSE_S = 0.2
+START_TIMEOUT_S = 8.0
+START_RETRY_S = 0.2
 
 
 class LaunchOutcome(enum.StrEnum):
-    """How a launch ended."""
+    """Outcome of a launch; ``BROKEN`` if some part may have run."""
 
     STARTED = "started"
     NOT_STARTED = "not_started"
@@ -33,8 +33,8 @@
 class LaunchOrder:
     """A gang to start.
 
-    :param commit: puts the start of run-once work into the ledger, given the incarnations
-        of the endpoints; answers whether it is there.
+    :param commit: writes the start of run-once work to the ledger, given the incarnations of
+        the endpoints; returns whether the write is confirmed.
     """
 
     spec: JobSpec
@@ -47,11 +47,11 @@
 
 @dataclass(frozen=True, slots=True)
 class StopResult:
-    """What taking a gang back showed.
+    """Result of stopping a gang.
 
-    :param confirmed: every part answered and runs no more.
-    :param never_started: every part proved that it never ran.
-    :param progress: seconds of work kept by every part.
+    :param confirmed: every endpoint has confirmed that its part is stopped.
+    :param never_started: every endpoint has confirmed that its part never ran.
+    :param progress: seconds of work that every part has saved.
     """
 
     confirmed: bool
@@ -60,10 +60,10 @@
 
 
 class Dispatch:
-    """Sends commands for whole gangs.
+    """Sends the commands of whole gangs.
 
-    :param links: the cell's endpoints by name.
-    :param now: the clock.
+    :param links: links to the cell's endpoints, by VM name.
+    :param now: returns the current time in seconds.
     """
 
     def __init__(self, links: Mapping[str, EndpointLink], now: Callable[[], float]) -> None:
@@ -71,19 +71,19 @@
         self._now = now
 
     async def launch(self, order: LaunchOrder) -> LaunchOutcome:
-        """Start a gang whole, or not at all.
+        """Start every part of a gang; on failure, stop all of them.
 
-        :rtype: Launched
+        :rtype: LaunchOutcome
         """
         if len(order.parts) == 1 and not order.spec.run_once:
             return await self._run_single(order)
-        prepared = await self._all(order, Op.PREPARE)
+        prepared = await self._send_all(order, Op.PREPARE)
         if not all(result is not None and result.ok for result in prepared):
-            await self._undo(order)
+            await self._cancel_prepared(order)
             return LaunchOutcome.NOT_STARTED
         incarnations = tuple(self._incarnation(part.vm) for part in order.parts)
         if order.spec.run_once and not await order.commit(incarnations):
-            await self._undo(order)
+            await self._cancel_prepared(order)
             return LaunchOutcome.NOT_STARTED
         return await self._start(order, incarnations)
 
@@ -98,34 +98,34 @@
         """Stop every part of a gang.
 
         :param op: ``CHECKPOINT``, ``STOP`` or ``CANCEL``.
-        :param incarnations: of the endpoints at the start; where given, a proof that a part
-            never ran counts only under the same one.
+        :param incarnations: incarnations of the endpoints at the start; if given, results
+            count only from the same incarnations.
         """
         names = list(vms)
         command = Command(op=op, job=job_id, attempt=attempt)
         results = await asyncio.gather(*(self._send(vm, command) for vm in names))
-        same_life = [
+        same_incarnation = [
             not incarnations or self._incarnation(vm) == incarnations[i]
             for i, vm in enumerate(names)
         ]
         answered = [result for result in results if result is not None]
         return StopResult(
             confirmed=len(answered) == len(names)
-            and all(same_life)
+            and all(same_incarnation)
             and all(r.ok for r in answered),
             never_started=len(answered) == len(names)
-            and all(same_life)
+            and all(same_incarnation)
             and not any(r.started for r in answered),
             progress=min((r.progress for r in answered), default=0.0),
         )
 
     async def acknowledge(self, job_id: str, attempt: int, vms: Iterable[str]) -> None:
-        """Let endpoints forget a gang that has ended."""
+        """Let endpoints drop a gang that has ended."""
         command = Command(op=Op.ACK, job=job_id, attempt=attempt)
         await asyncio.gather(*(self._send(vm, command) for vm in vms))
 
     async def _run_single(self, order: LaunchOrder) -> LaunchOutcome:
-        (result,) = await self._all(order, Op.RUN)
+        (result,) = await self._send_all(order, Op.RUN)
         if result is not None and result.ok:
             return LaunchOutcome.STARTED
         if result is not None:
@@ -134,9 +134,9 @@
         return LaunchOutcome.NOT_STARTED if stopped.never_started else LaunchOutcome.BROKEN
 
     async def _start(self, order: LaunchOrder, incarnations: tuple[int, ...]) -> LaunchOutcome:
-        until = self._now() + START_TRIES_S
+        deadline = self._now() + START_TIMEOUT_S
         started = await asyncio.gather(
-            *(self._start_part(order, i, until) for i in range(len(order.parts)))
+            *(self._start_part(order, i, deadline) for i in range(len(order.parts)))
         )
         if all(started):
             return LaunchOutcome.STARTED
@@ -146,24 +146,24 @@
         )
         return LaunchOutcome.NOT_STARTED if stopped.never_started else LaunchOutcome.BROKEN
 
-    async def _start_part(self, order: LaunchOrder, index: int, until: float) -> bool:
+    async def _start_part(self, order: LaunchOrder, index: int, deadline: float) -> bool:
         command = self._command(order, index, Op.START)
         while True:
             result = await self._send(order.parts[index].vm, command)
             if result is not None:
                 return result.ok
-            if self._now() >= until:
+            if self._now() >= deadline:
                 return False
-            await asyncio.sleep(START_PAUSE_S)
+            await asyncio.sleep(START_RETRY_S)
 
-    async def _undo(self, order: LaunchOrder) -> None:
+    async def _cancel_prepared(self, order: LaunchOrder) -> None:
         await self._stop_parts(order, Op.CANCEL)
 
     async def _stop_parts(self, order: LaunchOrder, op: Op) -> StopResult:
         vms = [part.vm for part in order.parts]
         return await self.stop_parts(order.spec.job_id, order.attempt, vms, op)
 
-    async def _all(self, order: LaunchOrder, op: Op) -> list[CommandResult | None]:
+    async def _send_all(self, order: LaunchOrder, op: Op) -> list[CommandResult | None]:
         return await asyncio.gather(
             *(
                 self._send(part.vm, self._command(order, i, op))
@@ -187,7 +187,7 @@
         )
 
     async def _send(self, vm: str, command: Command) -> CommandResult | None:
-        """The result, or ``None`` where it is not known what the endpoint did."""
+        """Send a command; ``None`` if it is not known what the endpoint did."""
         link = self._links.get(vm)
         if link is None:
             return None
--- a/src/saddlestack/services/entries.py
+++ b/src/saddlestack/services/entries.py
@@ -1,4 +1,4 @@
-"""Jobs in a scheduler's hands, and the messages of its mailbox."""
+"""Job entries of a scheduler, and the messages of its mailbox."""
 
 from __future__ import annotations
 
@@ -22,11 +22,12 @@
 
 @dataclass
 class JobEntry:
-    """A job in the scheduler's hands.
+    """A job held by the scheduler.
 
-    :param operation: the latest launch or take-back; the next one waits for it.
+    :param operation: the latest launch or stop; the next one waits for it.
+    :param launching: the attempt being launched, or 0.
     :param worker_lost: a worker was lost while the gang was being launched.
-    :param stop_unconfirmed: run-once work was taken back and not every part confirmed it.
+    :param stop_unconfirmed: run-once work was stopped and not every part confirmed it.
     :param persisted: the latest write of the record; ``None`` while there is no ledger.
     :param done_vms: parts of the current attempt that are done, by VM.
     """
@@ -51,16 +52,13 @@
         return persisted is not None and persisted.done() and persisted.exception() is None
 
     def view(self) -> JobView:
-        """What a caller is told."""
+        """The job as reported to callers."""
         return self.record.view(self.durable)
 
 
-# Messages of the mailbox
-
-
 @dataclass(slots=True)
 class SubmitMessage:
-    """A job from an entry VM."""
+    """A job was submitted."""
 
     spec: JobSpec
     reply: asyncio.Future[JobEntry]
@@ -68,7 +66,7 @@
 
 @dataclass(slots=True)
 class CancelMessage:
-    """A caller cancels."""
+    """A caller cancelled a job."""
 
     job_id: str
     reply: asyncio.Future[JobEntry]
@@ -76,7 +74,7 @@
 
 @dataclass(slots=True)
 class SyncMessage:
-    """An endpoint answered."""
+    """An endpoint answered a sync."""
 
     link: EndpointLink
     reply: SyncReply
@@ -100,7 +98,7 @@
 
 @dataclass(slots=True)
 class ReclaimedMessage:
-    """A reclaim ended: the gang runs no more, or that is not known."""
+    """A reclaim ended; ``confirmed`` if every part is known to be stopped."""
 
     job_id: str
     attempt: int
@@ -110,14 +108,14 @@
 
 @dataclass(slots=True)
 class RequeueMessage:
-    """A gang whose start failed may be tried again."""
+    """The delay after a failed start is over."""
 
     job_id: str
 
 
 @dataclass(slots=True)
 class ResolvedMessage:
-    """What was found out about a job that was in hand before a take-over."""
+    """A job that was accepted before the takeover is resolved."""
 
     job_id: str
     state: JobState
@@ -126,7 +124,7 @@
 
 @dataclass(slots=True)
 class ConfigureMessage:
-    """A new configuration, or another list of leaving VMs."""
+    """The configuration or the list of leaving VMs changed."""
 
     document: Document
     leaving: frozenset[str]
@@ -134,7 +132,7 @@
 
 @dataclass(slots=True)
 class TickMessage:
-    """Time passed."""
+    """The periodic tick."""
 
 
 Message = (
@@ -153,11 +151,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Hooks:
-    """What a scheduler tells its owner.
+    """Callbacks of a scheduler.
 
-    :param on_leadership_lost: another VM has a higher term, or the ledger is fenced.
-    :param verify: whether this VM still owns the cell; asked after a pause.
-    :param announce: the cell's summary changed.
+    :param on_leadership_lost: called when another VM has a higher term or the ledger is fenced.
+    :param verify: returns whether this VM still owns the cell; called after a pause.
+    :param announce: called when the cell's summary changed.
     """
 
     on_leadership_lost: Callable[[str], None]
@@ -166,12 +164,12 @@
 
 
 def answer(reply: asyncio.Future[JobEntry], entry: JobEntry) -> None:
-    """Answer a request, if its caller still waits."""
+    """Complete a request unless its caller has stopped waiting."""
     if not reply.done():
         reply.set_result(entry)
 
 
 def refuse(reply: asyncio.Future[JobEntry], error: SaddlestackError) -> None:
-    """Refuse a request, if its caller still waits."""
+    """Fail a request unless its caller has stopped waiting."""
     if not reply.done():
         reply.set_exception(error)
--- a/src/saddlestack/services/groupcommit.py
+++ b/src/saddlestack/services/groupcommit.py
@@ -1,7 +1,7 @@
-"""Group commit: changes gathered for a short while become one write of one key.
+"""Group commit: changes collected for a short time are written as one value of one key.
 
-A value in the store names its writer and the writer's sequence number. A write that was not
-answered is resolved by reading the key back and comparing both before anything follows.
+A stored value carries its writer and the writer's sequence number. A write without a response
+is resolved by reading the key back and comparing both before the next write.
 """
 
 from __future__ import annotations
@@ -26,16 +26,19 @@
 
 GATHER_S = 0.03
 INTERVAL_S = 0.4
-"""Rounds of one key begin at least this far apart; a single change waits only GATHER_S."""
+"""Least time between the starts of two writes of one key; the first change waits GATHER_S."""
 
 
 class Fenced(Exception):
-    """Somebody with a higher term has written the key: this writer is over."""
+    """A writer with a higher term has written the key, or the commit is closed.
+
+    This writer must not write any more.
+    """
 
 
 @dataclass(slots=True)
 class WriterStamp:
-    """What a value in the store says of its writer."""
+    """The writer and sequence number that a stored value carries."""
 
     writer: str
     sequence: int
@@ -47,13 +50,14 @@
 
 
 class GroupCommit:
-    """Writes one key, gathering what arrives in the meantime.
-
-    :param build: the value to write now, given the sequence number to put into it.
-    :param merge: takes in a value that somebody else wrote; raises :class:`Fenced` where
-        that ends this writer.
-    :param read_stamp: reads writer and sequence out of a value.
-    :param committed: told when the value built last is in the store.
+    """Writes one key; changes made during a write go into the next one.
+
+    :param build: returns the value to write, given the sequence number to put into it.
+    :param merge: merges a value that another writer has stored; raises :class:`Fenced` if that
+        writer has taken over.
+    :param read_stamp: extracts writer and sequence from a value.
+    :param committed: called when the value built last is in the store.
+    :param gather_s: seconds for which changes are collected.
     """
 
     def __init__(
@@ -87,11 +91,11 @@
         self.fenced: Fenced | None = None
 
     def loaded(self, entry: Entry) -> None:
-        """Start from what the store holds."""
+        """Set the version that the next write expects from an entry that was read."""
         self.version = entry.version
 
     def commit(self) -> asyncio.Future[None]:
-        """Write what :func:`build` gives, soon.
+        """Schedule a write of the value that ``build`` returns.
 
         :return: done when a value with every change made so far is in the store; fails
             with :class:`Fenced`.
@@ -113,7 +117,7 @@
         return self._running
 
     async def close(self) -> None:
-        """End; what is not written is not written by this writer any more."""
+        """Stop writing; changes not yet written are dropped and their futures fail."""
         await self._tasks.cancel()
         self._fail(Fenced("closed"))
 
@@ -153,18 +157,18 @@
                 self.version = await self._store.swap(self.key, value, self.version)
                 return
             except VersionMoved:
-                if await self._settle(self._store.get):
+                if await self._resolve_write(self._store.get):
                     return
             except WriteInDoubt:
-                await self._pause(attempt)
-                if await self._settle(self._read_until_answered):
+                await self._back_off(attempt)
+                if await self._resolve_write(self._read_until_answered):
                     return
             except StoreUnavailable:
-                await self._pause(attempt)
+                await self._back_off(attempt)
             attempt += 1
 
-    async def _settle(self, read: Callable[[str], Awaitable[Entry]]) -> bool:
-        """Read back; whether the value there is the one just written."""
+    async def _resolve_write(self, read: Callable[[str], Awaitable[Entry]]) -> bool:
+        """Read the key back and return whether it holds the value just written."""
         try:
             entry = await read(self.key)
         except StoreUnavailable:
@@ -172,11 +176,11 @@
         if entry.version == self.version:
             return False
         if entry.version:
-            seen = self._read_stamp(entry.value)
-            if (seen.writer, seen.sequence) == (self._writer, self._sequence):
+            stamp = self._read_stamp(entry.value)
+            if (stamp.writer, stamp.sequence) == (self._writer, self._sequence):
                 self.version = entry.version
                 return True
-            if seen.writer != self._writer:
+            if stamp.writer != self._writer:
                 self._merge(entry.value)
         self.version = entry.version
         return False
@@ -187,10 +191,10 @@
             try:
                 return await self._store.get(key)
             except StoreUnavailable:
-                await self._pause(attempt)
+                await self._back_off(attempt)
                 attempt += 1
 
-    async def _pause(self, attempt: int) -> None:
+    async def _back_off(self, attempt: int) -> None:
         await asyncio.sleep(retry_delay(attempt, self._rng) + self._gather_s)
 
     def _fail(self, error: Fenced) -> None:
@@ -202,6 +206,6 @@
 
 
 def _retrieve(future: asyncio.Future[None]) -> None:
-    """Mark a failure as seen: many callers only look at the store's state later."""
+    """Mark a failure as retrieved: many callers check the outcome only later."""
     if not future.cancelled():
         future.exception()
--- a/src/saddlestack/services/intake.py
+++ b/src/saddlestack/services/intake.py
@@ -336,8 +336,8 @@
         raise SaddlestackError(ErrorKind.NOT_FOUND, f"no job {job_id}")
 
     async def _list(self, request: Request) -> Response:
-        who = self._access.identify(request, self._document)
-        account = who.account if isinstance(who, Caller) else request.query.get("account")
+        sender = self._access.identify(request, self._document)
+        account = sender.account if isinstance(sender, Caller) else request.query.get("account")
         limit = int(request.number("limit", DEFAULT_LIST, most=MAX_LIST))
         return json_response(JobsBody(jobs=tuple(await self._router.jobs(account, limit))))
 
--- a/src/saddlestack/services/inventory.py
+++ b/src/saddlestack/services/inventory.py
@@ -1,4 +1,4 @@
-"""The VMs there are: the platform's list, read often and cheaply, and what it lacks."""
+"""The inventory of VMs, polled from the platform's VM list."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 log = logging.getLogger("saddlestack.inventory")
 
-READ_S = 1.0
+POLL_INTERVAL_S = 1.0
 JITTER = 0.2
 
 ENTRY = "entry"
@@ -23,9 +23,9 @@
 
 
 class Inventory(Service):
-    """Knows the endpoints of this hall and the entry VMs of all.
+    """Holds the endpoints of this hall and passes the entry VMs of all halls to membership.
 
-    ``listed`` tells whether the list has this VM, and so those that started before it.
+    ``listed`` is whether the list contains this VM, and so those that started before it.
     """
 
     def __init__(self, context: Context) -> None:
@@ -43,16 +43,16 @@
         self.listed = False
 
     async def start(self) -> None:
-        """Begin to read the list."""
-        self.tasks.spawn(self._read_forever())
+        """Start polling the list."""
+        self.tasks.spawn(self._poll_forever())
 
     async def stop(self) -> None:
-        """End."""
+        """Stop polling and close the client."""
         await super().stop()
         self._client.close()
 
     def subscribe(self, listener: Callable[[], None]) -> None:
-        """Be told when the list changed."""
+        """Call a listener after each change of the list."""
         self._listeners.append(listener)
 
     @property
@@ -60,17 +60,17 @@
         """Bytes sent to the platform's list and received from it."""
         return self._client.bytes
 
-    async def _read_forever(self) -> None:
+    async def _poll_forever(self) -> None:
         while True:
             try:
                 listed = await self._client.read(self._context.data_hall, self._version)
             except VmListUnavailable:
                 listed = None
             if listed is not None:
-                self._take(listed)
-            await asyncio.sleep(READ_S * self._context.rng.uniform(1 - JITTER, 1 + JITTER))
+                self._apply(listed)
+            await asyncio.sleep(POLL_INTERVAL_S * self._context.rng.uniform(1 - JITTER, 1 + JITTER))
 
-    def _take(self, listed: VmList) -> None:
+    def _apply(self, listed: VmList) -> None:
         self._version = listed.version
         self.endpoints = {vm.name: vm for vm in listed.vms if vm.role == ENDPOINT}
         self.leaving = frozenset(vm.name for vm in listed.vms if vm.leaving)
--- a/src/saddlestack/services/ledger.py
+++ b/src/saddlestack/services/ledger.py
@@ -1,8 +1,9 @@
 """The ledger of a cell: job records in the store, in buckets, under the cell's term.
 
 Every bucket value carries the term of its writer. A new scheduler rewrites all buckets under
-its own term before it decides anything, so that a predecessor's compare-and-swap fails. Final
-records stay as tombstones for the retention time: a repeated request gets its first answer.
+its own term before it makes any decision, so that a predecessor's compare-and-swap fails. Final
+records are kept as tombstones for the retention time, so that a repeated request receives the
+first answer.
 """
 
 from __future__ import annotations
@@ -24,10 +25,11 @@
 class JobRecord(MutableModel):
     """A job in the ledger.
 
-    :param incarnations: of the endpoints of ``parts`` when the start was written; proof that
-        an endpoint never started a part counts only under the same incarnation.
+    :param incarnations: incarnations of the endpoints of ``parts`` when the start was written;
+        proof that an endpoint never started a part is valid only for the same incarnation.
+    :param submitted: wall time in seconds, as are ``started`` and ``finished``.
     :param progress: seconds of work done before the current attempt.
-    :param ever_started: whether some part of some attempt may have run.
+    :param ever_started: whether any part of any attempt may have run.
     """
 
     spec: JobSpec
@@ -46,7 +48,7 @@
     answer: Answer | None = None
 
     def view(self, durable: bool) -> JobView:
-        """What a caller is told."""
+        """The job as reported to callers."""
         return JobView(
             account=self.spec.account,
             request=self.spec.request,
@@ -67,7 +69,7 @@
 
 
 class BucketValue(Model, frozen=True):
-    """A bucket as the store holds it."""
+    """The stored form of a bucket."""
 
     cell: str
     term: int
@@ -77,7 +79,7 @@
 
 
 def bucket_of(job_id: str, buckets: int) -> int:
-    """The bucket of a job.
+    """The bucket number of a job, by a hash of its id.
 
     :rtype: int
     """
@@ -86,7 +88,7 @@
 
 
 class _Bucket:
-    """One bucket: its records and its group commit."""
+    """The records of one bucket and the group commit that writes them."""
 
     def __init__(self, ledger: Ledger, number: int) -> None:
         self.jobs: dict[str, JobRecord] = {}
@@ -124,7 +126,7 @@
 class Ledger:
     """Job records of one cell, written under one term.
 
-    :param writer: names this life of this VM.
+    :param writer: identifies the VM, its incarnation and the term.
     :param retention_s: seconds for which final records are kept.
     """
 
@@ -167,7 +169,7 @@
         return records
 
     def put(self, record: JobRecord) -> asyncio.Future[None]:
-        """Keep a record.
+        """Add or update a record.
 
         :return: done when it is in the store; fails with :class:`Fenced`.
         """
@@ -176,21 +178,22 @@
         return bucket.commit.commit()
 
     def drop(self, job_id: str) -> None:
-        """Forget a record; it leaves the store with the bucket's next write."""
+        """Remove a record; the bucket's next write removes it from the store."""
         self._bucket(job_id).jobs.pop(job_id, None)
 
     def full(self, job_id: str) -> bool:
-        """Whether the job's bucket has no room for another record."""
+        """Whether the job's bucket is too large to accept another record."""
         return len(self._bucket(job_id).jobs) * AVERAGE_RECORD_BYTES > FULL_BYTES
 
     def pending(self) -> bool:
-        """Whether some change is not yet known to be in the store."""
+        """Whether any change is not yet known to be in the store."""
         return any(bucket.commit.pending for bucket in self._buckets)
 
     def prune(self, wall: float) -> list[str]:
-        """Drop final records older than the retention time.
+        """Remove final records older than the retention time.
 
-        :return: the names of the dropped jobs.
+        :param wall: the wall time now.
+        :return: the ids of the removed jobs.
         """
         old = [
             job_id
@@ -203,7 +206,7 @@
         return old
 
     async def close(self) -> None:
-        """Write no more."""
+        """Stop writing."""
         for bucket in self._buckets:
             await bucket.commit.close()
 
--- a/src/saddlestack/services/link.py
+++ b/src/saddlestack/services/link.py
@@ -1,4 +1,4 @@
-"""One endpoint as its cell's scheduler sees it: the lease, the news and the commands."""
+"""A scheduler's link to one endpoint: keeps the lease, syncs state and sends commands."""
 
 from __future__ import annotations
 
@@ -34,19 +34,19 @@
 
 
 class EndpointUnreachable(Exception):
-    """The endpoint did not answer; the command may have been carried out."""
+    """The endpoint did not answer. The command may have been carried out."""
 
 
 class LeaseRefused(Exception):
-    """The endpoint does not take us as its holder: somebody else has it, or a higher term."""
+    """The endpoint refused the lease: another holder or a higher term has it."""
 
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """Under what the scheduler speaks to its endpoints.
+    """The lease that a scheduler holds on its endpoints.
 
-    :param wait_s: seconds a sync waits for news.
-    :param lease_s: seconds a lease lasts.
+    :param wait_s: seconds for which a sync waits for changes.
+    :param lease_s: duration of the lease in seconds.
     """
 
     holder: str
@@ -56,7 +56,9 @@
 
 
 def lease_for(holder: str, term: int, endpoints: int) -> Lease:
-    """Lease and wait for a cell of that many endpoints: larger cells are asked less often.
+    """The lease for a cell; endpoints of larger cells are polled less often.
+
+    :param endpoints: number of endpoints in the cell.
 
     :rtype: Lease
     """
@@ -65,12 +67,12 @@
 
 
 class EndpointLink:
-    """Keeps an endpoint's lease, hears its news and batches commands to it.
+    """Keeps an endpoint's lease, syncs its state and batches commands to it.
 
-    :param revision: the configuration revision in force, asked for with each message.
-    :param on_sync: told of each answer.
-    :param on_lost: told once when the endpoint stopped answering.
-    :param on_refused: told when the endpoint refuses the lease.
+    :param revision: returns the configuration revision in force, sent with each request.
+    :param on_sync: called with each sync reply.
+    :param on_lost: called once when the endpoint is lost, after ``LOST_AFTER_S`` of failures.
+    :param on_refused: called when the endpoint refuses the term or revision as stale.
     """
 
     def __init__(
@@ -116,14 +118,14 @@
 
     @property
     def lost(self) -> bool:
-        """Whether the endpoint has not answered for so long that it counts as gone."""
+        """Whether the endpoint has not answered for ``LOST_AFTER_S`` or longer."""
         return self._is_lost
 
     async def command(self, command: Command) -> CommandResult:
-        """Send a command; commands that wait go in one request.
+        """Send a command; queued commands are sent in one request.
 
-        :raises EndpointGone: not answered; it may have been carried out.
-        :raises LeaseRefused: the endpoint takes no commands from us: not carried out.
+        :raises EndpointUnreachable: no response; the command may have been carried out.
+        :raises LeaseRefused: the endpoint refused the lease; the command was not carried out.
         """
         future: asyncio.Future[CommandResult] = asyncio.get_running_loop().create_future()
         self._queue.append((command, future))
@@ -133,18 +135,16 @@
         return await future
 
     def resync(self) -> None:
-        """Ask for everything with the next sync, even where one is under way."""
+        """Request a full listing with the next sync, even if one is in progress."""
         self._resync = True
         self._after = -1
 
     async def close(self) -> None:
-        """End; waiting commands fail."""
+        """Close the link; queued commands fail."""
         await self._tasks.cancel()
         self._fail(self._queue, EndpointUnreachable("closed"))
         self._client.close()
 
-    # Commands
-
     async def _send_all(self) -> None:
         try:
             while self._queue:
@@ -196,8 +196,6 @@
             if not future.done():
                 future.set_exception(error)
 
-    # News
-
     async def _sync_forever(self) -> None:
         failures = 0
         while True:
@@ -209,11 +207,11 @@
                 await asyncio.sleep(retry_delay(failures, self._context.rng) + 0.1)
             except SaddlestackError as error:
                 failures += 1
-                self._refused(error)
+                self._handle_refusal(error)
                 await asyncio.sleep(retry_delay(failures, self._context.rng) + 0.1)
             else:
                 failures = 0
-                self._take(reply)
+                self._apply(reply)
 
     async def _sync(self) -> SyncReply:
         wait = self._lease.wait_s if self.reachable and self._after >= 0 else 0.0
@@ -228,7 +226,7 @@
         )
         return await self._client.sync(body, wait + SYNC_SLACK_S)
 
-    def _take(self, reply: SyncReply) -> None:
+    def _apply(self, reply: SyncReply) -> None:
         self._failing_since = None
         self._is_lost = False
         self._breaker.succeeded()
@@ -240,7 +238,7 @@
         self._on_sync(self, reply)
         self.first_sync.set()
 
-    def _refused(self, error: SaddlestackError) -> None:
+    def _handle_refusal(self, error: SaddlestackError) -> None:
         if error.kind in {ErrorKind.STALE_TERM, ErrorKind.STALE_REVISION}:
             self._on_refused(self, error)
         else:
--- a/src/saddlestack/services/metrics.py
+++ b/src/saddlestack/services/metrics.py
@@ -14,11 +14,11 @@
 from saddlestack.services import names
 
 MAX_MS = 24 * 3600 * 1000
-DIGITS = 2
+SIGNIFICANT_DIGITS = 2
 
 
 class Distribution(msgspec.Struct):
-    """A histogram in short, milliseconds."""
+    """Summary of a latency histogram, in milliseconds."""
 
     count: int
     mean_ms: float
@@ -30,8 +30,8 @@
 class MetricsView(msgspec.Struct):
     """All metrics of a daemon.
 
-    :param resident_bytes: the largest resident memory so far.
-    :param cpu_s: processor time used so far.
+    :param resident_bytes: peak resident memory.
+    :param cpu_s: processor time used, in seconds.
     """
 
     vm: str
@@ -42,7 +42,7 @@
 
 
 class Metrics(Service):
-    """Collects what the other services count and time."""
+    """Collects the counters, gauges and latencies of the other services."""
 
     def __init__(self, vm: str, clock: Clock) -> None:
         super().__init__(names.METRICS, clock)
@@ -56,45 +56,45 @@
         self._counters[name] += amount
 
     def time(self, name: str, seconds: float) -> None:
-        """Record a latency."""
+        """Record a latency, in seconds, in a histogram."""
         histogram = self._histograms.get(name)
         if histogram is None:
-            histogram = self._histograms[name] = HdrHistogram(1, MAX_MS, DIGITS)
+            histogram = self._histograms[name] = HdrHistogram(1, MAX_MS, SIGNIFICANT_DIGITS)
         histogram.record_value(min(MAX_MS, max(1, round(seconds * 1000))))
 
     def gauge(self, name: str, read: Callable[[], int]) -> None:
-        """Show a number that another service keeps."""
+        """Register a gauge, read when the metrics are viewed."""
         self._gauges[name] = read
 
     def view(self) -> MetricsView:
-        """All metrics now."""
+        """The current metrics."""
         for name, read in self._gauges.items():
             self._counters[name] = read()
         usage = resource.getrusage(resource.RUSAGE_SELF)
         return MetricsView(
             vm=self._vm,
             counters=dict(sorted(self._counters.items())),
-            latencies={name: _short(h) for name, h in sorted(self._histograms.items())},
+            latencies={name: _summarize(h) for name, h in sorted(self._histograms.items())},
             resident_bytes=usage.ru_maxrss * 1024,
             cpu_s=usage.ru_utime + usage.ru_stime,
         )
 
 
 def as_text(view: MetricsView) -> str:
-    """A line for each figure: its name and value."""
+    """Format the metrics as text, with a line of name and value for each."""
     lines = [f"{name} {value}" for name, value in view.counters.items()]
-    for name, shape in view.latencies.items():
-        lines.append(f"{name}_count {shape.count}")
-        lines.append(f"{name}_mean_ms {shape.mean_ms:.1f}")
-        lines.append(f"{name}_p50_ms {shape.p50_ms:.0f}")
-        lines.append(f"{name}_p99_ms {shape.p99_ms:.0f}")
-        lines.append(f"{name}_max_ms {shape.max_ms:.0f}")
+    for name, distribution in view.latencies.items():
+        lines.append(f"{name}_count {distribution.count}")
+        lines.append(f"{name}_mean_ms {distribution.mean_ms:.1f}")
+        lines.append(f"{name}_p50_ms {distribution.p50_ms:.0f}")
+        lines.append(f"{name}_p99_ms {distribution.p99_ms:.0f}")
+        lines.append(f"{name}_max_ms {distribution.max_ms:.0f}")
     lines.append(f"resident_bytes {view.resident_bytes}")
     lines.append(f"cpu_seconds {view.cpu_s:.3f}")
     return "\n".join(lines) + "\n"
 
 
-def _short(histogram: HdrHistogram) -> Distribution:
+def _summarize(histogram: HdrHistogram) -> Distribution:
     return Distribution(
         count=histogram.get_total_count(),
         mean_ms=histogram.get_mean_value(),
--- a/src/saddlestack/services/names.py
+++ b/src/saddlestack/services/names.py
@@ -1,4 +1,4 @@
-"""The names under which services find each other."""
+"""Names of services in the registry."""
 
 CONFIGURATION = "configuration"
 MEMBERSHIP = "membership"
@@ -15,5 +15,5 @@
 
 
 def scheduler(cell: str) -> str:
-    """The name of a cell's scheduler."""
+    """The registry name of a cell's scheduler."""
     return f"scheduler:{cell}"
--- a/src/saddlestack/services/output.py
+++ b/src/saddlestack/services/output.py
@@ -1,4 +1,4 @@
-"""Checks that an output is whole and belongs to the attempt it came for."""
+"""Checks that a task's output is complete and belongs to its attempt."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def verified_answer(status: TaskStatus) -> Answer | None:
-    """The answer of a finished leader part, or ``None`` where it is short or another's.
+    """The answer of a finished leader part; ``None`` if its length or digest does not match.
 
     :rtype: Answer | None
     """
--- a/src/saddlestack/services/recovery.py
+++ b/src/saddlestack/services/recovery.py
@@ -1,4 +1,4 @@
-"""What endpoints say of gangs that were in hand before a take-over, and what follows."""
+"""Recovery after a takeover: determines the condition of gangs from endpoint listings."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class GangCondition(enum.StrEnum):
-    """What became of a gang."""
+    """Condition of a gang after a takeover."""
 
     RUNNING = "running"
     CHECKPOINTED = "checkpointed"
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RecoveryResult:
-    """A verdict with the gang's VMs and, where it runs, its parts and those already done."""
+    """A gang's condition and VMs; its parts and finished parts if it is running."""
 
     condition: GangCondition
     attempt: int
@@ -42,7 +42,7 @@
 
 
 class RecoveryTracker:
-    """Collects endpoints' full listings until each open job can be judged.
+    """Collects endpoints' full listings until every pending job can be resolved.
 
     :param vms: all endpoints of the cell.
     """
@@ -53,11 +53,15 @@
         self._listings: dict[str, _Listing] = {}
 
     def add(self, job_id: str, vms: tuple[str, ...], until: float) -> None:
-        """A job that has to be judged, by the VMs that may have parts of it."""
+        """Add a job to resolve.
+
+        :param vms: VMs that may hold parts of it; empty if none are known.
+        :param until: when the job is resolved without the missing listings.
+        """
         self._pending[job_id] = _PendingJob(vms, until)
 
     def record_listing(self, vm: str, reply: SyncReply) -> None:
-        """An endpoint listed everything it has."""
+        """Record the full listing of an endpoint."""
         self._listings[vm] = _Listing({status.job: status for status in reply.tasks})
         for status in reply.tasks:
             known = self._pending.get(status.job)
@@ -66,19 +70,22 @@
                 known.expected += extra
 
     def discard_listing(self, vm: str) -> None:
-        """An endpoint stopped answering: what it said counts no more."""
+        """Discard the listing of an endpoint that stopped answering."""
         self._listings.pop(vm, None)
 
     def is_pending(self, job_id: str) -> bool:
-        """Whether a job still has to be judged."""
+        """Whether a job is still to be resolved."""
         return job_id in self._pending
 
     def may_hold_parts(self, vm: str) -> bool:
-        """Whether a part of an open job may hold room on a VM."""
+        """Whether a part of a pending job may occupy a VM."""
         return any(vm in job.expected for job in self._pending.values())
 
     def ready_jobs(self) -> list[str]:
-        """Open jobs whose VMs have all been heard; all VMs, where none is known to have it."""
+        """Pending jobs whose VMs have all sent listings.
+
+        A job without known VMs needs listings from all VMs of the cell.
+        """
         return [
             job_id
             for job_id, job in self._pending.items()
@@ -86,27 +93,30 @@
         ]
 
     def overdue(self, now: float) -> list[str]:
-        """Open jobs that are not waited for any longer."""
+        """Pending jobs whose time to wait is over."""
         return [job_id for job_id, job in self._pending.items() if job.until <= now]
 
     def resolve(self, job_id: str, attempt: int) -> RecoveryResult:
-        """What became of a job; it is open no more."""
+        """Determine a job's condition and remove it from the pending jobs.
+
+        :param attempt: the attempt in the job's record.
+        """
         expected = self._pending.pop(job_id).expected
         found = {
-            vm: heard.tasks[job_id]
+            vm: listing.tasks[job_id]
             for vm in expected
-            if (heard := self._listings.get(vm)) is not None and job_id in heard.tasks
+            if (listing := self._listings.get(vm)) is not None and job_id in listing.tasks
         }
         attempt = max([attempt, *(status.attempt for status in found.values())])
         current = {vm: status for vm, status in found.items() if status.attempt == attempt}
         listed = next((status.parts for status in current.values() if status.parts), expected)
         states = {status.state for status in current.values()}
-        whole = bool(listed) and all(vm in current for vm in listed)
-        if whole and states <= {TaskState.RUNNING, TaskState.DONE}:
+        is_complete = bool(listed) and all(vm in current for vm in listed)
+        if is_complete and states <= {TaskState.RUNNING, TaskState.DONE}:
             parts = tuple(Part(vm, current[vm].accelerators) for vm in listed)
             done = tuple((vm, s) for vm, s in current.items() if s.state is TaskState.DONE)
             return RecoveryResult(GangCondition.RUNNING, attempt, listed, parts, done)
-        if whole and states == {TaskState.CHECKPOINTED}:
+        if is_complete and states == {TaskState.CHECKPOINTED}:
             return RecoveryResult(GangCondition.CHECKPOINTED, attempt, listed)
         if not expected:
             return RecoveryResult(GangCondition.NEVER_SENT, attempt, ())
--- a/src/saddlestack/services/rpc.py
+++ b/src/saddlestack/services/rpc.py
@@ -1,4 +1,4 @@
-"""The methods that daemons call on each other, and their dispatch to services."""
+"""RPC methods that daemons call on each other, and their dispatch to services."""
 
 from __future__ import annotations
 
@@ -14,19 +14,20 @@
 
 
 class Rpc:
-    """Methods by name, each with the type of its body."""
+    """Registered methods by name, each with the type of its body and its handler."""
 
     def __init__(self) -> None:
         self._methods: dict[str, tuple[type[Any], Callable[[Any], Awaitable[object]]]] = {}
 
     def add(self, method: str, body: type[A], handler: Callable[[A], Awaitable[object]]) -> None:
-        """Serve a method."""
+        """Register the handler of a method."""
         self._methods[method] = (body, handler)
 
     async def serve(self, method: str, body: msgspec.Raw) -> object:
-        """Answer a call from another daemon.
+        """Handle a call from another daemon.
 
-        :raises SaddlestackError: an unknown method, a malformed body, or the handler's error.
+        :raises SaddlestackError: the method is unknown, the body is malformed, or the handler
+            failed.
         """
         entry = self._methods.get(method)
         if entry is None:
@@ -35,7 +36,7 @@
         return await handler(from_msgpack(bytes(body), kind))
 
     async def local(self, method: str, body: object) -> object:
-        """Answer a call from this daemon itself, without encoding.
+        """Handle a call from this daemon itself, without encoding.
 
         :raises SaddlestackError: the handler's error.
         """
