--- a/src/saddlestack/control/peers.py
+++ b/src/saddlestack/control/peers.py
@@ -20,8 +20,8 @@
     FrameStream,
     Handshake,
     LinkLost,
+    PeerIdentity,
     PeerLink,
-    PeerName,
 )
 
 log = logging.getLogger("saddlestack.peers")
@@ -99,7 +99,7 @@
     async def _link(self, member: Member) -> PeerLink:
         async with self._dial_locks.setdefault(member.vm, asyncio.Lock()):
             link = self._links.get(member.vm)
-            if link is not None and not link.closed and not link.silent:
+            if link is not None and not link.closed and not link.is_unresponsive:
                 if link.peer.incarnation == member.incarnation:
                     return link
                 link.close()
@@ -147,9 +147,9 @@
         kind, answer = entry
         return await answer(from_msgpack(bytes(body), kind))
 
-    def _local_name(self) -> PeerName:
+    def _local_name(self) -> PeerIdentity:
         local = self._membership.local
-        return PeerName(local.vm, local.data_hall, local.incarnation)
+        return PeerIdentity(local.vm, local.data_hall, local.incarnation)
 
 
 def _ignore_beat(link: PeerLink, beat: Beat) -> None:
--- a/src/saddlestack/services/intake.py
+++ b/src/saddlestack/services/intake.py
@@ -144,7 +144,7 @@
         started_at = self.clock.now()
         body = from_json(request.body, SubmitBody)
         account = self._access.account(request, self._document, body.account)
-        wait = request.number("wait", 0.0, most=MAX_WAIT_S)
+        wait = request.number("wait", 0.0, maximum=MAX_WAIT_S)
         spec = self._spec(body, account)
         self._limit(account)
         cell, claimed = await self._claim(spec)
@@ -299,7 +299,7 @@
 
     async def _show(self, request: Request, name: str) -> Response:
         job_id, cell = await self._locate(request, name)
-        wait = request.number("wait", 0.0, most=MAX_WAIT_S)
+        wait = request.number("wait", 0.0, maximum=MAX_WAIT_S)
         until = self.clock.now() + wait
         while True:
             view = await self._router.get_job(cell, job_id, min(self._allowed_wait(until), 5.0))
@@ -338,7 +338,7 @@
     async def _list(self, request: Request) -> Response:
         sender = self._access.identify(request, self._document)
         account = sender.account if isinstance(sender, Caller) else request.query.get("account")
-        limit = int(request.number("limit", DEFAULT_LIST, most=MAX_LIST))
+        limit = int(request.number("limit", DEFAULT_LIST, maximum=MAX_LIST))
         return json_response(JobsBody(jobs=tuple(await self._router.jobs(account, limit))))
 
     def _job_response(self, view: JobView) -> Response:
@@ -372,7 +372,7 @@
     async def _confirm(self, request: Request) -> Response:
         operator = self._access.operator(request, self._document)
         plan = from_json(request.body, Plan)
-        wait = request.number("wait", 0.0, most=30.0)
+        wait = request.number("wait", 0.0, maximum=30.0)
         confirmation = await self._configuration.confirm(plan, operator.name, wait)
         return json_response(confirmation)
 
@@ -382,7 +382,7 @@
 
     async def _show_audit(self, request: Request) -> Response:
         self._access.operator(request, self._document)
-        limit = int(request.number("limit", DEFAULT_LIST, most=MAX_LIST))
+        limit = int(request.number("limit", DEFAULT_LIST, maximum=MAX_LIST))
         try:
             records = await self._audit.read(self._document, limit)
         except StoreUnavailable as error:
--- a/src/saddlestack/services/ownership.py
+++ b/src/saddlestack/services/ownership.py
@@ -17,7 +17,7 @@
 from saddlestack.platform.store import (
     StoreClient,
     StoreUnavailable,
-    VersionMoved,
+    VersionConflict,
     WriteInDoubt,
 )
 from saddlestack.policy.planner import CellSite, cells_of
@@ -176,7 +176,7 @@
         started_at = self.clock.now()
         try:
             term = await self._raise_term(cell)
-        except (VersionMoved, Fenced):
+        except (VersionConflict, Fenced):
             await asyncio.sleep(CHECK_S)
             return
         except StoreUnavailable:
@@ -199,7 +199,7 @@
         """Raise the cell's term and record this VM as its owner.
 
         :return: the new term.
-        :raises VersionMoved: another VM changed the record first.
+        :raises VersionConflict: another VM changed the record first.
         :raises StoreUnavailable: the store does not answer.
         """
         key = f"cells/{cell}"
@@ -218,7 +218,7 @@
         except WriteInDoubt:
             found = await self._store.get(key)
             if not found.version or from_json(found.value, Owner) != own:
-                raise VersionMoved from None
+                raise VersionConflict from None
         return own.term
 
     async def _serve_interim(self, site: CellSite) -> None:
--- a/src/saddlestack/soak/ends.py
+++ b/src/saddlestack/soak/ends.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from saddlestack.interfaces.workers import EndedTask, EndKind
-from saddlestack.platform.orders import ENDS_AT_ONCE
+from saddlestack.platform.orders import MAX_ENDS_PER_REPORT
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,7 +31,7 @@
         self._listed.append(ListedEnd(EndedTask(self._count, task, run, how, saved), at_s))
         self.wake()
 
-    def forget(self, seen: int) -> list[ListedEnd]:
+    def acknowledge(self, seen: int) -> list[ListedEnd]:
         """Ends up to a number are acknowledged: those that were listed still."""
         known = [listed for listed in self._listed if listed.row.number <= seen]
         self._listed = [listed for listed in self._listed if listed.row.number > seen]
@@ -39,7 +39,7 @@
 
     def rows(self) -> tuple[EndedTask, ...]:
         """The ends that one answer tells."""
-        return tuple(listed.row for listed in self._listed[:ENDS_AT_ONCE])
+        return tuple(listed.row for listed in self._listed[:MAX_ENDS_PER_REPORT])
 
     async def wait(self, seconds: float) -> None:
         """Wait for an end, if none is listed, or until woken."""
