--- a/src/saddlestack/services/recovery.py
+++ b/src/saddlestack/services/recovery.py
@@ -93,7 +93,7 @@
         ]
 
     def overdue(self, now: float) -> list[str]:
-        """Pending jobs whose time to wait is over."""
+        """Pending jobs that have reached their time limit."""
         return [job_id for job_id, job in self._pending.items() if job.until <= now]
 
     def resolve(self, job_id: str, attempt: int) -> RecoveryResult:
