--- a/src/saddlestack/soak/heartbeats.py
+++ b/src/saddlestack/soak/heartbeats.py
@@ -1,4 +1,4 @@
-"""The store's side of workers' records: what workers write, and what lapses in their silence."""
+"""Workers' records in the store: accepts writes, and expires records of silent workers."""
 
 from __future__ import annotations
 
@@ -18,21 +18,21 @@
 from saddlestack.standins.ports import LOOPBACK
 from saddlestack.wire.http import HttpServer, Request, Response
 
-LAPSE_HEARTBEATS = 3.0
-"""A record lapses after so many heartbeats of silence."""
-STEP_S = 0.1
+EXPIRY_HEARTBEATS = 3.0
+"""A record expires after this many heartbeat intervals without a write."""
+EXPIRY_CHECK_INTERVAL_S = 0.1
 HEARTBEAT_FIELDS = frozenset({"seq"})
-"""A record changes when more than these fields do."""
+"""Fields that change with each heartbeat; a write that changes only these is no change."""
 
 
 @dataclass(slots=True)
 class WorkerRecords:
-    """Takes workers' writes over HTTP, and removes the records of silent workers.
+    """Accepts workers' writes over HTTP, and removes the records of silent workers.
 
     :param ignored_fields: a write that changes only these fields is a heartbeat and does not change
         the key.
-    :ivar is_unavailable: writes are refused while the store is down for workers...
-    :ivar expire_while_unavailable: ...and records may lapse meanwhile.
+    :ivar is_unavailable: writes are refused, as the store is unavailable to workers.
+    :ivar expire_while_unavailable: records may expire meanwhile.
     """
 
     store: StoreState
@@ -41,26 +41,26 @@
     is_unavailable: bool = False
     expire_while_unavailable: bool = False
     port: int = 0
-    _heard_s: dict[str, float] = field(default_factory=dict)
+    _last_write_s: dict[str, float] = field(default_factory=dict)
     _server: HttpServer | None = None
-    _lapsing: asyncio.Task[None] | None = None
+    _expiry_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Serve on a free port of loopback."""
+        """Serve on a free loopback port."""
         self._server = HttpServer(self.handle)
         await self._server.start(LOOPBACK, 0)
         self.port = self._server.port
-        self._lapsing = asyncio.get_running_loop().create_task(self._lapse_silent())
+        self._expiry_task = asyncio.get_running_loop().create_task(self._expire_silent())
 
     async def stop(self) -> None:
-        """Serve no more."""
-        if self._lapsing is not None:
-            self._lapsing.cancel()
+        """Stop serving."""
+        if self._expiry_task is not None:
+            self._expiry_task.cancel()
         if self._server is not None:
             await self._server.stop()
 
     async def handle(self, request: Request) -> Response:
-        """Take a worker's write."""
+        """Handle a worker's write."""
         if self.is_unavailable:
             return Response(503)
         if request.path != paths.TRANSACTION:
@@ -69,41 +69,43 @@
         for put in body.put:
             self.write(put.key, base64.b64decode(put.value))
         for key in body.delete:
-            self._heard_s.pop(key, None)
+            self._last_write_s.pop(key, None)
             self.store.remove(key)
         return Response(200, to_json(CommittedBody(self.store.revision)))
 
     def expire(self, workers: Iterable[str]) -> None:
-        """Records lapse now; they are back with their workers' next heartbeats."""
+        """Expire records now; the workers' next heartbeats write them again."""
         for worker in workers:
             self.store.remove(f"{PLACES.workers_prefix}{worker}")
 
     def write(self, key: str, value: bytes) -> None:
-        """Take a heartbeat of a worker: the key changes when what it tells does."""
-        self._heard_s[key] = _now()
-        kept = self.store.item(key)
-        if not kept.revision or self._told(kept.value) != self._told(value):
+        """Handle a worker's heartbeat; the key changes only if a relevant field does."""
+        self._last_write_s[key] = _now()
+        current = self.store.item(key)
+        if not current.revision or self._relevant_fields(current.value) != self._relevant_fields(
+            value
+        ):
             self.store.put(key, value)
 
-    def _told(self, value: bytes) -> dict[str, Any]:
-        entry = msgspec.json.decode(value, type=dict[str, Any])
-        return {name: entry[name] for name in entry if name not in self.ignored_fields}
+    def _relevant_fields(self, value: bytes) -> dict[str, Any]:
+        fields = msgspec.json.decode(value, type=dict[str, Any])
+        return {name: fields[name] for name in fields if name not in self.ignored_fields}
 
-    async def _lapse_silent(self) -> None:
+    async def _expire_silent(self) -> None:
         while True:
-            await asyncio.sleep(STEP_S)
+            await asyncio.sleep(EXPIRY_CHECK_INTERVAL_S)
             if self.is_unavailable and not self.expire_while_unavailable:
-                self._wait_with_lapsing()
-            self._lapse_before(_now() - LAPSE_HEARTBEATS * self.heartbeat_s)
+                self._suspend_expiry()
+            self._expire_before(_now() - EXPIRY_HEARTBEATS * self.heartbeat_s)
 
-    def _wait_with_lapsing(self) -> None:
-        """Nobody is silent while nobody can be heard."""
-        for key in self._heard_s:
-            self._heard_s[key] += STEP_S
+    def _suspend_expiry(self) -> None:
+        """Postpone all expiry, as no worker can write while the store is unavailable."""
+        for key in self._last_write_s:
+            self._last_write_s[key] += EXPIRY_CHECK_INTERVAL_S
 
-    def _lapse_before(self, heard_s: float) -> None:
-        for key in [key for key, when in self._heard_s.items() if when < heard_s]:
-            del self._heard_s[key]
+    def _expire_before(self, last_write_s: float) -> None:
+        for key in [key for key, when in self._last_write_s.items() if when < last_write_s]:
+            del self._last_write_s[key]
             self.store.remove(key)
 
 
--- a/src/saddlestack/soak/launcher.py
+++ b/src/saddlestack/soak/launcher.py
@@ -1,10 +1,10 @@
-"""Starts an entry VM whose connections a soak can cut, address by address, and which it suspends.
+"""Starts an entry VM that a soak can suspend, and whose connections it can cut by address.
 
-Run as a script beside any version of the package: ``launcher.py SETTINGS CUTS SLEPT``. ``CUTS`` is
-a file of addresses, one a line, that nothing passes to or from while they stand there. ``SLEPT`` is
-one of the seconds for which the process has been suspended: its event loop's clock leaves them out,
-as ``CLOCK_MONOTONIC`` does on a machine that was. The program is unchanged but for the class that
-opens its connections, and its event loop.
+Run as a script with any version of the package: ``launcher.py SETTINGS CUTS SLEPT``. ``CUTS`` is a
+file with one address per line; no data passes to or from the listed addresses. ``SLEPT`` is a file
+with the total seconds for which the process has been suspended. The event loop's clock leaves them
+out, as ``CLOCK_MONOTONIC`` does on a machine that was suspended. Only the class that opens
+connections and the event loop differ from the normal program.
 """
 
 from __future__ import annotations
@@ -19,53 +19,53 @@
 from saddlestack.control import entry
 from saddlestack.wire.dialer import CONNECT_TIMEOUT_S, Dialer, Reader, Writer
 
-LOOK_S = 0.1
-"""The file of cuts is looked at this often."""
-HELD_S = 0.05
-"""Held bytes are looked after this often."""
+CUTS_POLL_INTERVAL_S = 0.1
+"""Interval at which the file of cuts is checked for changes."""
+HELD_POLL_INTERVAL_S = 0.05
+"""Interval at which held data is checked for delivery."""
 
 
 class CuttableDialer(Dialer):
-    """Opens connections over which nothing passes while their address is cut.
+    """Opens connections that pass no data while their address is cut.
 
-    What is written meanwhile passes afterwards, as TCP sends it again.
+    Data written meanwhile is delivered afterwards, as TCP retransmits it.
     """
 
     def __init__(self, file: Path) -> None:
         self._file = file
         self._changed_ns = 0
         self._cut: frozenset[str] = frozenset()
-        self._following = asyncio.get_running_loop().create_task(self._follow())
+        self._poll_task = asyncio.get_running_loop().create_task(self._poll_cuts())
 
     def is_cut(self, address: str) -> bool:
-        """Whether nothing passes to an address."""
+        """Whether an address is cut."""
         return address in self._cut
 
     async def open(
         self, address: str, port: int, timeout: float = CONNECT_TIMEOUT_S
     ) -> tuple[Reader, Writer]:
-        """Connect; to an address that is cut, no answer comes in time."""
+        """Connect to an address; times out if it stays cut."""
         async with asyncio.timeout(timeout):
-            await self.until_passes(address)
+            await self.wait_until_open(address)
             reader, writer = await super().open(address, port, timeout)
-            return _CutReader(self, address, reader), _CutWriter(self, address, writer)
+            return _CuttableReader(self, address, reader), _CuttableWriter(self, address, writer)
 
-    async def until_passes(self, address: str) -> None:
+    async def wait_until_open(self, address: str) -> None:
         """Wait until an address is not cut."""
         while self.is_cut(address):
-            await asyncio.sleep(HELD_S)
+            await asyncio.sleep(HELD_POLL_INTERVAL_S)
 
-    async def _follow(self) -> None:
+    async def _poll_cuts(self) -> None:
         while True:
             changed_ns = self._file.stat().st_mtime_ns
             if changed_ns != self._changed_ns:
                 self._changed_ns = changed_ns
                 self._cut = frozenset(self._file.read_text(encoding="utf-8").split())
-            await asyncio.sleep(LOOK_S)
+            await asyncio.sleep(CUTS_POLL_INTERVAL_S)
 
 
-class _CutReader:
-    """Hands out nothing while the other side is cut."""
+class _CuttableReader:
+    """Returns no data while the peer is cut."""
 
     def __init__(self, dialer: CuttableDialer, address: str, reader: Reader) -> None:
         self._dialer = dialer
@@ -74,32 +74,32 @@
 
     async def read(self, size: int) -> bytes:
         data = await self._reader.read(size)
-        await self._dialer.until_passes(self._address)
+        await self._dialer.wait_until_open(self._address)
         return data
 
     async def readexactly(self, size: int) -> bytes:
         data = await self._reader.readexactly(size)
-        await self._dialer.until_passes(self._address)
+        await self._dialer.wait_until_open(self._address)
         return data
 
 
-class _CutWriter:
-    """Holds what is written while the other side is cut."""
+class _CuttableWriter:
+    """Holds written data while the peer is cut."""
 
     def __init__(self, dialer: CuttableDialer, address: str, writer: Writer) -> None:
         self._dialer = dialer
         self._address = address
         self._writer = writer
         self._held: list[bytes] = []
-        self._passing: asyncio.Task[None] | None = None
+        self._flush_task: asyncio.Task[None] | None = None
 
     def write(self, data: bytes) -> None:
         if not self._held and not self._dialer.is_cut(self._address):
             self._writer.write(data)
             return
         self._held.append(data)
-        if self._passing is None:
-            self._passing = asyncio.get_running_loop().create_task(self._pass())
+        if self._flush_task is None:
+            self._flush_task = asyncio.get_running_loop().create_task(self._flush())
 
     async def drain(self) -> None:
         if not self._held:
@@ -109,41 +109,41 @@
         self._held.clear()
         self._writer.close()
 
-    async def _pass(self) -> None:
-        await self._dialer.until_passes(self._address)
-        held, self._held, self._passing = self._held, [], None
+    async def _flush(self) -> None:
+        await self._dialer.wait_until_open(self._address)
+        held, self._held, self._flush_task = self._held, [], None
         for data in held:
             self._writer.write(data)
 
 
-class SuspendedLoop(asyncio.SelectorEventLoop):
+class SuspendAwareLoop(asyncio.SelectorEventLoop):
     """An event loop whose clock leaves out the time for which its process was suspended."""
 
-    slept_s = 0.0
+    suspended_s = 0.0
 
     def time(self) -> float:
-        """Seconds on the steady clock, less the time of suspensions."""
-        return super().time() - self.slept_s
+        """Return the monotonic time in seconds, less the time of suspensions."""
+        return super().time() - self.suspended_s
 
 
-class SuspendedPolicy(asyncio.DefaultEventLoopPolicy):
-    """Makes such loops, and tells them when the process goes on."""
+class SuspendAwarePolicy(asyncio.DefaultEventLoopPolicy):
+    """Creates such loops, and updates them when the process receives SIGCONT."""
 
     def __init__(self, file: Path) -> None:
         super().__init__()
         self._file = file
-        signal.signal(signal.SIGCONT, self._go_on)
+        signal.signal(signal.SIGCONT, self._on_continue)
 
     def new_event_loop(self) -> asyncio.AbstractEventLoop:
-        """A loop that leaves suspensions out."""
-        return SuspendedLoop()
+        """Create a loop whose clock leaves out suspensions."""
+        return SuspendAwareLoop()
 
-    def _go_on(self, number: int, frame: object) -> None:
-        SuspendedLoop.slept_s = float(self._file.read_text(encoding="utf-8"))
+    def _on_continue(self, number: int, frame: object) -> None:
+        SuspendAwareLoop.suspended_s = float(self._file.read_text(encoding="utf-8"))
 
 
 if __name__ == "__main__":
     cuts = Path(sys.argv[2])
-    asyncio.set_event_loop_policy(SuspendedPolicy(Path(sys.argv[3])))
+    asyncio.set_event_loop_policy(SuspendAwarePolicy(Path(sys.argv[3])))
     with patch.object(entry, "Dialer", lambda: CuttableDialer(cuts)):
         main(Path(sys.argv[1]))
--- a/src/saddlestack/soak/meters.py
+++ b/src/saddlestack/soak/meters.py
@@ -1,4 +1,4 @@
-"""What a soak costs: processor time and memory of its VMs, and how late its event loop is."""
+"""Resource usage of a soak: processor time and memory of its VMs, and lag of its event loop."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 
 from saddlestack.soak.processes import EntryProcess
 
-SAMPLE_S = 1.0
-LAG_STEP_S = 0.05
-MEGABYTE = 1024 * 1024
-_TICK_S = 1 / os.sysconf("SC_CLK_TCK")
-_PAGE = os.sysconf("SC_PAGE_SIZE")
-_UTIME = 11
-"""Where the processor time stands behind the name of the program in ``/proc/PID/stat``."""
-_RSS = 21
+SAMPLE_INTERVAL_S = 1.0
+LAG_SAMPLE_S = 0.05
+BYTES_PER_MB = 1024 * 1024
+_SECONDS_PER_TICK = 1 / os.sysconf("SC_CLK_TCK")
+_PAGE_BYTES = os.sysconf("SC_PAGE_SIZE")
+_UTIME_FIELD = 11
+"""Index of the user time among the fields after the program name in ``/proc/PID/stat``."""
+_RSS_FIELD = 21
 
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """What a process has used so far.
+    """Resource usage of a process.
 
-    :param processor_s: processor time, of user and system.
-    :param memory_mb: memory that it holds now.
+    :param processor_s: processor time so far, user and system.
+    :param memory_mb: resident memory.
     """
 
     processor_s: float
@@ -33,38 +33,41 @@
 
 
 def usage_of(pid: int) -> Usage | None:
-    """What a process has used, or ``None`` where it has ended."""
+    """Return the usage of a process, or ``None`` if it has ended."""
     try:
         text = Path(f"/proc/{pid}/stat").read_text(encoding="utf-8")
     except OSError:
         return None
     fields = text.rpartition(")")[2].split()
-    ticks = int(fields[_UTIME]) + int(fields[_UTIME + 1])
-    return Usage(ticks * _TICK_S, int(fields[_RSS]) * _PAGE / MEGABYTE)
+    ticks = int(fields[_UTIME_FIELD]) + int(fields[_UTIME_FIELD + 1])
+    return Usage(ticks * _SECONDS_PER_TICK, int(fields[_RSS_FIELD]) * _PAGE_BYTES / BYTES_PER_MB)
 
 
 @dataclass(slots=True)
 class VmUsage:
-    """What one VM used, over all its lives.
+    """Resource usage of one VM, over all of its processes.
 
+    :param processor_s: processor time.
     :param highest: the largest share of a processor in one sample.
+    :param highest_s: time of that sample, on the event loop's clock.
+    :param memory_mb: the largest resident memory.
     """
 
     processor_s: float = 0.0
     highest: float = 0.0
     highest_s: float = 0.0
     memory_mb: float = 0.0
-    _life: tuple[int, float] = (0, 0.0)
+    _last_sample: tuple[int, float] = (0, 0.0)
 
     def add(self, pid: int, usage: Usage, at_s: float) -> None:
-        """Take in a sample."""
-        before = self._life[1] if self._life[0] == pid else 0.0
-        used = usage.processor_s - before
-        self._life = (pid, usage.processor_s)
-        self.processor_s += used
+        """Add a sample of the VM's current process."""
+        before = self._last_sample[1] if self._last_sample[0] == pid else 0.0
+        used_s = usage.processor_s - before
+        self._last_sample = (pid, usage.processor_s)
+        self.processor_s += used_s
         self.memory_mb = max(self.memory_mb, usage.memory_mb)
-        if used / SAMPLE_S > self.highest:
-            self.highest = used / SAMPLE_S
+        if used_s / SAMPLE_INTERVAL_S > self.highest:
+            self.highest = used_s / SAMPLE_INTERVAL_S
             self.highest_s = at_s
 
 
@@ -72,8 +75,9 @@
 class Meters:
     """Samples all VMs, and the lag of this process's event loop.
 
-    :ivar lags_s: how late the loop was, step by step.
-    :ivar memory_mb: the most that all VMs held together.
+    :ivar lags_s: lag of the event loop, one value per sample.
+    :ivar memory_mb: the largest resident memory of all VMs together.
+    :ivar own_processor_s: processor time of this process so far.
     """
 
     entries: Sequence[EntryProcess]
@@ -96,17 +100,17 @@
                 usage = None if entry.pid is None else usage_of(entry.pid)
                 if usage is None or entry.pid is None:
                     continue
-                use = self.uses.setdefault(entry.name, VmUsage())
-                use.add(entry.pid, usage, loop.time())
+                vm_usage = self.uses.setdefault(entry.name, VmUsage())
+                vm_usage.add(entry.pid, usage, loop.time())
                 memory_mb += usage.memory_mb
             self.memory_mb = max(self.memory_mb, memory_mb)
-            own = usage_of(os.getpid())
-            self.own_processor_s = own.processor_s if own is not None else 0.0
-            await asyncio.sleep(SAMPLE_S)
+            own_usage = usage_of(os.getpid())
+            self.own_processor_s = own_usage.processor_s if own_usage is not None else 0.0
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
 
     async def _sample_lag(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            due = loop.time() + LAG_STEP_S
-            await asyncio.sleep(LAG_STEP_S)
+            due = loop.time() + LAG_SAMPLE_S
+            await asyncio.sleep(LAG_SAMPLE_S)
             self.lags_s.append(loop.time() - due)
--- a/src/saddlestack/soak/processes.py
+++ b/src/saddlestack/soak/processes.py
@@ -15,36 +15,39 @@
 from saddlestack.soak.shape import ShapeTimes
 
 CLIENTS_PORT = 7100
-"""Ports below those that the system gives to outgoing connections: a restarted VM finds its own
-free. Every VM has a loopback address to itself."""
+"""The ports are below the range for outgoing connections, so that they are still free when a VM
+restarts. Every VM has a loopback address of its own."""
 READINESS_PORT = 7101
 PEER_PORTS = (7102, 7103)
 STRONG_LINK_MBPS = 200.0
 WEAK_LINK_MBPS = 10.0
 STRONG_CORES = 2.15
 WEAK_CORES = 0.516
-SLOW_PERIOD_S = 0.05
+SLOWDOWN_PERIOD_S = 0.05
 LAUNCHER = Path(__file__).with_name("launcher.py")
 OWN_SOURCES = Path(saddlestack.__file__).parent.parent
 
 
 @dataclass(frozen=True, slots=True)
 class Program:
-    """The sources that entry VMs run.
+    """The version of the package that entry VMs run.
 
-    :param src: a folder with the package, by default that of this process.
+    :param src: the folder that contains the package, by default that of this process.
     """
 
     src: Path = OWN_SOURCES
 
     @property
     def environment(self) -> dict[str, str]:
-        """The environment of an entry VM's process; its script's folder is no place of modules."""
+        """The environment of an entry VM's process.
+
+        ``PYTHONSAFEPATH`` keeps the folder of the launcher script off the module path.
+        """
         return {**os.environ, "PYTHONPATH": str(self.src), "PYTHONSAFEPATH": "1"}
 
     @property
     def has_heartbeat_setting(self) -> bool:
-        """Whether its settings have the time between workers' heartbeats; older ones do not."""
+        """Whether this version has the setting for the workers' heartbeat; older ones do not."""
         settings = self.src / "saddlestack" / "control" / "settings.py"
         return "worker_heartbeat_ms" in settings.read_text(encoding="utf-8")
 
@@ -54,10 +57,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EntrySite:
-    """Where an entry VM stands.
+    """The location and capability of an entry VM.
 
-    :param address: its own loopback address.
-    :param strong: its processor and link let it lead well.
+    :param address: the VM's own loopback address.
+    :param strong: whether its processor and link are suited to a leader.
     """
 
     name: str
@@ -68,7 +71,7 @@
 
 @dataclass(slots=True)
 class EntryProcess:
-    """One entry VM: its settings file and its present process."""
+    """One entry VM: its settings file and its current process."""
 
     site: EntrySite
     folder: Path
@@ -77,8 +80,8 @@
     program: Program = OWN_PROGRAM
     process: asyncio.subprocess.Process | None = None
     restart_lock: asyncio.Lock = field(default_factory=asyncio.Lock)
-    _holds: int = 0
-    _slept_s: float = 0.0
+    _pause_count: int = 0
+    _suspended_s: float = 0.0
 
     @property
     def name(self) -> str:
@@ -87,12 +90,12 @@
 
     @property
     def log(self) -> Path:
-        """The log of all its lives."""
+        """The log of all of its processes."""
         return self.folder / f"{self.name}.log"
 
     @property
     def pid(self) -> int | None:
-        """Its present process, if it has one."""
+        """The id of its current process, or ``None`` if none is running."""
         if self.process is None or self.process.returncode is not None:
             return None
         return self.process.pid
@@ -118,128 +121,128 @@
             "link_mbps": STRONG_LINK_MBPS if site.strong else WEAK_LINK_MBPS,
             "timings": timings,
         }
-        self._settings.write_text(json.dumps(settings))
+        self._settings_file.write_text(json.dumps(settings))
         self.block_addresses(())
 
     def block_addresses(self, addresses: Iterable[str]) -> None:
-        """Let nothing pass to or from these addresses, from now on."""
-        self._write(self._cuts, "\n".join(sorted(addresses)))
+        """Block all data to and from these addresses, in place of those blocked before."""
+        self._write_atomically(self._cuts_file, "\n".join(sorted(addresses)))
 
-    def _write(self, file: Path, text: str) -> None:
-        """Write a file that the process reads, whole or not at all."""
+    def _write_atomically(self, file: Path, text: str) -> None:
+        """Replace a file that the process reads, so that it never reads a partial one."""
         new = file.with_suffix(f"{file.suffix}.new")
         new.write_text(text)
         new.replace(file)
 
     async def start(self) -> None:
         """Start the process; its log goes to a file beside its settings."""
-        self._holds = 0
-        self._slept_s = 0.0
-        self._write(self._slept, "0")
+        self._pause_count = 0
+        self._suspended_s = 0.0
+        self._write_atomically(self._slept_file, "0")
         with self.log.open("ab") as log:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 str(LAUNCHER),
-                str(self._settings),
-                str(self._cuts),
-                str(self._slept),
+                str(self._settings_file),
+                str(self._cuts_file),
+                str(self._slept_file),
                 stdout=log,
                 stderr=log,
                 env=self.program.environment,
             )
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal to the process, if it is there."""
+        """Send a signal to the process, if it is running."""
         if self.process is not None and self.process.returncode is None:
             self.process.send_signal(number)
 
     async def kill_and_restart(self, pause_s: float) -> None:
-        """SIGKILL, and a new life after a pause.
+        """Send SIGKILL, and start a new process after a pause.
 
-        A VM has one process at a time: restarts of one VM follow each other.
+        A VM has one process at a time, so its restarts are serialized.
         """
         async with self.restart_lock:
             self.send(signal.SIGKILL)
-            await self._ended()
+            await self._wait_until_ended()
             await asyncio.sleep(pause_s)
             await self.start()
 
     async def stop_and_restart(self) -> None:
-        """SIGTERM, SIGKILL after the grace, and a new life."""
+        """Send SIGTERM, then SIGKILL after the grace period, and start a new process."""
         async with self.restart_lock:
             self.send(signal.SIGTERM)
             try:
                 async with asyncio.timeout(self.times.grace_s):
-                    await self._ended()
+                    await self._wait_until_ended()
             except TimeoutError:
                 self.send(signal.SIGKILL)
-                await self._ended()
+                await self._wait_until_ended()
             await self.start()
 
     async def freeze(self, seconds: float) -> None:
-        """SIGSTOP, and SIGCONT after a while."""
-        held = self.pause()
+        """Send SIGSTOP, then SIGCONT after some seconds."""
+        paused = self.pause()
         await asyncio.sleep(seconds)
-        self.resume(held)
+        self.resume(paused)
 
     async def suspend(self, seconds: float) -> None:
-        """As :meth:`freeze`, and the event loop of the process does not count the time."""
+        """Freeze the process; its event loop's clock leaves out the time of the suspension."""
         loop = asyncio.get_running_loop()
-        began_s, held = loop.time(), self.pause()
+        start_s, paused = loop.time(), self.pause()
         await asyncio.sleep(seconds)
-        if held is self.process:
-            self._slept_s += loop.time() - began_s
-            self._write(self._slept, f"{self._slept_s:.6f}")
-        self.resume(held)
+        if paused is self.process:
+            self._suspended_s += loop.time() - start_s
+            self._write_atomically(self._slept_file, f"{self._suspended_s:.6f}")
+        self.resume(paused)
 
     async def slow(self, seconds: float, share: float) -> None:
-        """SIGSTOP and SIGCONT in turn, many times a second.
+        """Alternate SIGSTOP and SIGCONT many times a second.
 
-        :param share: of the time, for which the process may run.
+        :param share: the share of the time for which the process runs.
         """
         loop = asyncio.get_running_loop()
         until = loop.time() + seconds
         while loop.time() < until:
-            await self.freeze(SLOW_PERIOD_S * (1 - share))
-            await asyncio.sleep(SLOW_PERIOD_S * share)
+            await self.freeze(SLOWDOWN_PERIOD_S * (1 - share))
+            await asyncio.sleep(SLOWDOWN_PERIOD_S * share)
 
     def pause(self) -> asyncio.subprocess.Process | None:
-        """Stop the process until it is released as often as it is held.
+        """Pause the process until it is resumed as often as it was paused.
 
-        :return: the life that is held, for :meth:`resume`.
+        :return: the process that is paused, for :meth:`resume`.
         """
-        self._holds += 1
-        if self._holds == 1:
+        self._pause_count += 1
+        if self._pause_count == 1:
             self.send(signal.SIGSTOP)
         return self.process
 
-    def resume(self, held: asyncio.subprocess.Process | None) -> None:
-        """Let a life that was held go on; a later one does not stand still."""
-        if held is not self.process:
+    def resume(self, paused: asyncio.subprocess.Process | None) -> None:
+        """Resume a paused process; has no effect if a newer process has replaced it."""
+        if paused is not self.process:
             return
-        self._holds -= 1
-        if not self._holds:
+        self._pause_count -= 1
+        if not self._pause_count:
             self.send(signal.SIGCONT)
 
     async def end(self) -> None:
-        """End the process for good."""
+        """Kill the process without a restart."""
         async with self.restart_lock:
             self.send(signal.SIGCONT)
             self.send(signal.SIGKILL)
-            await self._ended()
+            await self._wait_until_ended()
 
-    async def _ended(self) -> None:
+    async def _wait_until_ended(self) -> None:
         if self.process is not None:
             await self.process.wait()
 
     @property
-    def _settings(self) -> Path:
+    def _settings_file(self) -> Path:
         return self.folder / f"{self.name}.json"
 
     @property
-    def _slept(self) -> Path:
+    def _slept_file(self) -> Path:
         return self.folder / f"{self.name}.slept"
 
     @property
-    def _cuts(self) -> Path:
+    def _cuts_file(self) -> Path:
         return self.folder / f"{self.name}.cuts"
--- a/src/saddlestack/soak/proxy.py
+++ b/src/saddlestack/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy whose connections can be delayed, silenced, cut one way or reset."""
+"""A loopback proxy that can delay, silence, cut in one direction, or reset its connections."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class ConnectionFault(enum.StrEnum):
-    """What a proxy does to its connections."""
+    """A fault of the connections of a proxy."""
 
     NONE = "none"
     SILENT = "silent"
@@ -20,12 +20,14 @@
 
 
 class Proxy:
-    """Passes connections on to one target, as far as its trouble lets it.
+    """Forwards connections to one target, subject to the current fault.
 
-    Silenced bytes are held until the trouble ends; new connections then hang as well. Connections
-    that are open when they go stale swallow everything from then on; later ones work.
+    Silenced bytes are held until the fault ends; new connections hang as well meanwhile.
+    Connections that are open when ``STALE`` begins drop all data from then on; later ones work.
 
-    :ivar accepted: connections that were accepted so far.
+    :ivar fault: the current fault.
+    :ivar delay_s: delay of all data, for :attr:`ConnectionFault.DELAY`.
+    :ivar accepted: the number of connections accepted so far.
     """
 
     def __init__(self, address: str, target_address: str, target_port: int) -> None:
@@ -35,16 +37,16 @@
         self._writers: set[asyncio.StreamWriter] = set()
         self._tasks: set[asyncio.Task[None]] = set()
         self._stale: set[asyncio.StreamWriter] = set()
-        self._passing = asyncio.Event()
-        self._passing.set()
-        self.trouble = ConnectionFault.NONE
+        self._released = asyncio.Event()
+        self._released.set()
+        self.fault = ConnectionFault.NONE
         self.delay_s = 0.0
         self.port = 0
         self.accepted = 0
 
     @property
     def open_at_target(self) -> int:
-        """Connections to the target that it has not closed."""
+        """The number of open connections to the target."""
         return len(self._writers) // 2
 
     async def start(self) -> None:
@@ -61,17 +63,17 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def set_fault(self, trouble: ConnectionFault, delay_s: float = 0.0) -> None:
-        """Begin a trouble, or end it with :attr:`ConnectionFault.NONE`."""
-        self.trouble = trouble
+    def set_fault(self, fault: ConnectionFault, delay_s: float = 0.0) -> None:
+        """Begin a fault, or end it with :attr:`ConnectionFault.NONE`."""
+        self.fault = fault
         self.delay_s = delay_s
-        if trouble in {ConnectionFault.SILENT, ConnectionFault.ONE_WAY}:
-            self._passing.clear()
+        if fault in {ConnectionFault.SILENT, ConnectionFault.ONE_WAY}:
+            self._released.clear()
         else:
-            self._passing.set()
-        if trouble is ConnectionFault.RESET:
+            self._released.set()
+        if fault is ConnectionFault.RESET:
             self._reset_all()
-        if trouble is ConnectionFault.STALE:
+        if fault is ConnectionFault.STALE:
             self._stale |= self._writers
 
     def _reset_all(self) -> None:
@@ -85,46 +87,46 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if self.trouble is ConnectionFault.RESET:
+        if self.fault is ConnectionFault.RESET:
             writer.transport.abort()
             return
         try:
-            there, back = await asyncio.open_connection(*self._target)
+            target_reader, target_writer = await asyncio.open_connection(*self._target)
         except OSError:
             writer.transport.abort()
             return
-        ends = {writer, back}
-        self._writers |= ends
+        writers = {writer, target_writer}
+        self._writers |= writers
         try:
             async with asyncio.TaskGroup() as group:
-                group.create_task(self._pass(reader, back, answers=False))
-                group.create_task(self._pass(there, writer, answers=True))
+                group.create_task(self._forward(reader, target_writer, answers=False))
+                group.create_task(self._forward(target_reader, writer, answers=True))
         except* (OSError, asyncio.IncompleteReadError):
             pass
         finally:
-            self._writers -= ends
-            self._stale -= ends
-            for end in ends:
-                end.transport.abort()
+            self._writers -= writers
+            self._stale -= writers
+            for each in writers:
+                each.transport.abort()
 
-    async def _pass(
+    async def _forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, *, answers: bool
     ) -> None:
         while True:
             data = await reader.read(READ_SIZE)
             if not data:
                 raise ConnectionResetError
-            await self._hold_up(answers)
+            await self._wait_for_fault(answers)
             if writer in self._stale:
                 continue
             writer.write(data)
             await writer.drain()
 
-    async def _hold_up(self, answers: bool) -> None:
-        if self.trouble is ConnectionFault.DELAY:
+    async def _wait_for_fault(self, answers: bool) -> None:
+        if self.fault is ConnectionFault.DELAY:
             await asyncio.sleep(self.delay_s)
-        held = self.trouble is ConnectionFault.SILENT or (
-            self.trouble is ConnectionFault.ONE_WAY and answers
+        held = self.fault is ConnectionFault.SILENT or (
+            self.fault is ConnectionFault.ONE_WAY and answers
         )
         if held:
-            await self._passing.wait()
+            await self._released.wait()
--- a/src/saddlestack/soak/store_faults.py
+++ b/src/saddlestack/soak/store_faults.py
@@ -1,4 +1,4 @@
-"""Faults of the store: away for some VMs or all, slow, forgetful, its answers lost."""
+"""Faults of the store: unavailable for some or all VMs, slow, lost history, lost answers."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
     TurnWorkersAway,
 )
 
-AWAY_SHARE = (0.2, 0.6)
-"""Of the VMs, where the store turns some away."""
-DELAY_S = (0.05, 0.5)
-SLOW_S = (0.05, 0.4)
-LOST_SHARE = 0.35
-LOST_ANSWERS = 5
-LATE_S = (0.0, 1.0, 3.0, 6.0)
-"""So long after its call a write takes effect whose answer is lost."""
-FORGETS = 4
-LAPSED_SHARE = (0.05, 0.3)
-AWAY_TROUBLES = (
+UNAVAILABLE_SHARE = (0.2, 0.6)
+"""Share of the VMs for which the store is unavailable, or whose connections go stale."""
+LINK_DELAY_S = (0.05, 0.5)
+ANSWER_DELAY_S = (0.05, 0.4)
+LOST_ANSWERS_SHARE = 0.35
+MAX_LOST_ANSWERS = 5
+LOST_WRITE_DELAYS_S = (0.0, 1.0, 3.0, 6.0)
+"""Delays after which a write takes effect whose answer is lost."""
+MAX_HISTORY_DROPS = 4
+EXPIRED_SHARE = (0.05, 0.3)
+UNAVAILABLE_FAULTS = (
     LinkFault.SILENT,
     LinkFault.ONE_WAY,
     LinkFault.RESET,
@@ -39,69 +39,71 @@
 
 
 class StoreFaults:
-    """Plays what befalls the store."""
+    """Injects faults of the store."""
 
     def __init__(self, platform: SoakPlatform) -> None:
         self._platform = platform
-        self._away = 0
+        self._unavailable_count = 0
 
     @property
     def actions(self) -> dict[FaultKind, Play]:
-        """What plays each kind."""
+        """The action that injects each kind of fault."""
         return {
             FaultKind.VM_STORE_CUT: self._cut_vm,
             FaultKind.LEADER_STORE_CUT: self._cut_leader,
-            FaultKind.STORE_SHARE_AWAY: self._share_away,
-            FaultKind.STORE_AWAY: self._all_away,
-            FaultKind.STORE_SLOW: self._slow,
+            FaultKind.STORE_SHARE_AWAY: self._make_share_unavailable,
+            FaultKind.STORE_AWAY: self._make_unavailable,
+            FaultKind.STORE_SLOW: self._delay_answers,
             FaultKind.STORE_LOSES_ANSWERS: self._lose_answers,
-            FaultKind.STORE_STALE: self._stale,
-            FaultKind.STORE_FORGETS: self._forget,
-            FaultKind.RECORDS_LAPSE: self._lapse,
+            FaultKind.STORE_STALE: self._make_connections_stale,
+            FaultKind.STORE_FORGETS: self._drop_history,
+            FaultKind.RECORDS_LAPSE: self._expire_records,
         }
 
     def heal(self) -> None:
-        """End all troubles."""
+        """End all faults."""
         self._platform.send(HealAll())
 
     async def _cut_vm(self, fault: Fault, rng: random.Random) -> None:
         name = rng.choice(self._platform.vms)
-        await self._trouble(fault, [name], rng.choice(list(LinkFault)), rng)
+        await self._apply_link_fault(fault, [name], rng.choice(list(LinkFault)), rng)
 
     async def _cut_leader(self, fault: Fault, rng: random.Random) -> None:
         term = self._platform.terms.current
         any_vm = rng.choice(self._platform.vms)
         name = any_vm if term is None else term.vm
-        await self._trouble(fault, [name], rng.choice(list(LinkFault)), rng)
+        await self._apply_link_fault(fault, [name], rng.choice(list(LinkFault)), rng)
 
-    async def _share_away(self, fault: Fault, rng: random.Random) -> None:
-        """Turn a share of the VMs away, each in its own manner or all in the same."""
-        names = self._some(rng.uniform(*AWAY_SHARE), rng)
+    async def _make_share_unavailable(self, fault: Fault, rng: random.Random) -> None:
+        """Make the store unavailable for some VMs, with one or several kinds of faults."""
+        names = self._draw_vms(rng.uniform(*UNAVAILABLE_SHARE), rng)
         if rng.random() < 0.5:
-            await self._trouble(fault, names, rng.choice(AWAY_TROUBLES), rng)
+            await self._apply_link_fault(fault, names, rng.choice(UNAVAILABLE_FAULTS), rng)
             return
-        parts = [names[place :: len(AWAY_TROUBLES)] for place in range(len(AWAY_TROUBLES))]
+        parts = [
+            names[place :: len(UNAVAILABLE_FAULTS)] for place in range(len(UNAVAILABLE_FAULTS))
+        ]
         async with asyncio.TaskGroup() as group:
-            for part, trouble in zip(parts, AWAY_TROUBLES, strict=True):
+            for part, link_fault in zip(parts, UNAVAILABLE_FAULTS, strict=True):
                 if part:
-                    group.create_task(self._trouble(fault, part, trouble, rng))
-
-    async def _all_away(self, fault: Fault, rng: random.Random) -> None:
-        """The store is down for everyone; leases and records wait meanwhile, or run out."""
-        waits = rng.random() < 0.5
-        fault.detail = "leases wait;" if waits else "leases run out;"
-        self._away += 1
-        self._platform.send(TurnWorkersAway(away=True, lapse=not waits))
-        if waits:
+                    group.create_task(self._apply_link_fault(fault, part, link_fault, rng))
+
+    async def _make_unavailable(self, fault: Fault, rng: random.Random) -> None:
+        """Make the store unavailable for all; meanwhile leases are extended, or expire."""
+        suspends_expiry = rng.random() < 0.5
+        fault.detail = "leases wait;" if suspends_expiry else "leases run out;"
+        self._unavailable_count += 1
+        self._platform.send(TurnWorkersAway(away=True, lapse=not suspends_expiry))
+        if suspends_expiry:
             self._platform.send(ProlongLeases(fault.seconds))
         elif rng.random() < 0.5:
-            self._platform.send(LapseRecords(rng.uniform(*LAPSED_SHARE)))
-        await self._trouble(fault, self._platform.vms, rng.choice(AWAY_TROUBLES), rng)
-        self._away -= 1
-        self._platform.send(TurnWorkersAway(away=self._away > 0))
+            self._platform.send(LapseRecords(rng.uniform(*EXPIRED_SHARE)))
+        await self._apply_link_fault(fault, self._platform.vms, rng.choice(UNAVAILABLE_FAULTS), rng)
+        self._unavailable_count -= 1
+        self._platform.send(TurnWorkersAway(away=self._unavailable_count > 0))
 
-    async def _slow(self, fault: Fault, rng: random.Random) -> None:
-        slow_s = rng.uniform(*SLOW_S)
+    async def _delay_answers(self, fault: Fault, rng: random.Random) -> None:
+        slow_s = rng.uniform(*ANSWER_DELAY_S)
         fault.on = "all"
         fault.detail = f"answers {slow_s:.2f} s later"
         self._platform.send(SlowDown(slow_s))
@@ -109,39 +111,39 @@
         self._platform.send(SlowDown(0.0))
 
     async def _lose_answers(self, fault: Fault, rng: random.Random) -> None:
-        names = self._some(LOST_SHARE, rng)
-        late_s = rng.choice(LATE_S)
-        count = rng.randint(1, LOST_ANSWERS)
+        names = self._draw_vms(LOST_ANSWERS_SHARE, rng)
+        late_s = rng.choice(LOST_WRITE_DELAYS_S)
+        count = rng.randint(1, MAX_LOST_ANSWERS)
         fault.on = " ".join(names)
         fault.detail = f"{count} writes each take effect after {late_s:g} s"
         self._platform.send(LoseAnswers(tuple(names), count, late_s))
 
-    async def _stale(self, fault: Fault, rng: random.Random) -> None:
-        """Connections that are open swallow everything; new ones work."""
-        names = self._some(rng.uniform(*AWAY_SHARE), rng)
-        await self._trouble(fault, names, LinkFault.STALE, rng)
+    async def _make_connections_stale(self, fault: Fault, rng: random.Random) -> None:
+        """Let open connections drop all data; new ones work."""
+        names = self._draw_vms(rng.uniform(*UNAVAILABLE_SHARE), rng)
+        await self._apply_link_fault(fault, names, LinkFault.STALE, rng)
 
-    async def _forget(self, fault: Fault, rng: random.Random) -> None:
-        times = rng.randint(1, FORGETS)
+    async def _drop_history(self, fault: Fault, rng: random.Random) -> None:
+        times = rng.randint(1, MAX_HISTORY_DROPS)
         fault.detail = f"{times} times"
         for _ in range(times):
             self._platform.send(ForgetHistory())
             await asyncio.sleep(fault.seconds / times)
 
-    async def _lapse(self, fault: Fault, rng: random.Random) -> None:
-        share = rng.uniform(*LAPSED_SHARE)
+    async def _expire_records(self, fault: Fault, rng: random.Random) -> None:
+        share = rng.uniform(*EXPIRED_SHARE)
         fault.detail = f"{share:.0%} of the records"
         self._platform.send(LapseRecords(share))
 
-    async def _trouble(
-        self, fault: Fault, names: Sequence[str], trouble: LinkFault, rng: random.Random
+    async def _apply_link_fault(
+        self, fault: Fault, names: Sequence[str], link_fault: LinkFault, rng: random.Random
     ) -> None:
         fault.on = " ".join([fault.on, *names]).strip()
-        fault.detail = f"{fault.detail} {trouble} for {len(names)}".strip()
-        number = self._platform.begin_link_fault(names, trouble, rng.uniform(*DELAY_S))
+        fault.detail = f"{fault.detail} {link_fault} for {len(names)}".strip()
+        number = self._platform.begin_link_fault(names, link_fault, rng.uniform(*LINK_DELAY_S))
         await asyncio.sleep(fault.seconds)
         self._platform.end_link_fault(number)
 
-    def _some(self, share: float, rng: random.Random) -> list[str]:
+    def _draw_vms(self, share: float, rng: random.Random) -> list[str]:
         names = self._platform.vms
         return rng.sample(names, max(1, round(share * len(names))))
--- a/src/saddlestack/soak/store_link.py
+++ b/src/saddlestack/soak/store_link.py
@@ -1,7 +1,7 @@
-"""A VM's way to the store of a soak: HTTP whose connections can be troubled one by one.
+"""A VM's link to the store of a soak: an HTTP server that injects faults into its connections.
 
-Calls are parsed by hand: with h11 and a proxy, each took ten times the processor time, and the
-store of 41 VMs kept no time.
+HTTP is parsed here since h11 and a proxy took ten times the processor time per call, and the store
+of 41 VMs could not keep up.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from saddlestack.wire.http import Request, Response
 
 HEAD_END = b"\r\n\r\n"
-REFUSALS = (503, 429)
+REFUSAL_STATUSES = (503, 429)
 
 Handler = Callable[[Request], Awaitable[Response]]
 
@@ -24,7 +24,9 @@
 class StoreLink:
     """Serves one VM on a port of its own.
 
-    :ivar calls: calls that were handled.
+    :ivar fault: the current fault, or ``None``.
+    :ivar delay_s: delay of calls and answers, for :attr:`LinkFault.DELAY`.
+    :ivar calls: the number of calls handled so far.
     """
 
     def __init__(self, handler: Handler, rng: random.Random) -> None:
@@ -33,7 +35,7 @@
         self._server: asyncio.Server | None = None
         self._connections: set[_Connection] = set()
         self._held: list[Callable[[], None]] = []
-        self.trouble: LinkFault | None = None
+        self.fault: LinkFault | None = None
         self.delay_s = 0.0
         self.port = 0
         self.calls = 0
@@ -50,50 +52,56 @@
             self._server.close()
         self._reset_all()
 
-    def set_fault(self, trouble: LinkFault | None, delay_s: float = 0.0) -> None:
-        """Begin a trouble, or end it with ``None``. What was held passes once nothing is held."""
-        self.trouble = trouble
+    def set_fault(self, fault: LinkFault | None, delay_s: float = 0.0) -> None:
+        """Begin a fault, or end it with ``None``.
+
+        Held calls and answers are delivered unless the new fault holds them, too.
+        """
+        self.fault = fault
         self.delay_s = delay_s
-        if trouble is LinkFault.RESET:
+        if fault is LinkFault.RESET:
             self._reset_all()
-        if trouble is LinkFault.STALE:
+        if fault is LinkFault.STALE:
             for connection in self._connections:
                 connection.stale = True
-        if trouble not in {LinkFault.SILENT, LinkFault.ONE_WAY}:
+        if fault not in {LinkFault.SILENT, LinkFault.ONE_WAY}:
             held, self._held = self._held, []
-            for passes in held:
-                passes()
+            for deliver in held:
+                deliver()
+
+    def accept(self, connection: _Connection) -> bool:
+        """Register a new connection.
 
-    def admit(self, connection: _Connection) -> bool:
-        """Take a new connection, or none."""
-        if self.trouble is LinkFault.RESET:
+        :return: whether it is accepted.
+        """
+        if self.fault is LinkFault.RESET:
             return False
         self._connections.add(connection)
         return True
 
-    def dismiss(self, connection: _Connection) -> None:
-        """A connection is over."""
+    def remove(self, connection: _Connection) -> None:
+        """Remove a connection that is closed."""
         self._connections.discard(connection)
 
-    def pass_call(self, deliver: Callable[[], None]) -> None:
-        """Deliver a call now, later, or once it is held no more."""
-        self._pass(deliver, held=self.trouble is LinkFault.SILENT)
+    def deliver_call(self, deliver: Callable[[], None]) -> None:
+        """Deliver a call now, after the delay, or once calls are no longer held."""
+        self._deliver(deliver, held=self.fault is LinkFault.SILENT)
 
-    def pass_answer(self, deliver: Callable[[], None]) -> None:
-        """Deliver an answer now, later, or once it is held no more."""
-        self._pass(deliver, held=self.trouble in {LinkFault.SILENT, LinkFault.ONE_WAY})
+    def deliver_answer(self, deliver: Callable[[], None]) -> None:
+        """Deliver an answer now, after the delay, or once answers are no longer held."""
+        self._deliver(deliver, held=self.fault in {LinkFault.SILENT, LinkFault.ONE_WAY})
 
     async def handle(self, request: Request) -> Response:
         """Answer a call, or refuse it."""
         self.calls += 1
-        if self.trouble is LinkFault.REFUSED:
-            return Response(self._rng.choice(REFUSALS))
+        if self.fault is LinkFault.REFUSED:
+            return Response(self._rng.choice(REFUSAL_STATUSES))
         return await self._handler(request)
 
-    def _pass(self, deliver: Callable[[], None], *, held: bool) -> None:
+    def _deliver(self, deliver: Callable[[], None], *, held: bool) -> None:
         if held:
             self._held.append(deliver)
-        elif self.trouble is LinkFault.DELAY:
+        elif self.fault is LinkFault.DELAY:
             asyncio.get_running_loop().call_later(self.delay_s, deliver)
         else:
             deliver()
@@ -106,11 +114,11 @@
 class _Connection(asyncio.Protocol):
     """One connection of the VM.
 
-    :ivar stale: it swallows everything.
+    :ivar stale: whether it drops all data.
     """
 
-    def __init__(self, way: StoreLink) -> None:
-        self._way = way
+    def __init__(self, link: StoreLink) -> None:
+        self._link = link
         self._buffer = b""
         self._transport: asyncio.Transport | None = None
         self._reads: set[asyncio.Task[None]] = set()
@@ -120,13 +128,13 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        if not self._way.admit(self):
+        if not self._link.accept(self):
             transport.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Calls that only read end with their connection; the others are carried out."""
+        """Cancel calls that only read; the others are still carried out."""
         self._transport = None
-        self._way.dismiss(self)
+        self._link.remove(self)
         for task in self._reads:
             task.cancel()
 
@@ -134,33 +142,33 @@
         if self.stale:
             return
         self._buffer += data
-        while (request := self._next_request()) is not None:
-            self._way.pass_call(lambda request=request: self._begin(request))  # type: ignore[misc]
+        while (request := self._parse_request()) is not None:
+            self._link.deliver_call(lambda request=request: self._start_call(request))  # type: ignore[misc]
 
     def abort(self) -> None:
         """Reset the connection."""
         if self._transport is not None:
             self._transport.abort()
 
-    def _next_request(self) -> Request | None:
-        """The next request that has arrived whole."""
+    def _parse_request(self) -> Request | None:
+        """Return the next complete request, or ``None``."""
         head_size = self._buffer.find(HEAD_END)
         if head_size < 0:
             return None
         head = self._buffer[:head_size].decode("latin-1")
-        first, *lines = head.split("\r\n")
-        headers = dict(_header(line) for line in lines)
+        request_line, *header_lines = head.split("\r\n")
+        headers = dict(_parse_header(line) for line in header_lines)
         body_at = head_size + len(HEAD_END)
         end = body_at + int(headers.get("content-length", 0))
         if len(self._buffer) < end:
             return None
         body = self._buffer[body_at:end]
         self._buffer = self._buffer[end:]
-        method, target, _ = first.split(" ")
+        method, target, _ = request_line.split(" ")
         parts = urlsplit(target)
         return Request(method, parts.path, dict(parse_qsl(parts.query)), headers, body)
 
-    def _begin(self, request: Request) -> None:
+    def _start_call(self, request: Request) -> None:
         if self._transport is None:
             return
         tasks = self._reads if request.method == "GET" else self._writes
@@ -169,20 +177,20 @@
         task.add_done_callback(tasks.discard)
 
     async def _serve(self, request: Request) -> None:
-        data = _encoded(await self._way.handle(request))
-        self._way.pass_answer(lambda: self._write(data))
+        data = _encode(await self._link.handle(request))
+        self._link.deliver_answer(lambda: self._write(data))
 
     def _write(self, data: bytes) -> None:
         if self._transport is not None and not self.stale:
             self._transport.write(data)
 
 
-def _header(line: str) -> tuple[str, str]:
+def _parse_header(line: str) -> tuple[str, str]:
     name, _, value = line.partition(":")
     return name.lower(), value.strip()
 
 
-def _encoded(response: Response) -> bytes:
+def _encode(response: Response) -> bytes:
     head = (
         f"HTTP/1.1 {response.status} {HTTPStatus(response.status).phrase}\r\n"
         f"content-length: {len(response.body)}\r\n"
--- a/src/saddlestack/soak/store_messages.py
+++ b/src/saddlestack/soak/store_messages.py
@@ -1,7 +1,7 @@
-"""Messages between a soak and the process that plays its store.
+"""Messages between a soak and the process that simulates its store.
 
-They travel as msgpack, each behind its length. All times are seconds of the system's monotonic
-clock, which all processes of one machine share.
+They are encoded as msgpack, each prefixed with its length. All times are seconds of the system's
+monotonic clock, which all processes of one machine share.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 
 
 class StoreSettings(msgspec.Struct, frozen=True):
-    """What the process plays.
+    """Settings of the store's process.
 
-    :param parent_port: where the soak waits for it.
-    :param vms: each has its own way to the store.
-    :param heartbeat_s: between a worker's writes to its record.
-    :param history_s: changes are remembered for so long.
-    :param configuration: the operators' document.
+    :param parent_port: the port on which the soak accepts the process's connection.
+    :param vms: the names of the VMs; each has its own link to the store.
+    :param heartbeat_s: the interval between a worker's writes to its record.
+    :param history_s: how long changes are kept for watches.
+    :param configuration: the operators' configuration.
     """
 
     parent_port: int
@@ -30,10 +30,11 @@
 
 
 class LinkFault(enum.StrEnum):
-    """What befalls a VM's way to the store.
+    """A fault of a VM's link to the store.
 
-    ``SILENT`` holds calls and answers, ``ONE_WAY`` answers alone; they pass afterwards. Connections
-    that are open when they go ``STALE`` swallow everything from then on; later ones work.
+    ``SILENT`` holds back calls and answers, ``ONE_WAY`` only answers; both are delivered
+    afterwards. Connections that are open when ``STALE`` begins drop all data from then on; later
+    ones work.
     """
 
     SILENT = "silent"
@@ -44,14 +45,14 @@
     REFUSED = "refused"
 
 
-# What the soak tells the store
+# Messages from the soak to the store
 
 
 class BeginTrouble(msgspec.Struct, frozen=True, tag=True):
-    """A trouble of some VMs' ways begins, in place of what they have.
+    """Begin a fault of some VMs' links, in place of the faults that they have.
 
-    :param number: names it.
-    :param delay_s: of calls and answers, where they are delayed.
+    :param number: identifies the fault.
+    :param delay_s: delay of calls and answers, for :attr:`LinkFault.DELAY`.
     """
 
     number: int
@@ -61,22 +62,22 @@
 
 
 class EndTrouble(msgspec.Struct, frozen=True, tag=True):
-    """A trouble ends where no other has taken its place."""
+    """End a fault on the links where no other fault has replaced it."""
 
     number: int
 
 
 class SlowDown(msgspec.Struct, frozen=True, tag=True):
-    """All answers come so much later."""
+    """Delay all answers by ``slow_s``."""
 
     slow_s: float
 
 
 class LoseAnswers(msgspec.Struct, frozen=True, tag=True):
-    """Writes of some VMs take effect and are not answered.
+    """Let writes of some VMs take effect without being answered.
 
-    :param count: so many of each VM.
-    :param late_s: so long after the call they take effect.
+    :param count: the number of writes of each VM.
+    :param late_s: the delay from the call until the write takes effect.
     """
 
     vms: tuple[str, ...]
@@ -85,19 +86,19 @@
 
 
 class ForgetHistory(msgspec.Struct, frozen=True, tag=True):
-    """Watches from before now have to read everything again."""
+    """Drop the history, so that existing watches have to read everything again."""
 
 
 class ProlongLeases(msgspec.Struct, frozen=True, tag=True):
-    """All leases end later, as where they wait while the store is away."""
+    """Extend all leases, as a store does that suspends expiry while it is unavailable."""
 
     seconds: float
 
 
 class TurnWorkersAway(msgspec.Struct, frozen=True, tag=True):
-    """Workers' writes are refused, or taken again.
+    """Refuse workers' writes, or accept them again.
 
-    :param lapse: records may lapse meanwhile.
+    :param lapse: records may expire meanwhile.
     """
 
     away: bool
@@ -105,18 +106,18 @@
 
 
 class LapseRecords(msgspec.Struct, frozen=True, tag=True):
-    """Some workers' records lapse now.
+    """Let some workers' records expire now.
 
-    :param share: of all records, drawn by chance.
+    :param share: the share of all records, drawn at random.
     """
 
     share: float
 
 
 class HoldAtRenewal(msgspec.Struct, frozen=True, tag=True):
-    """Stop a VM's process right before the next renewal of its leadership is answered.
+    """Pause a VM's process right before the next renewal of its leadership is answered.
 
-    :param pid: its process; 0 for no longer.
+    :param pid: the id of the process; 0 withdraws the order.
     """
 
     vm: str
@@ -124,7 +125,7 @@
 
 
 class HealAll(msgspec.Struct, frozen=True, tag=True):
-    """All troubles end."""
+    """End all faults."""
 
 
 ToStore = (
@@ -141,14 +142,14 @@
 )
 
 
-# What the store tells the soak
+# Messages from the store to the soak
 
 
 class StoreReady(msgspec.Struct, frozen=True, tag=True):
-    """The store serves.
+    """The store accepts calls.
 
-    :param ports: of each VM's way.
-    :param records_port: where workers write their records.
+    :param ports: the port of each VM's link.
+    :param records_port: the port to which workers write their records.
     """
 
     ports: dict[str, int]
@@ -158,8 +159,8 @@
 class TermBegan(msgspec.Struct, frozen=True, tag=True):
     """The leader key was written.
 
-    :param fence: the revision of that.
-    :param lease: the lease that it hangs on.
+    :param fence: the revision of the write.
+    :param lease: the lease that the key is attached to.
     """
 
     fence: int
@@ -169,24 +170,24 @@
 
 
 class TermEnded(msgspec.Struct, frozen=True, tag=True):
-    """The leader key has gone."""
+    """The leader key was removed."""
 
     at_s: float
 
 
 class VmHeld(msgspec.Struct, frozen=True, tag=True):
-    """A VM's process was stopped at its renewal."""
+    """A VM's process was paused at the renewal of its leadership."""
 
     vm: str
     pid: int
 
 
 class StoreLoad(msgspec.Struct, frozen=True, tag=True):
-    """What the store did since its last message of this kind.
+    """The load of the store since its last message of this kind.
 
-    :param lag_s: the most by which its event loop was late.
-    :param calls: calls of VMs since the last such message.
-    :param processor_s: processor time since its start.
+    :param lag_s: the maximum lag of its event loop.
+    :param calls: the number of calls of VMs.
+    :param processor_s: processor time since the start of the process.
     """
 
     at_s: float
--- a/src/saddlestack/soak/store_process.py
+++ b/src/saddlestack/soak/store_process.py
@@ -51,7 +51,7 @@
 from saddlestack.wire.http import Request, Response
 
 WATCH_CHECK_INTERVAL_S = 30.0
-"""Links silence watches on their connections, so the store itself rarely has to check them."""
+"""Watches are silenced by the connections of the links, so the store need not check for that."""
 EXPIRY_INTERVAL_S = 0.02
 """Interval at which expired leases are removed; its overrun is the event loop's lag."""
 LOAD_INTERVAL_S = 1.0
--- a/src/saddlestack/soak/worker_faults.py
+++ b/src/saddlestack/soak/worker_faults.py
@@ -1,4 +1,4 @@
-"""Faults of workers: commands to the processes that play them."""
+"""Faults of workers: commands to the processes that simulate them."""
 
 from __future__ import annotations
 
@@ -30,19 +30,19 @@
 )
 from saddlestack.soak.shape import FaultKind, ShapeTimes
 
-FEW_SHARE = (0.02, 0.08)
-MANY_SHARE = (0.05, 0.2)
+SMALL_SHARE = (0.02, 0.08)
+LARGE_SHARE = (0.05, 0.2)
 CALL_SHARE = (0.2, 1.0)
-LATE_S = (1.0, 4.0)
+MIN_ORDER_DELAY_S = (1.0, 4.0)
 LATEST_S = (4.0, 14.0)
 BACK_S = (0.3, 4.0)
-SOON_BACK_S = (0.0, 0.5)
-"""A worker that starts again at once is back before its leader has missed it."""
-CUT_OFF_SHARE = 0.5
+QUICK_RESTART_S = (0.0, 0.5)
+"""A worker that restarts this quickly is back before the leader notices that it was gone."""
+FULL_CUT_SHARE = 0.5
 
 
 class WorkerFaults:
-    """Plays what befalls workers."""
+    """Injects faults of workers."""
 
     def __init__(self, hosts: WorkerHosts, times: ShapeTimes) -> None:
         self._hosts = hosts
@@ -50,7 +50,7 @@
 
     @property
     def actions(self) -> dict[FaultKind, Play]:
-        """What plays each kind."""
+        """The action that injects each kind of fault."""
         return {
             FaultKind.WORKER_LATE_ORDERS: self._late_orders,
             FaultKind.WORKER_LOST_ANSWERS: self._lost_answers,
@@ -72,32 +72,32 @@
         }
 
     async def heal(self) -> None:
-        """End all troubles, and bring back what has left."""
+        """End all faults, and restart workers that are gone."""
         await self._hosts.send(Heal(machines=tuple(each.name for each in self._hosts.machines)))
 
     async def _late_orders(self, fault: Fault, rng: random.Random) -> None:
         command = DelayOrders(
-            machines=self._some(MANY_SHARE, rng),
+            machines=self._draw_machines(LARGE_SHARE, rng),
             seconds=fault.seconds,
-            calls=_calls(rng),
+            calls=_draw_call_kinds(rng),
             share=rng.uniform(*CALL_SHARE),
-            least_s=rng.uniform(*LATE_S),
+            least_s=rng.uniform(*MIN_ORDER_DELAY_S),
             longest_s=rng.uniform(*LATEST_S),
         )
         await self._send(fault, command)
 
     async def _lost_answers(self, fault: Fault, rng: random.Random) -> None:
         command = LoseAnswers(
-            machines=self._some(MANY_SHARE, rng),
+            machines=self._draw_machines(LARGE_SHARE, rng),
             seconds=fault.seconds,
-            calls=_calls(rng),
+            calls=_draw_call_kinds(rng),
             share=rng.uniform(*CALL_SHARE),
         )
         await self._send(fault, command)
 
     async def _drain(self, fault: Fault, rng: random.Random) -> None:
         command = Leave(
-            machines=self._some(MANY_SHARE, rng),
+            machines=self._draw_machines(LARGE_SHARE, rng),
             notice_s=self._times.drain_s,
             linger_s=self._linger_s(rng),
             back_s=rng.uniform(*BACK_S),
@@ -106,7 +106,7 @@
 
     async def _short_notice(self, fault: Fault, rng: random.Random) -> None:
         command = Leave(
-            machines=self._some(MANY_SHARE, rng),
+            machines=self._draw_machines(LARGE_SHARE, rng),
             notice_s=self._times.notice_s,
             linger_s=self._linger_s(rng) if rng.random() < 0.5 else 0.0,
             back_s=rng.uniform(*BACK_S),
@@ -114,9 +114,9 @@
         await self._send(fault, command)
 
     async def _leave(self, fault: Fault, rng: random.Random) -> None:
-        """Workers leave without any notice; some serve on after their record has gone."""
+        """Shut workers down without notice; some still serve after their record is removed."""
         command = Leave(
-            machines=self._some(FEW_SHARE, rng),
+            machines=self._draw_machines(SMALL_SHARE, rng),
             announced=False,
             notice_s=0.0,
             linger_s=self._linger_s(rng) if rng.random() < 0.5 else 0.0,
@@ -125,27 +125,29 @@
         await self._send(fault, command)
 
     async def _lapse(self, fault: Fault, rng: random.Random) -> None:
-        """Workers' records lapse, since the store does not hear them for long; they serve on."""
+        """Cut workers from the store until their records expire; they continue to serve."""
         seconds = 3 * self._times.heartbeat_s + fault.seconds
-        command = CutFromStore(machines=self._some(FEW_SHARE, rng), seconds=seconds)
+        command = CutFromStore(machines=self._draw_machines(SMALL_SHARE, rng), seconds=seconds)
         await self._send(fault, command)
 
     async def _cut_from_store(self, fault: Fault, rng: random.Random) -> None:
-        command = CutFromStore(machines=self._some(MANY_SHARE, rng), seconds=fault.seconds)
+        command = CutFromStore(
+            machines=self._draw_machines(LARGE_SHARE, rng), seconds=fault.seconds
+        )
         await self._send(fault, command)
 
     async def _crash(self, fault: Fault, rng: random.Random) -> None:
         command = Crash(
-            machines=self._some(FEW_SHARE, rng),
+            machines=self._draw_machines(SMALL_SHARE, rng),
             removed=rng.random() < 0.5,
             back_s=rng.uniform(*BACK_S),
         )
         await self._send(fault, command)
 
     async def _restart(self, fault: Fault, rng: random.Random) -> None:
-        """Workers start again, most of them at once, some of them twice."""
-        machines = self._some(MANY_SHARE, rng)
-        back_s = SOON_BACK_S if rng.random() < 0.7 else BACK_S
+        """Restart workers, mostly at once, and sometimes twice."""
+        machines = self._draw_machines(LARGE_SHARE, rng)
+        back_s = QUICK_RESTART_S if rng.random() < 0.7 else BACK_S
         for _ in range(rng.choice((1, 1, 2))):
             crash = Crash(
                 machines=machines, removed=rng.random() < 0.2, back_s=rng.uniform(*back_s)
@@ -154,8 +156,8 @@
             await asyncio.sleep(rng.uniform(0.5, 2.0))
 
     async def _shrink(self, fault: Fault, rng: random.Random) -> None:
-        """Workers have less room for a while, and guard none."""
-        machines = self._some(MANY_SHARE, rng)
+        """Reduce workers' accelerators for a while; meanwhile they do not enforce capacity."""
+        machines = self._draw_machines(LARGE_SHARE, rng)
         full = self._hosts.machines[0].accelerators
         shrunk = Resize(machines=machines, accelerators=rng.randint(1, max(1, full - 1)))
         await self._send(fault, shrunk)
@@ -163,16 +165,16 @@
         await self._send(fault, Resize(machines=machines, accelerators=full))
 
     async def _rewrite(self, fault: Fault, rng: random.Random) -> None:
-        """Another writer changes some workers' records, again and again."""
-        machines = self._some(MANY_SHARE, rng)
+        """Corrupt some workers' records, once or repeatedly."""
+        machines = self._draw_machines(LARGE_SHARE, rng)
         for _ in range(rng.choice((1, 2, 4))):
             how = rng.choice(list(RecordCorruption))
             await self._send(fault, RewriteRecord(machines=machines, how=how))
             await asyncio.sleep(rng.uniform(0.1, 1.0))
 
     async def _crash_cut(self, fault: Fault, rng: random.Random) -> None:
-        """Workers that are cut off crash meanwhile: nobody sees when."""
-        machines = self._some(FEW_SHARE, rng)
+        """Crash workers while they are cut from the VMs, which cannot observe when it happens."""
+        machines = self._draw_machines(SMALL_SHARE, rng)
         await self._send(fault, CutFromVms(machines=machines, seconds=fault.seconds))
         await asyncio.sleep(fault.seconds * rng.random())
         back_s = rng.uniform(*BACK_S)
@@ -180,7 +182,7 @@
 
     async def _hang(self, fault: Fault, rng: random.Random) -> None:
         command = Hang(
-            machines=self._some(MANY_SHARE, rng),
+            machines=self._draw_machines(LARGE_SHARE, rng),
             seconds=fault.seconds,
             share=rng.uniform(*CALL_SHARE),
         )
@@ -188,7 +190,7 @@
 
     async def _errors(self, fault: Fault, rng: random.Random) -> None:
         command = AnswerErrors(
-            machines=self._some(FEW_SHARE, rng),
+            machines=self._draw_machines(SMALL_SHARE, rng),
             seconds=fault.seconds,
             answer=rng.choice(list(ErrorAnswer)),
             share=rng.uniform(*CALL_SHARE),
@@ -196,37 +198,42 @@
         await self._send(fault, command)
 
     async def _tasks(self, fault: Fault, rng: random.Random) -> None:
-        """Tasks stand still or are slow."""
+        """Make tasks stuck or slow."""
         command = TroubleTasks(
-            machines=self._some(FEW_SHARE, rng),
+            machines=self._draw_machines(SMALL_SHARE, rng),
             seconds=fault.seconds,
             how=rng.choice((TaskFault.STUCK, TaskFault.SLOW)),
         )
         await self._send(fault, command)
 
     async def _fail_tasks(self, fault: Fault, rng: random.Random) -> None:
-        """Workers fail all that they start."""
+        """Let all runs fail that start at some workers."""
         command = TroubleTasks(
-            machines=self._some(FEW_SHARE, rng), seconds=fault.seconds, how=TaskFault.FAIL
+            machines=self._draw_machines(SMALL_SHARE, rng),
+            seconds=fault.seconds,
+            how=TaskFault.FAIL,
         )
         await self._send(fault, command)
 
     async def _cut_from_vms(self, fault: Fault, rng: random.Random) -> None:
-        """Workers run on that the VMs do not reach; about half of them reach nobody at all."""
-        machines = self._some(MANY_SHARE, rng)
+        """Cut workers from the VMs, and about half of the times from the store, too.
+
+        The workers keep running.
+        """
+        machines = self._draw_machines(LARGE_SHARE, rng)
         command: Command = CutFromVms(
             machines=machines, seconds=fault.seconds, way=rng.choice(list(CutDirection))
         )
-        if rng.random() < CUT_OFF_SHARE:
+        if rng.random() < FULL_CUT_SHARE:
             command = CutOff(machines=machines, seconds=fault.seconds)
         await self._send(fault, command)
 
     async def _send(self, fault: Fault, command: Command) -> None:
         fault.on = " ".join(command.machines)
-        fault.detail = f"{fault.detail} {_without_machines(command)}".strip()
+        fault.detail = f"{fault.detail} {_describe(command)}".strip()
         await self._hosts.send(command)
 
-    def _some(self, share: tuple[float, float], rng: random.Random) -> tuple[str, ...]:
+    def _draw_machines(self, share: tuple[float, float], rng: random.Random) -> tuple[str, ...]:
         names = [machine.name for machine in self._hosts.machines]
         return tuple(sorted(rng.sample(names, max(1, round(rng.uniform(*share) * len(names))))))
 
@@ -234,15 +241,15 @@
         return rng.uniform(0.0, self._times.linger_s)
 
 
-def _calls(rng: random.Random) -> tuple[CallKind, ...]:
-    """All kinds of calls, or one of them."""
+def _draw_call_kinds(rng: random.Random) -> tuple[CallKind, ...]:
+    """Draw all kinds of calls, or one of them."""
     if rng.random() < 0.5:
         return tuple(CallKind)
     return (rng.choice(list(CallKind)),)
 
 
-def _without_machines(command: Command) -> str:
-    """What a command does, in short."""
+def _describe(command: Command) -> str:
+    """Describe a command without the names of its machines."""
     fields = (
         f"{name}={getattr(command, name)}"
         for name in command.__struct_fields__
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -573,7 +573,7 @@
         with tempfile.TemporaryDirectory() as folder:
             cuts = Path(folder) / "cuts"
             cuts.write_text("")
-            with patch("saddlestack.soak.launcher.LOOK_S", 0.01):
+            with patch("saddlestack.soak.launcher.CUTS_POLL_INTERVAL_S", 0.01):
                 asyncio.run(body())
 
 
@@ -633,7 +633,7 @@
     all: list[asyncio.subprocess.Process] = field(default_factory=list)
 
     async def start(self) -> None:
-        self._holds = 0
+        self._pause_count = 0
         self.process = await asyncio.create_subprocess_exec("sleep", "60")
         self.all.append(self.process)
 
