--- a/tests/soak_support.py
+++ b/tests/soak_support.py
@@ -104,7 +104,7 @@
         """Stop a run."""
         self.incarnations[worker].stop(task(index), number, fence, Arrival(now()))
 
-    async def look(
+    async def poll(
         self, *, worker: int = 0, seen: int = 0, wait_s: float = 0.0, fence: int = 1
     ) -> WorkerReport:
         """Look, without a renewal."""
--- a/tests/test_soak_workers.py
+++ b/tests/test_soak_workers.py
@@ -1,4 +1,4 @@
-"""Machines with a soak's workers: what becomes of calls in trouble, lives, and their records."""
+"""Machines with a soak's workers: faults of calls, incarnations, and records."""
 
 from __future__ import annotations
 
@@ -52,15 +52,15 @@
 
 TIMEOUT_S = 0.5
 ALL = ("m0",)
-TOLD_S = 0.1
+RECORD_WAIT_S = 0.1
 
 
 @dataclass
 class Site:
-    """One machine, the store, and a VM's way to the present life."""
+    """One machine, the store, and a VM's connection to the current incarnation."""
 
     store: StoreState = field(default_factory=StoreState)
-    told: list[Record | GangMessage] = field(default_factory=list)
+    messages: list[Record | GangMessage] = field(default_factory=list)
     fence: int = 1
     orders: HttpWorkerOrders = None  # type: ignore[assignment]
 
@@ -68,11 +68,11 @@
         self.records = WorkerRecords(self.store, TIMES.heartbeat_s)
         await self.records.start()
         self.client = HttpClient("127.0.0.1", self.records.port)
-        surroundings = HostContext(TIMES, SERVICE, self.client, self.told.append, lambda: None)
-        self.machine = Machine(machine(0), surroundings, random.Random(1))
+        context = HostContext(TIMES, SERVICE, self.client, self.messages.append, lambda: None)
+        self.machine = Machine(machine(0), context, random.Random(1))
         await self.machine.start()
-        await asyncio.sleep(TOLD_S)
-        self.dial()
+        await asyncio.sleep(RECORD_WAIT_S)
+        self.connect()
 
     async def stop(self) -> None:
         self.orders.close()
@@ -80,8 +80,8 @@
         self.client.close()
         await self.records.stop()
 
-    def dial(self) -> HttpWorkerOrders:
-        """A way to the life that is present."""
+    def connect(self) -> HttpWorkerOrders:
+        """Connect to the current incarnation."""
         assert self.machine.incarnation is not None
         if self.orders is not None:
             self.orders.close()
@@ -89,7 +89,7 @@
         self.orders = HttpWorkerOrders(self.machine.incarnation.worker_id, address, int(port))
         return self.orders
 
-    async def begin(self, index: int = 0, number: int = 1, work_s: float = 100.0) -> None:
+    async def start_run(self, index: int = 0, number: int = 1, work_s: float = 100.0) -> None:
         """Start a run."""
         assert self.machine.incarnation is not None
         deadline_ms = self.machine.incarnation.clock_ms() + 6000
@@ -97,8 +97,8 @@
         order = StartOrder(task(index), number, plan, "", deadline_ms, self.fence)
         await self.orders.start(order, TIMEOUT_S)
 
-    async def look(self, renew_ms: int | None = None, seen: int = 0) -> WorkerReport:
-        """Look, and renew."""
+    async def poll(self, renew_ms: int | None = None, seen: int = 0) -> WorkerReport:
+        """Poll the worker, and renew its lease if ``renew_ms`` is given."""
         deadline_ms = None
         if renew_ms is not None and self.machine.incarnation is not None:
             deadline_ms = self.machine.incarnation.clock_ms() + renew_ms
@@ -108,17 +108,17 @@
         """Stop a run."""
         await self.orders.stop(task(index), number, self.fence, TIMEOUT_S)
 
-    def begun(self) -> list[RunBegan]:
-        """Runs that began."""
-        return [each for each in self.told if isinstance(each, RunBegan)]
+    def begun_runs(self) -> list[RunBegan]:
+        """Runs that have begun."""
+        return [each for each in self.messages if isinstance(each, RunBegan)]
 
-    def recorded(self) -> list[str]:
-        """Workers in the store."""
+    def listed_workers(self) -> list[str]:
+        """Workers that are listed in the store."""
         return [item.key.removeprefix("servers/") for item in self.store.keys("servers/")]
 
 
 class SiteTest(unittest.TestCase):
-    def at_site(self, body: Callable[[Site], Awaitable[None]]) -> None:
+    def run_at_site(self, body: Callable[[Site], Awaitable[None]]) -> None:
         async def main() -> None:
             site = Site()
             await site.start()
@@ -130,9 +130,9 @@
         virtually(main)
 
 
-class CallTroubleTest(SiteTest):
+class CallFaultTest(SiteTest):
     def test_late_starts_are_carried_out_later(self) -> None:
-        """The delay stays below the lease: a start that comes after its deadline begins nothing."""
+        """The delay is below the lease, since a start after its deadline is refused."""
 
         async def body(site: Site) -> None:
             delay = DelayOrders(
@@ -141,46 +141,46 @@
             site.machine.apply(delay)
             sent = now()
             with self.assertRaises(WorkerUnreachable):
-                await site.begin()
-            await site.look(6000)
-            self.assertEqual(site.begun(), [])
+                await site.start_run()
+            await site.poll(6000)
+            self.assertEqual(site.begun_runs(), [])
             await asyncio.sleep(4.0)
-            (run,) = site.begun()
+            (run,) = site.begun_runs()
             self.assertTrue(run.late)
             self.assertAlmostEqual(run.ordered_s, sent, places=1)
             self.assertTrue(2.0 <= run.at_s - sent <= 4.2)
 
-        self.at_site(body)
+        self.run_at_site(body)
 
-    def test_late_stops_and_late_renewals_each_alone(self) -> None:
+    def test_late_stops_and_late_renewals_are_separate(self) -> None:
         async def renewals(site: Site) -> None:
-            await site.begin()
+            await site.start_run()
             delay = DelayOrders(
                 machines=ALL, seconds=1.0, calls=(CallKind.LOOK,), least_s=2.0, longest_s=3.0
             )
             site.machine.apply(delay)
             with self.assertRaises(WorkerUnreachable):
-                await site.look(9000)
+                await site.poll(9000)
             await asyncio.sleep(7.0)
-            self.assertEqual(len((await site.look()).running), 1, "the late renewal counted")
+            self.assertEqual(len((await site.poll()).running), 1, "the late renewal counted")
 
         async def stops(site: Site) -> None:
-            await site.begin()
+            await site.start_run()
             delay = DelayOrders(
                 machines=ALL, seconds=1.0, calls=(CallKind.STOP,), least_s=2.0, longest_s=3.0
             )
             site.machine.apply(delay)
             with self.assertRaises(WorkerUnreachable):
                 await site.stop_run()
-            self.assertEqual(len((await site.look(6000)).running), 1)
+            self.assertEqual(len((await site.poll(6000)).running), 1)
             await asyncio.sleep(4.5)
-            (end,) = (await site.look()).ended
+            (end,) = (await site.poll()).ended
             self.assertIs(end.how, EndKind.STOPPED)
 
-        self.at_site(renewals)
-        self.at_site(stops)
+        self.run_at_site(renewals)
+        self.run_at_site(stops)
 
-    def test_answers_that_are_lost(self) -> None:
+    def test_calls_with_lost_answers_are_carried_out(self) -> None:
         for reset_share in (0.0, 1.0):
             with self.subTest(reset_share):
 
@@ -190,26 +190,26 @@
                     )
                     began = now()
                     with self.assertRaises(WorkerUnreachable):
-                        await site.begin()
+                        await site.start_run()
                     self.assertEqual(now() - began < TIMEOUT_S / 2, reset_share == 1.0)
-                    self.assertEqual([run.late for run in site.begun()], [False])
+                    self.assertEqual([run.late for run in site.begun_runs()], [False])
                     await asyncio.sleep(1.0)
-                    self.assertEqual(len((await site.look()).running), 1)
+                    self.assertEqual(len((await site.poll()).running), 1)
 
-                self.at_site(body)
+                self.run_at_site(body)
 
-    def test_a_worker_that_hangs_does_nothing(self) -> None:
+    def test_a_hanging_worker_carries_out_no_calls(self) -> None:
         async def body(site: Site) -> None:
             site.machine.apply(Hang(machines=ALL, seconds=1.0))
             with self.assertRaises(WorkerUnreachable):
-                await site.begin()
+                await site.start_run()
             await asyncio.sleep(20.0)
-            self.assertEqual(site.begun(), [])
-            await site.look()
+            self.assertEqual(site.begun_runs(), [])
+            await site.poll()
 
-        self.at_site(body)
+        self.run_at_site(body)
 
-    def test_a_worker_that_answers_errors_does_nothing(self) -> None:
+    def test_a_worker_that_answers_errors_carries_out_no_calls(self) -> None:
         errors = {
             ErrorAnswer.UNAVAILABLE: WorkerBusy,
             ErrorAnswer.INTERNAL: WorkerUnreachable,
@@ -226,122 +226,122 @@
                     site.machine.apply(AnswerErrors(machines=ALL, seconds=1.0, answer=answer))
                     began = now()
                     with self.assertRaises(error):
-                        await site.begin()
+                        await site.start_run()
                     self.assertLess(now() - began, TIMEOUT_S / 2, "at once")
                     await asyncio.sleep(1.0)
-                    self.assertEqual((await site.look()).running, ())
+                    self.assertEqual((await site.poll()).running, ())
 
-                self.at_site(body)
+                self.run_at_site(body)
 
-    def test_a_share_of_calls_is_drawn_by_chance(self) -> None:
+    def test_a_fault_affects_a_random_share_of_calls(self) -> None:
         async def body(site: Site) -> None:
             site.machine.apply(AnswerErrors(machines=ALL, seconds=100.0, share=0.4))
             busy = 0
             for _ in range(200):
                 try:
-                    await site.look()
+                    await site.poll()
                 except WorkerBusy:
                     busy += 1
             self.assertTrue(50 <= busy <= 110, busy)
 
-        self.at_site(body)
+        self.run_at_site(body)
 
 
 class CutTest(SiteTest):
-    def test_what_a_cut_holds_back_passes_afterwards(self) -> None:
+    def test_held_calls_are_delivered_after_a_cut(self) -> None:
         async def body(site: Site) -> None:
             site.machine.apply(CutFromVms(machines=ALL, seconds=3.0))
             sent = now()
             with self.assertRaises(WorkerUnreachable):
-                await site.begin()
-            self.assertEqual(site.begun(), [])
+                await site.start_run()
+            self.assertEqual(site.begun_runs(), [])
             await asyncio.sleep(3.0)
-            (run,) = site.begun()
+            (run,) = site.begun_runs()
             self.assertTrue(run.late)
             self.assertAlmostEqual(run.at_s - sent, 3.0, places=1)
 
-        self.at_site(body)
+        self.run_at_site(body)
 
-    def test_a_cut_of_answers_lets_orders_through(self) -> None:
+    def test_a_cut_of_answers_does_not_hold_orders(self) -> None:
         async def body(site: Site) -> None:
             site.machine.apply(CutFromVms(machines=ALL, seconds=3.0, way=CutDirection.ANSWERS))
             with self.assertRaises(WorkerUnreachable):
-                await site.begin()
-            self.assertEqual([run.late for run in site.begun()], [False])
+                await site.start_run()
+            self.assertEqual([run.late for run in site.begun_runs()], [False])
 
-        self.at_site(body)
+        self.run_at_site(body)
 
-    def test_a_cut_from_one_leader(self) -> None:
+    def test_a_cut_from_one_leader_does_not_affect_another(self) -> None:
         async def body(site: Site) -> None:
             site.machine.apply(CutFromVms(machines=ALL, seconds=3.0, fences=(1,)))
             with self.assertRaises(WorkerUnreachable):
-                await site.look()
+                await site.poll()
             site.fence = 2
-            await site.look()
+            await site.poll()
 
-        self.at_site(body)
+        self.run_at_site(body)
 
-    def test_a_worker_that_is_cut_off_runs_on_while_its_record_lapses(self) -> None:
+    def test_a_partitioned_worker_keeps_running_while_its_record_expires(self) -> None:
         async def body(site: Site) -> None:
-            await site.begin(work_s=4.0)
+            await site.start_run(work_s=4.0)
             site.machine.apply(CutOff(machines=ALL, seconds=8.0))
             with self.assertRaises(WorkerUnreachable):
-                await site.look()
+                await site.poll()
             await asyncio.sleep(3 * TIMES.heartbeat_s + 1.0)
-            self.assertEqual(site.recorded(), [])
-            self.assertEqual(len(site.begun()), 1)
+            self.assertEqual(site.listed_workers(), [])
+            self.assertEqual(len(site.begun_runs()), 1)
             await asyncio.sleep(5.0)
-            self.assertEqual([end.how for end in (await site.look()).ended], [EndKind.DONE])
-            self.assertEqual(site.recorded(), ["i-m0-1"])
+            self.assertEqual([end.how for end in (await site.poll()).ended], [EndKind.DONE])
+            self.assertEqual(site.listed_workers(), ["i-m0-1"])
 
-        self.at_site(body)
+        self.run_at_site(body)
 
-    def test_a_crash_behind_a_cut_and_a_new_life_at_the_same_address(self) -> None:
+    def test_a_new_incarnation_at_the_same_address_after_a_crash_during_a_cut(self) -> None:
         async def body(site: Site) -> None:
-            await site.begin()
+            await site.start_run()
             address = site.machine.address
             site.machine.apply(CutFromVms(machines=ALL, seconds=5.0))
             site.machine.apply(Crash(machines=ALL, silent=True, back_s=2.0))
             with self.assertRaises(WorkerUnreachable):
-                await site.look()
+                await site.poll()
             await asyncio.sleep(6.0)
             self.assertEqual(site.machine.address, address)
             with self.assertRaises(WorkerReplaced):
-                await site.look()
-            site.dial()
-            self.assertEqual((await site.look()).running, ())
-            self.assertIn("i-m0-2", site.recorded())
+                await site.poll()
+            site.connect()
+            self.assertEqual((await site.poll()).running, ())
+            self.assertIn("i-m0-2", site.listed_workers())
 
-        self.at_site(body)
+        self.run_at_site(body)
 
 
-class LifeTest(SiteTest):
-    def test_a_crash_refuses_connections_and_its_record_lapses(self) -> None:
+class IncarnationTest(SiteTest):
+    def test_a_crashed_worker_refuses_connections_and_its_record_expires(self) -> None:
         async def body(site: Site) -> None:
-            await site.begin()
+            await site.start_run()
             site.machine.apply(Crash(machines=ALL, back_s=None))
             await asyncio.sleep(0.2)
             began = now()
             with self.assertRaises(WorkerUnreachable):
-                await site.look()
+                await site.poll()
             self.assertLess(now() - began, TIMEOUT_S / 2)
-            self.assertEqual(site.recorded(), ["i-m0-1"])
+            self.assertEqual(site.listed_workers(), ["i-m0-1"])
             await asyncio.sleep(3 * TIMES.heartbeat_s + 0.2)
-            self.assertEqual(site.recorded(), [])
+            self.assertEqual(site.listed_workers(), [])
 
-        self.at_site(body)
+        self.run_at_site(body)
 
-    def test_a_crash_that_takes_the_record_along(self) -> None:
+    def test_a_crash_that_removes_the_record(self) -> None:
         async def body(site: Site) -> None:
             site.machine.apply(Crash(machines=ALL, removed=True, back_s=None))
             await asyncio.sleep(0.2)
-            self.assertEqual(site.recorded(), [])
+            self.assertEqual(site.listed_workers(), [])
 
-        self.at_site(body)
+        self.run_at_site(body)
 
-    def test_an_announced_end(self) -> None:
+    def test_an_announced_shutdown(self) -> None:
         async def body(site: Site) -> None:
-            await site.begin()
+            await site.start_run()
             site.machine.apply(Leave(machines=ALL, notice_s=3.0, linger_s=2.0, back_s=None))
             await asyncio.sleep(0.2)
             (item,) = site.store.keys("servers/")
@@ -350,62 +350,62 @@
             self.assertIsNotNone(record.remaining_ms)
             self.assertTrue(2700 <= (record.remaining_ms or 0) <= 3000, record)
             await asyncio.sleep(4.5)
-            self.assertEqual(len((await site.look(6000)).running), 1, "it serves on")
+            self.assertEqual(len((await site.poll(6000)).running), 1, "it serves on")
             await asyncio.sleep(0.6)
             with self.assertRaises(WorkerUnreachable):
-                await site.look()
-            self.assertEqual(site.recorded(), [], "the record goes when it has ended")
-            ended = [each for each in site.told if isinstance(each, LifeEnded)]
-            announced = [each for each in site.told if isinstance(each, LifeAnnounced)]
+                await site.poll()
+            self.assertEqual(site.listed_workers(), [], "the record goes when it has ended")
+            ended = [each for each in site.messages if isinstance(each, LifeEnded)]
+            announced = [each for each in site.messages if isinstance(each, LifeAnnounced)]
             self.assertEqual([each.crashed for each in ended], [False])
             self.assertAlmostEqual(ended[0].at_s - announced[0].at_s, 5.0, places=1)
 
-        self.at_site(body)
+        self.run_at_site(body)
 
-    def test_an_announced_end_whose_record_goes_first(self) -> None:
+    def test_an_announced_shutdown_that_removes_the_record_first(self) -> None:
         async def body(site: Site) -> None:
             leave = Leave(machines=ALL, notice_s=2.0, linger_s=2.0, record_first=True, back_s=None)
             site.machine.apply(leave)
             await asyncio.sleep(2.5)
-            self.assertEqual(site.recorded(), [])
-            await site.look()
+            self.assertEqual(site.listed_workers(), [])
+            await site.poll()
             await asyncio.sleep(2.0)
             with self.assertRaises(WorkerUnreachable):
-                await site.look()
+                await site.poll()
 
-        self.at_site(body)
+        self.run_at_site(body)
 
-    def test_an_end_that_is_not_announced(self) -> None:
+    def test_an_unannounced_shutdown(self) -> None:
         async def body(site: Site) -> None:
             leave = Leave(machines=ALL, announced=False, notice_s=3.0, linger_s=1.0, back_s=0.5)
             site.machine.apply(leave)
             await asyncio.sleep(3.8)
-            self.assertEqual(site.recorded(), [])
-            await site.look()
+            self.assertEqual(site.listed_workers(), [])
+            await site.poll()
             await asyncio.sleep(0.4)
             with self.assertRaises(WorkerUnreachable):
-                await site.look()
+                await site.poll()
             await asyncio.sleep(0.6)
-            self.assertEqual(site.recorded(), ["i-m0-2"])
+            self.assertEqual(site.listed_workers(), ["i-m0-2"])
             with self.assertRaises(WorkerReplaced):
-                await site.look()
+                await site.poll()
 
-        self.at_site(body)
+        self.run_at_site(body)
 
-    def test_an_announcement_counts_from_when_the_store_takes_it(self) -> None:
+    def test_the_notice_counts_from_when_the_store_accepts_the_announcement(self) -> None:
         async def body(site: Site) -> None:
             site.records.is_unavailable = True
             site.machine.apply(Leave(machines=ALL, notice_s=1.0, back_s=None))
             await asyncio.sleep(5.0)
-            await site.look()
+            await site.poll()
             site.records.is_unavailable = False
             await asyncio.sleep(3.0)
             with self.assertRaises(WorkerUnreachable):
-                await site.look()
+                await site.poll()
 
-        self.at_site(body)
+        self.run_at_site(body)
 
-    def test_healing_brings_a_worker_back_and_ends_troubles(self) -> None:
+    def test_healing_restarts_a_worker_and_ends_faults(self) -> None:
         async def body(site: Site) -> None:
             site.machine.apply(Hang(machines=ALL, seconds=1000.0))
             site.machine.apply(CutFromVms(machines=ALL, seconds=1000.0))
@@ -413,35 +413,35 @@
             await asyncio.sleep(1.0)
             site.machine.apply(Heal(machines=ALL))
             await asyncio.sleep(0.5)
-            site.dial()
-            self.assertEqual((await site.look()).running, ())
+            site.connect()
+            self.assertEqual((await site.poll()).running, ())
 
-        self.at_site(body)
+        self.run_at_site(body)
 
-    def test_tasks_in_trouble(self) -> None:
+    def test_failing_and_stuck_tasks(self) -> None:
         async def body(site: Site) -> None:
-            trouble = TroubleTasks(machines=ALL, seconds=2.0, how=TaskFault.FAIL)
-            site.machine.apply(trouble)
+            failing = TroubleTasks(machines=ALL, seconds=2.0, how=TaskFault.FAIL)
+            site.machine.apply(failing)
             await asyncio.sleep(0.1)
-            await site.begin()
+            await site.start_run()
             await asyncio.sleep(0.2)
-            (end,) = (await site.look()).ended
+            (end,) = (await site.poll()).ended
             self.assertIs(end.how, EndKind.FAILED)
             await asyncio.sleep(2.0)
-            await site.begin(number=2, work_s=1.0)
+            await site.start_run(number=2, work_s=1.0)
             await asyncio.sleep(1.2)
-            (end,) = (await site.look(seen=1)).ended
+            (end,) = (await site.poll(seen=1)).ended
             self.assertIs(end.how, EndKind.DONE)
-            standing = TroubleTasks(machines=ALL, seconds=3.0, how=TaskFault.STUCK)
-            site.machine.apply(standing)
+            stuck = TroubleTasks(machines=ALL, seconds=3.0, how=TaskFault.STUCK)
+            site.machine.apply(stuck)
             await asyncio.sleep(0.1)
-            await site.begin(number=3, work_s=1.0)
+            await site.start_run(number=3, work_s=1.0)
             await asyncio.sleep(2.5)
-            self.assertEqual(len((await site.look(seen=2)).running), 1)
+            self.assertEqual(len((await site.poll(seen=2)).running), 1)
             await asyncio.sleep(1.7)
-            self.assertEqual([end.how for end in (await site.look()).ended], [EndKind.DONE])
+            self.assertEqual([end.how for end in (await site.poll()).ended], [EndKind.DONE])
 
-        self.at_site(body)
+        self.run_at_site(body)
 
 
 class RecordTest(SiteTest):
@@ -458,51 +458,53 @@
             self.assertTrue(19 <= len(seqs) <= 22, seqs)
             self.assertEqual(len(clocks), len(seqs))
 
-        self.at_site(body)
+        self.run_at_site(body)
 
-    def test_a_record_lapses_while_its_worker_is_cut_from_the_store_and_serves(self) -> None:
+    def test_a_record_expires_while_its_worker_is_cut_from_the_store_and_serves(self) -> None:
         async def body(site: Site) -> None:
             site.machine.apply(CutFromStore(machines=ALL, seconds=8.0))
             await asyncio.sleep(7.0)
-            self.assertEqual(site.recorded(), [])
-            await site.look()
+            self.assertEqual(site.listed_workers(), [])
+            await site.poll()
             await asyncio.sleep(3.0)
-            self.assertEqual(site.recorded(), ["i-m0-1"])
+            self.assertEqual(site.listed_workers(), ["i-m0-1"])
 
-        self.at_site(body)
+        self.run_at_site(body)
 
-    def test_a_new_life_behind_a_cut_from_the_store_is_not_recorded_before_it_ends(self) -> None:
+    def test_an_incarnation_that_begins_during_a_cut_from_the_store_is_listed_after_it(
+        self,
+    ) -> None:
         async def body(site: Site) -> None:
             site.machine.apply(CutFromStore(machines=ALL, seconds=6.0))
             site.machine.apply(Crash(machines=ALL, back_s=1.0))
             await asyncio.sleep(5.5)
-            self.assertEqual(site.recorded(), [])
+            self.assertEqual(site.listed_workers(), [])
             await asyncio.sleep(2.0)
-            self.assertEqual(site.recorded(), ["i-m0-2"])
+            self.assertEqual(site.listed_workers(), ["i-m0-2"])
 
-        self.at_site(body)
+        self.run_at_site(body)
 
-    def test_records_are_back_within_two_seconds_of_the_stores_return(self) -> None:
+    def test_records_are_listed_again_within_two_seconds_of_the_stores_return(self) -> None:
         async def body(site: Site) -> None:
             site.records.is_unavailable = True
             site.records.expire_while_unavailable = True
             await asyncio.sleep(10.0)
-            self.assertEqual(site.recorded(), [])
+            self.assertEqual(site.listed_workers(), [])
             site.records.is_unavailable = False
             await asyncio.sleep(2.0)
-            self.assertEqual(site.recorded(), ["i-m0-1"])
+            self.assertEqual(site.listed_workers(), ["i-m0-1"])
 
-        self.at_site(body)
+        self.run_at_site(body)
 
-    def test_records_wait_while_nobody_is_heard(self) -> None:
+    def test_records_do_not_expire_while_the_store_refuses_writes(self) -> None:
         async def body(site: Site) -> None:
             site.records.is_unavailable = True
             await asyncio.sleep(10.0)
-            self.assertEqual(site.recorded(), ["i-m0-1"])
+            self.assertEqual(site.listed_workers(), ["i-m0-1"])
 
-        self.at_site(body)
+        self.run_at_site(body)
 
-    def test_a_write_that_changes_the_number_alone_is_no_change(self) -> None:
+    def test_a_write_that_changes_only_the_sequence_number_is_no_change(self) -> None:
         async def body() -> None:
             store = StoreState()
             records = WorkerRecords(store, TIMES.heartbeat_s)
--- a/tests/test_worker_gangs.py
+++ b/tests/test_worker_gangs.py
@@ -1,4 +1,4 @@
-"""Workers of a soak under seeded orders of two leaders: what must hold whatever they order."""
+"""Invariants of a soak's workers under random seeded orders of two leaders."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 
 
 @dataclass
-class Chance:
-    """Random orders and troubles."""
+class RandomOrders:
+    """Random orders and faults."""
 
     seed: int
     workers: Workers = field(init=False)
@@ -33,7 +33,7 @@
         self.rng = random.Random(self.seed)
 
     async def play(self) -> None:
-        """Play them to the end."""
+        """Send all orders, then wait until the leases have expired."""
         self.workers = Workers(WORKERS, self.seed)
         for _ in range(STEPS):
             await self._step()
@@ -42,9 +42,9 @@
 
     async def _step(self) -> None:
         rng = self.rng
-        act = rng.choice((self._start, self._start, self._start, self._stop, self._look))
+        action = rng.choice((self._start, self._start, self._start, self._stop, self._poll))
         try:
-            await act()
+            await action()
         except (WorkerFenced, WorkerUnreachable):
             pass
         if rng.random() < 0.03:
@@ -53,7 +53,7 @@
             rng.choice(self.workers.incarnations).set_speed(rng.choice((0.0, 0.5, 1.0)))
 
     async def _start(self) -> None:
-        """Some members of a gang, or a task that works alone."""
+        """Start some members of a gang, or a task without a gang."""
         rng = self.rng
         gang = rng.random() < 0.7
         number = rng.randrange(1, 6)
@@ -77,7 +77,7 @@
             fence=self._fence(),
         )
 
-    async def _look(self) -> None:
+    async def _poll(self) -> None:
         worker = self._worker()
         incarnation = self.workers.incarnations[worker]
         await incarnation.hold(
@@ -85,19 +85,19 @@
         )
 
     def _crash(self) -> None:
-        """One worker crashes, and another one comes in its place."""
+        """Crash one worker and start a new incarnation on its machine."""
         worker = self._worker()
         incarnation = self.workers.incarnations[worker]
         incarnation.end(crashed=True)
         self.workers.add(int(incarnation.machine.name.removeprefix("m")))
 
     def _worker(self) -> int:
-        up = [
+        running = [
             n
             for n, incarnation in enumerate(self.workers.incarnations)
             if not incarnation.has_ended
         ]
-        return self.rng.choice(up)
+        return self.rng.choice(running)
 
     def _fence(self) -> int:
         return self.rng.choice((1, 2, 2, 2))
@@ -105,22 +105,22 @@
 
 class SeededTest(unittest.TestCase):
     def play(self, seed: int) -> Workers:
-        chance = Chance(seed)
-        virtually(chance.play)
-        return chance.workers
+        orders = RandomOrders(seed)
+        virtually(orders.play)
+        return orders.workers
 
-    def test_what_holds_whatever_is_ordered(self) -> None:
-        works = 0
+    def test_invariants_hold_for_any_orders(self) -> None:
+        members_at_work = 0
         for seed in range(SEEDS):
             with self.subTest(seed=seed):
                 workers = self.play(seed)
                 self.check_ends_are_those_of_runs_that_began(workers)
-                self.check_gangs_work_whole_and_end_done_together(workers)
-                self.check_room(workers)
-                works += sum(isinstance(each, RunWorks) for each in workers.records)
-        self.assertGreater(works, SEEDS * GANG, "gangs did meet")
+                self.check_gangs_work_when_complete_and_end_together(workers)
+                self.check_capacity(workers)
+                members_at_work += sum(isinstance(each, RunWorks) for each in workers.records)
+        self.assertGreater(members_at_work, SEEDS * GANG, "gangs did meet")
 
-    def test_a_seed_plays_the_same_again(self) -> None:
+    def test_a_seed_reproduces_its_records(self) -> None:
         self.assertEqual(self.play(3).records, self.play(3).records)
 
     def check_ends_are_those_of_runs_that_began(self, workers: Workers) -> None:
@@ -140,7 +140,7 @@
         for incarnation in workers.incarnations:
             self.assertEqual(incarnation.runs, {}, "leases are over")
 
-    def check_gangs_work_whole_and_end_done_together(self, workers: Workers) -> None:
+    def check_gangs_work_when_complete_and_end_together(self, workers: Workers) -> None:
         ends = defaultdict(list)
         for run in RunBook.of(workers.records).runs:
             if run.gang and run.how is EndKind.DONE:
@@ -151,7 +151,7 @@
             self.assertLessEqual(max(times) - min(times), 1e-3, gang)
             self.assertEqual({run.task.index for run in runs}, set(range(GANG)), gang)
 
-    def check_room(self, workers: Workers) -> None:
+    def check_capacity(self, workers: Workers) -> None:
         step = Step(count=GANG + 1, needs=Resources(1000, 1024, 1), speculative=True)
         job = ClientJob(
             JOB,
--- a/tests/test_worker_hosts.py
+++ b/tests/test_worker_hosts.py
@@ -1,4 +1,4 @@
-"""A soak's workers in processes of their own: gangs across them, commands, and their end."""
+"""Host processes of a soak's workers: gangs across processes, commands, and shutdown."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 class ProcessesTest(unittest.TestCase):
-    def with_hosts(self, body: Callable[[WorkerHosts, StoreState], Awaitable[None]]) -> None:
+    def run_with_hosts(self, body: Callable[[WorkerHosts, StoreState], Awaitable[None]]) -> None:
         async def main(folder: Path) -> None:
             store = StoreState()
             records = WorkerRecords(store, TIMES.heartbeat_s)
@@ -68,27 +68,27 @@
         with tempfile.TemporaryDirectory() as folder:
             asyncio.run(main(Path(folder)))
 
-    async def until(self, holds: Callable[[], bool]) -> None:
+    async def until(self, condition: Callable[[], bool]) -> None:
         async with asyncio.timeout(TIMEOUT_S):
-            while not holds():
+            while not condition():
                 await asyncio.sleep(0.01)
 
     def test_a_gang_across_processes_ends_done_together(self) -> None:
         async def body(hosts: WorkerHosts, store: StoreState) -> None:
             plan = payload(TaskPlan(0.2, gang=SHAPE.workers))
             for index, item in enumerate(store.keys("servers/")):
-                entry = json.loads(item.value)
-                address, _, port = entry["address"].rpartition(":")
+                record = json.loads(item.value)
+                address, _, port = record["address"].rpartition(":")
                 worker_id = item.key.removeprefix("servers/")
                 orders = HttpWorkerOrders(worker_id, address, int(port))
-                deadline_ms = entry["clock-ms"] + 6000
+                deadline_ms = record["clock-ms"] + 6000
                 start = StartOrder(task(index), 1, plan, "", deadline_ms, 1)
                 self.assertIsNone((await orders.start(start, TIMEOUT_S)).refusal)
                 orders.close()
             await self.until(lambda: len(self.ends(hosts)) == SHAPE.workers)
             self.assertEqual({end.how for end in self.ends(hosts)}, {EndKind.DONE.value})
 
-        self.with_hosts(body)
+        self.run_with_hosts(body)
 
     def test_a_command_reaches_the_machines_that_it_names(self) -> None:
         async def body(hosts: WorkerHosts, store: StoreState) -> None:
@@ -99,15 +99,15 @@
             expected = {"i-m001-2", "i-m002-1", "i-m003-1", "i-m004-2"}
             self.assertEqual(set(hosts.incarnations), expected)
 
-        self.with_hosts(body)
+        self.run_with_hosts(body)
 
-    def test_processes_end_with_their_streams(self) -> None:
+    def test_processes_end_when_their_streams_close(self) -> None:
         async def body(hosts: WorkerHosts, store: StoreState) -> None:
             self.assertTrue(hosts.alive)
             hosts.close_streams()
             await self.until(lambda: not hosts.alive)
 
-        self.with_hosts(body)
+        self.run_with_hosts(body)
 
     def ends(self, hosts: WorkerHosts) -> list[RunEnded]:
         return [each for each in hosts.records if isinstance(each, RunEnded)]
--- a/tests/test_worker_life.py
+++ b/tests/test_worker_life.py
@@ -1,4 +1,4 @@
-"""One life of a soak's worker: leases, fences, stops, ends, gangs, and what it tells of them."""
+"""One incarnation of a soak's worker: leases, fences, stops, ends, gangs, and its reports."""
 
 from __future__ import annotations
 
@@ -16,26 +16,26 @@
 
 
 class OrdersTest(unittest.TestCase):
-    def test_a_run_ends_as_done_once_its_work_is_done(self) -> None:
+    def test_a_run_ends_as_done_when_its_work_is_done(self) -> None:
         async def body() -> None:
             workers = Workers()
             self.assertIsNone(workers.start(ONE_S).refusal)
             began = now()
-            report = await workers.look(wait_s=2.0)
+            report = await workers.poll(wait_s=2.0)
             self.assertAlmostEqual(now() - began, 1.0, places=2)
             self.assertEqual([(end.number, end.how) for end in report.ended], [(1, EndKind.DONE)])
             self.assertEqual(report.running, ())
 
         virtually(body)
 
-    def test_an_end_comes_again_until_it_is_acknowledged(self) -> None:
+    def test_an_end_is_reported_until_it_is_acknowledged(self) -> None:
         async def body() -> None:
             workers = Workers()
             workers.start(ONE_S)
             await asyncio.sleep(1.5)
             for _ in range(2):
-                self.assertEqual(len((await workers.look()).ended), 1)
-            self.assertEqual((await workers.look(seen=1)).ended, ())
+                self.assertEqual(len((await workers.poll()).ended), 1)
+            self.assertEqual((await workers.poll(seen=1)).ended, ())
             noted = [each for each in workers.records if isinstance(each, EndNoted)]
             self.assertEqual([(each.run, each.lapsed) for each in noted], [(1, False)])
 
@@ -47,8 +47,8 @@
             for index in range(510):
                 workers.start(TaskPlan(0.1, room=0), index=index)
             await asyncio.sleep(1.0)
-            self.assertEqual(len((await workers.look()).ended), 500)
-            self.assertEqual(len((await workers.look(seen=500)).ended), 10)
+            self.assertEqual(len((await workers.poll()).ended), 500)
+            self.assertEqual(len((await workers.poll(seen=500)).ended), 10)
 
         virtually(body)
 
@@ -68,13 +68,13 @@
             with self.assertRaises(WorkerFenced):
                 workers.stop(fence=4)
             with self.assertRaises(WorkerFenced):
-                await workers.look(fence=4)
+                await workers.poll(fence=4)
             began = [each for each in workers.records if isinstance(each, RunBegan)]
             self.assertEqual(len(began), 1)
 
         virtually(body)
 
-    def test_a_run_that_is_not_above_one_that_ended_there_is_old(self) -> None:
+    def test_a_run_number_not_above_that_of_an_ended_run_is_stale(self) -> None:
         async def body() -> None:
             workers = Workers()
             workers.start(ONE_S, number=3)
@@ -85,7 +85,7 @@
 
         virtually(body)
 
-    def test_a_stop_refuses_its_run_beforehand(self) -> None:
+    def test_a_stop_before_the_start_refuses_the_run(self) -> None:
         async def body() -> None:
             workers = Workers()
             workers.stop(number=2)
@@ -94,15 +94,15 @@
 
         virtually(body)
 
-    def test_a_stop_takes_a_while_at_most_the_longest_and_saves(self) -> None:
+    def test_a_stop_takes_at_most_the_longest_stop_time_and_saves_work(self) -> None:
         async def body() -> None:
             workers = Workers()
             workers.start(LONG)
             await asyncio.sleep(1.25)
             workers.stop()
-            self.assertEqual(len((await workers.look()).running), 1, "it takes its room until then")
+            self.assertEqual(len((await workers.poll()).running), 1, "it takes its room until then")
             await asyncio.sleep(TIMES.stop_s + 0.01)
-            (end,) = (await workers.look()).ended
+            (end,) = (await workers.poll()).ended
             self.assertIs(end.how, EndKind.STOPPED)
             self.assertGreater(float(end.saved), 1.25)
             stopping = [each for each in workers.records if isinstance(each, RunStopping)]
@@ -110,12 +110,12 @@
 
         virtually(body)
 
-    def test_a_start_goes_on_from_what_was_saved(self) -> None:
+    def test_a_start_resumes_from_saved_work(self) -> None:
         async def body() -> None:
             workers = Workers()
             workers.start(TaskPlan(3.0), saved="2.000")
             began = now()
-            await workers.look(wait_s=2.0)
+            await workers.poll(wait_s=2.0)
             self.assertAlmostEqual(now() - began, TIMES.restore_s + 1.0, places=2)
 
         virtually(body)
@@ -130,15 +130,15 @@
 
         virtually(body)
 
-    def test_the_end_of_the_life_is_heard_of_by_those_who_wait(self) -> None:
+    def test_the_end_of_the_incarnation_interrupts_polls(self) -> None:
         async def body() -> None:
             workers = Workers()
             workers.start(LONG)
-            look = asyncio.create_task(workers.look(wait_s=2.0))
+            poll = asyncio.create_task(workers.poll(wait_s=2.0))
             await asyncio.sleep(0.1)
             workers.incarnations[0].end(crashed=True)
             with self.assertRaises(WorkerUnreachable):
-                await look
+                await poll
             await asyncio.sleep(200.0)
             self.assertEqual(workers.ends(), [])
 
@@ -146,7 +146,7 @@
 
 
 class LeaseTest(unittest.TestCase):
-    def test_clocks_start_at_other_values_and_run_up_to_2_percent_slow(self) -> None:
+    def test_clocks_start_at_different_values_and_run_up_to_2_percent_slow(self) -> None:
         async def body() -> None:
             workers = Workers(20)
             before = [incarnation.clock_ms() for incarnation in workers.incarnations]
@@ -162,7 +162,7 @@
 
         virtually(body)
 
-    def test_everything_is_killed_when_the_lease_is_over(self) -> None:
+    def test_all_runs_end_when_the_lease_expires(self) -> None:
         async def body() -> None:
             workers = Workers()
             workers.start(LONG, hold_s=2.0)
@@ -174,7 +174,7 @@
 
         virtually(body)
 
-    def test_a_lease_is_cut_to_the_longest(self) -> None:
+    def test_a_lease_is_limited_to_the_maximum(self) -> None:
         async def body() -> None:
             workers = Workers()
             workers.start(LONG, hold_s=100.0)
@@ -183,7 +183,7 @@
 
         virtually(body)
 
-    def test_a_start_that_is_refused_extends_the_lease(self) -> None:
+    def test_a_refused_start_extends_the_lease(self) -> None:
         async def body() -> None:
             workers = Workers()
             workers.start(LONG, hold_s=2.0)
@@ -194,12 +194,12 @@
 
         virtually(body)
 
-    def test_an_end_that_is_acknowledged_after_the_lease_lapsed_does_not_stand(self) -> None:
+    def test_an_end_acknowledged_after_the_lease_expired_is_marked_as_lapsed(self) -> None:
         async def body() -> None:
             workers = Workers()
             workers.start(ONE_S, hold_s=2.0)
             await asyncio.sleep(5.0)
-            await workers.look(seen=1)
+            await workers.poll(seen=1)
             noted = [each for each in workers.records if isinstance(each, EndNoted)]
             self.assertEqual([each.lapsed for each in noted], [True])
 
@@ -207,7 +207,7 @@
 
 
 class GangTest(unittest.TestCase):
-    def test_work_begins_when_all_are_present_and_all_end_done_together(self) -> None:
+    def test_work_begins_when_all_members_are_present_and_they_end_together(self) -> None:
         async def body() -> None:
             workers = Workers(2)
             workers.start(PAIR, worker=0, index=0)
@@ -224,7 +224,7 @@
 
         virtually(body)
 
-    def test_a_member_waits_so_long_for_the_others(self) -> None:
+    def test_a_member_waits_a_limited_time_for_the_others(self) -> None:
         async def body() -> None:
             workers = Workers(2)
             workers.start(PAIR, worker=0, index=0)
@@ -238,7 +238,7 @@
 
         virtually(body)
 
-    def test_other_runs_do_not_count(self) -> None:
+    def test_members_with_other_run_numbers_do_not_complete_a_gang(self) -> None:
         async def body() -> None:
             workers = Workers(2)
             workers.start(PAIR, worker=0, index=0, number=1)
@@ -248,7 +248,7 @@
 
         virtually(body)
 
-    def test_all_are_broken_when_one_has_ended(self) -> None:
+    def test_all_members_are_broken_when_one_has_ended(self) -> None:
         endings = {
             "stopped": lambda workers: workers.stop(worker=0),
             "crashed": lambda workers: workers.incarnations[0].end(crashed=True),
@@ -270,7 +270,7 @@
 
                 virtually(body)
 
-    def test_all_are_broken_when_the_lease_of_one_has_lapsed(self) -> None:
+    def test_all_members_are_broken_when_the_lease_of_one_expires(self) -> None:
         async def body() -> None:
             workers = Workers(2)
             plan = TaskPlan(50.0, gang=2)
@@ -304,7 +304,7 @@
             workers.incarnations[1].set_speed(0.5)
             await asyncio.sleep(1.9)
             self.assertEqual(workers.hows(), [])
-            percents = [row.percent for row in (await workers.look()).running]
+            percents = [row.percent for row in (await workers.poll()).running]
             self.assertTrue(90 <= percents[0] <= 99, percents)
             await asyncio.sleep(0.2)
             self.assertEqual(workers.hows(), [EndKind.DONE] * 2)
@@ -327,7 +327,7 @@
 
                 virtually(body)
 
-    def test_a_gang_that_stands_still_goes_on_afterwards(self) -> None:
+    def test_a_stuck_gang_continues_afterwards(self) -> None:
         async def body() -> None:
             workers = Workers(2)
             workers.start(PAIR, worker=0, index=0)
@@ -342,7 +342,7 @@
 
         virtually(body)
 
-    def test_a_gang_goes_on_from_what_was_saved(self) -> None:
+    def test_a_gang_resumes_from_saved_work(self) -> None:
         async def body() -> None:
             workers = Workers(2)
             for number in range(2):
@@ -355,7 +355,7 @@
         virtually(body)
 
 
-class TaskTroubleTest(unittest.TestCase):
+class TaskFaultTest(unittest.TestCase):
     def test_tasks_that_fail_at_once(self) -> None:
         async def body() -> None:
             workers = Workers(2)
@@ -370,7 +370,7 @@
 
         virtually(body)
 
-    def test_tasks_that_stand_still_or_are_slow(self) -> None:
+    def test_stuck_and_slow_tasks(self) -> None:
         async def body() -> None:
             workers = Workers()
             workers.start(TaskPlan(2.0))
@@ -386,7 +386,7 @@
 
         virtually(body)
 
-    def test_a_run_that_is_paced_to_nothing_stands_still(self) -> None:
+    def test_a_run_with_a_pace_of_zero_makes_no_progress(self) -> None:
         async def body() -> None:
             workers = Workers()
             workers.start(TaskPlan(2.0))
