--- a/src/saddlestack/soak/life.py
+++ b/src/saddlestack/soak/life.py
@@ -279,7 +279,7 @@
             self._lease.extend(deadline_ms)
         await self._ends.wait(wait_s)
         if self.has_ended:
-            raise WorkerUnreachable("the worker is gone")
+            raise WorkerUnreachable("the worker incarnation has ended")
         now = _now()
         running = tuple(self._running_task(run, now) for run in self.runs.values())
         return WorkerReport(self.clock_ms(), running, self._ends.rows())
--- a/src/saddlestack/soak/machine.py
+++ b/src/saddlestack/soak/machine.py
@@ -126,7 +126,7 @@
         self._store_cut_until_s = 0.0
         self._is_draining = False
         self._is_silent = False
-        self._return_lock = asyncio.Lock()
+        self._restart_lock = asyncio.Lock()
         self.incarnation: WorkerIncarnation | None = None
 
     @property
@@ -150,7 +150,7 @@
         if isinstance(command, Heal):
             self._heal_all()
         elif isinstance(command, Leave):
-            self._spawn(self._leave(command))
+            self._spawn(self._shut_down(command))
         elif isinstance(command, Crash):
             self._spawn(self._crash(command))
         elif isinstance(command, Resize):
@@ -218,7 +218,7 @@
         if self._record_task is not None:
             self._record_task.cancel()
 
-    async def _leave(self, command: Leave) -> None:
+    async def _shut_down(self, command: Leave) -> None:
         incarnation, record = self.incarnation, self._record
         if incarnation is None or record is None or self._is_draining:
             return
@@ -265,7 +265,7 @@
         if back_s is None:
             return
         await asyncio.sleep(back_s)
-        async with self._return_lock:
+        async with self._restart_lock:
             if self.incarnation is not None:
                 return
             self._server.abort()
