--- a/src/saddlestack/soak/life.py
+++ b/src/saddlestack/soak/life.py
@@ -25,7 +25,7 @@
     WorkerUnreachable,
 )
 from saddlestack.soak.ends import EndList
-from saddlestack.soak.lease import Lease, SteadyClock
+from saddlestack.soak.lease import Lease, WorkerClock
 from saddlestack.soak.messages import (
     EndNoted,
     GangEnded,
@@ -126,7 +126,7 @@
     ) -> None:
         self._rng = rng
         self._notify = notify
-        self._clock = SteadyClock(rng)
+        self._clock = WorkerClock(rng)
         self._lease = Lease(self._clock, times.lease_s, self._on_lease_expired)
         self._ends = EndList()
         self._gangs: dict[tuple[str, int], dict[RunKey, Run]] = {}
@@ -371,7 +371,7 @@
 
     def _resume_work(self, run: Run, at_s: float) -> None:
         """Continue a run outside a gang at its current rate."""
-        run.progress.go_on(self._rate(run), at_s)
+        run.progress.set_rate(self._rate(run), at_s)
         if run.fails_at_once:
             self._schedule_end(run, _now() + FAIL_AFTER_S, EndKind.FAILED)
             return
@@ -434,8 +434,8 @@
     def _acknowledge_ends(self, seen: int) -> None:
         """Drop ends up to a number and report them as acknowledged."""
         now = _now()
-        for end in self._ends.forget(seen):
-            lapsed = self._lease.lapsed_s >= end.at_s
+        for end in self._ends.acknowledge(seen):
+            lapsed = self._lease.expired_s >= end.at_s
             row = end.row
             self._notify(EndNoted(self.worker_id, row.task, row.run, self._fence, now, lapsed))
 
--- a/src/saddlestack/soak/machine.py
+++ b/src/saddlestack/soak/machine.py
@@ -14,7 +14,8 @@
 from saddlestack.interfaces.incarnations import incarnation_name, started_ms_of, worker_id_of
 from saddlestack.interfaces.workers import StartOrder, StartReply, WorkerReport, WorkerUnreachable
 from saddlestack.kernel.service import TaskGroup
-from saddlestack.platform.serving import WorkerServing
+from saddlestack.platform.handlers import WorkerHandler
+from saddlestack.soak.call_faults import CALL_KINDS, CallFault, CallFaults
 from saddlestack.soak.life import Arrival, Notify, WorkerIncarnation
 from saddlestack.soak.messages import (
     AnswerErrors,
@@ -41,7 +42,6 @@
 )
 from saddlestack.soak.recording import RecordWriter
 from saddlestack.soak.shape import ShapeTimes
-from saddlestack.soak.troubles import KINDS, Troubles, WayTrouble
 from saddlestack.wire.http import HttpClient, HttpServer, Request, Response
 from saddlestack.work import TaskName
 
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _CallHandler:
-    """Passes one call to an incarnation: see :class:`saddlestack.platform.serving.WorkerDesk`."""
+    """Passes a call to an incarnation: see :class:`saddlestack.platform.handlers.ServedWorker`."""
 
     incarnation: WorkerIncarnation
     arrival: Arrival
@@ -83,7 +83,7 @@
         return worker_id_of(self.incarnation.worker_id)
 
     @property
-    def born(self) -> int:
+    def started_ms(self) -> int:
         return started_ms_of(self.incarnation.worker_id)
 
     def clock_ms(self) -> int:
@@ -114,7 +114,7 @@
         self._settings = settings
         self._context = context
         self._rng = rng
-        self._call_faults = Troubles(rng)
+        self._call_faults = CallFaults(rng)
         self._tasks = TaskGroup(settings.name)
         self._server = HttpServer(self._handle)
         self._port = 0
@@ -312,16 +312,16 @@
         self._context.count_call()
         arrived_s = _now()
         fence = _fence_of(request)
-        was_held = await self._call_faults.pass_request(fence)
-        fault = self._call_faults.of_call(KINDS.get(request.path))
+        was_held = await self._call_faults.wait_for_request(fence)
+        fault = self._call_faults.draw_fault(CALL_KINDS.get(request.path))
         if fault is not None:
             return await self._handle_faulty(fault, request, arrived_s)
         response = await self._carry_out(request, Arrival(arrived_s, late=was_held))
-        await self._call_faults.pass_answer(fence)
+        await self._call_faults.wait_for_answer(fence)
         return response
 
     async def _handle_faulty(
-        self, fault: WayTrouble, request: Request, arrived_s: float
+        self, fault: CallFault, request: Request, arrived_s: float
     ) -> Response:
         """Handle a call that a fault affects."""
         if isinstance(fault, AnswerErrors):
@@ -344,7 +344,7 @@
         if incarnation is None:
             return await _never_answer()
         try:
-            return await WorkerServing(_CallHandler(incarnation, arrival)).handle(request)
+            return await WorkerHandler(_CallHandler(incarnation, arrival)).handle(request)
         except WorkerUnreachable:
             if self._is_silent:
                 return await _never_answer()
--- a/src/saddlestack/soak/store_faults.py
+++ b/src/saddlestack/soak/store_faults.py
@@ -6,7 +6,7 @@
 import random
 from collections.abc import Sequence
 
-from saddlestack.soak.faults import Fault, Play
+from saddlestack.soak.faults import Fault, FaultAction
 from saddlestack.soak.platform import SoakPlatform
 from saddlestack.soak.shape import FaultKind
 from saddlestack.soak.store_messages import (
@@ -46,7 +46,7 @@
         self._unavailable_count = 0
 
     @property
-    def actions(self) -> dict[FaultKind, Play]:
+    def actions(self) -> dict[FaultKind, FaultAction]:
         """The action that injects each kind of fault."""
         return {
             FaultKind.VM_STORE_CUT: self._cut_vm,
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -10,10 +10,10 @@
     STORE_WRITES_S,
     StoreClient,
     StoreUnavailable,
-    VersionMoved,
+    VersionConflict,
     WriteInDoubt,
 )
-from saddlestack.services.groupcommit import Fenced, GroupCommit, Written
+from saddlestack.services.groupcommit import Fenced, GroupCommit, WriterStamp
 from saddlestack.standins.loop import run
 from saddlestack.standins.store import StandinStore
 from tests import support as support
@@ -36,7 +36,7 @@
     def test_swap_needs_the_expected_version(self) -> None:
         async def body(store: StandinStore, client: StoreClient) -> None:
             version = await client.swap("k", b"one", 0)
-            with self.assertRaises(VersionMoved):
+            with self.assertRaises(VersionConflict):
                 await client.swap("k", b"two", 0)
             await client.swap("k", b"two", version)
             self.assertEqual((await client.get("k")).value, b"two")
@@ -119,7 +119,7 @@
             random.Random(1),
             build=self.build,
             merge=self.merge,
-            written=self.written,
+            read_stamp=self.written,
         )
 
     def build(self, sequence: int) -> bytes:
@@ -132,9 +132,9 @@
             raise Fenced("a higher term has written")
         self.words = sorted({*self.words, *other["words"]})
 
-    def written(self, value: bytes) -> Written:
+    def written(self, value: bytes) -> WriterStamp:
         other = json.loads(value)
-        return Written(other["w"], other["s"])
+        return WriterStamp(other["w"], other["s"])
 
     def add(self, word: str) -> asyncio.Future[None]:
         self.words.append(word)
