--- a/src/saddlestack/soak/host.py
+++ b/src/saddlestack/soak/host.py
@@ -14,7 +14,6 @@
 
 import msgspec
 
-from saddlestack.soak.life import WorkerIncarnation
 from saddlestack.soak.machine import HostContext, Machine
 from saddlestack.soak.messages import (
     Command,
@@ -27,6 +26,7 @@
     ToHost,
 )
 from saddlestack.soak.stream import MessageStream
+from saddlestack.soak.worker_incarnation import WorkerIncarnation
 from saddlestack.standins.ports import LOOPBACK
 from saddlestack.wire.http import HttpClient
 
--- a/src/saddlestack/soak/machine.py
+++ b/src/saddlestack/soak/machine.py
@@ -16,7 +16,6 @@
 from saddlestack.kernel.service import TaskGroup
 from saddlestack.platform.handlers import WorkerHandler
 from saddlestack.soak.call_faults import CALL_KINDS, CallFault, CallFaults
-from saddlestack.soak.life import Arrival, Notify, WorkerIncarnation
 from saddlestack.soak.messages import (
     AnswerErrors,
     Command,
@@ -42,6 +41,7 @@
 )
 from saddlestack.soak.recording import RecordWriter
 from saddlestack.soak.shape import ShapeTimes
+from saddlestack.soak.worker_incarnation import Arrival, Notify, WorkerIncarnation
 from saddlestack.wire.http import HttpClient, HttpServer, Request, Response
 from saddlestack.work import TaskName
 
--- a/src/saddlestack/soak/recording.py
+++ b/src/saddlestack/soak/recording.py
@@ -13,9 +13,9 @@
 from saddlestack.platform import paths
 from saddlestack.platform.documents import DOCUMENT_LOCATIONS
 from saddlestack.platform.messages import CapacityBody, PutRow, TransactionBody, WorkerBody
-from saddlestack.soak.life import WorkerIncarnation
 from saddlestack.soak.messages import RecordCorruption
 from saddlestack.soak.rewriting import rewritten
+from saddlestack.soak.worker_incarnation import WorkerIncarnation
 from saddlestack.wire.http import AnswerLost, HttpClient, NotSent
 
 CALL_TIMEOUT_S = 1.0
--- a/src/saddlestack/soak/stall_causes.py
+++ b/src/saddlestack/soak/stall_causes.py
@@ -33,7 +33,7 @@
 from saddlestack.soak.platform import Term
 from saddlestack.soak.shape import FaultKind, ShapeTimes
 from saddlestack.soak.stalls import ExcludedPeriod, SoakHistory, StallPeriod, find_stalls
-from saddlestack.soak.worker_faults import BACK_S, LATEST_S
+from saddlestack.soak.worker_faults import MAX_ORDER_DELAY_S, RESTART_DELAY_S
 
 SLACK_S = 4.7
 """So long after a lease is over, work on workers that do not answer has been begun elsewhere. With
@@ -193,13 +193,13 @@
     def _lasts_s(self, fault: Fault) -> float:
         times = self._times
         if fault.kind is FaultKind.WORKER_LATE_ORDERS:
-            return fault.seconds + LATEST_S[1]
+            return fault.seconds + MAX_ORDER_DELAY_S[1]
         if fault.kind is FaultKind.WORKER_LAPSE:
             return fault.seconds + LAPSE_HEARTBEATS * times.heartbeat_s
         if fault.kind in _LEAVING:
             notice_s = max(times.drain_s, times.notice_s)
-            return notice_s + times.linger_s + BACK_S[1]
-        return fault.seconds + BACK_S[1]
+            return notice_s + times.linger_s + RESTART_DELAY_S[1]
+        return fault.seconds + RESTART_DELAY_S[1]
 
 
 _LEAVING = frozenset(
--- a/src/saddlestack/soak/worker_faults.py
+++ b/src/saddlestack/soak/worker_faults.py
@@ -34,8 +34,8 @@
 LARGE_SHARE = (0.05, 0.2)
 CALL_SHARE = (0.2, 1.0)
 MIN_ORDER_DELAY_S = (1.0, 4.0)
-LATEST_S = (4.0, 14.0)
-BACK_S = (0.3, 4.0)
+MAX_ORDER_DELAY_S = (4.0, 14.0)
+RESTART_DELAY_S = (0.3, 4.0)
 QUICK_RESTART_S = (0.0, 0.5)
 """A worker that restarts this quickly is back before the leader notices that it was gone."""
 FULL_CUT_SHARE = 0.5
@@ -82,7 +82,7 @@
             calls=_draw_call_kinds(rng),
             share=rng.uniform(*CALL_SHARE),
             least_s=rng.uniform(*MIN_ORDER_DELAY_S),
-            longest_s=rng.uniform(*LATEST_S),
+            longest_s=rng.uniform(*MAX_ORDER_DELAY_S),
         )
         await self._send(fault, command)
 
@@ -100,7 +100,7 @@
             machines=self._draw_machines(LARGE_SHARE, rng),
             notice_s=self._times.drain_s,
             linger_s=self._linger_s(rng),
-            back_s=rng.uniform(*BACK_S),
+            back_s=rng.uniform(*RESTART_DELAY_S),
         )
         await self._send(fault, command)
 
@@ -109,7 +109,7 @@
             machines=self._draw_machines(LARGE_SHARE, rng),
             notice_s=self._times.notice_s,
             linger_s=self._linger_s(rng) if rng.random() < 0.5 else 0.0,
-            back_s=rng.uniform(*BACK_S),
+            back_s=rng.uniform(*RESTART_DELAY_S),
         )
         await self._send(fault, command)
 
@@ -120,7 +120,7 @@
             announced=False,
             notice_s=0.0,
             linger_s=self._linger_s(rng) if rng.random() < 0.5 else 0.0,
-            back_s=rng.uniform(*BACK_S),
+            back_s=rng.uniform(*RESTART_DELAY_S),
         )
         await self._send(fault, command)
 
@@ -140,14 +140,14 @@
         command = Crash(
             machines=self._draw_machines(SMALL_SHARE, rng),
             removed=rng.random() < 0.5,
-            back_s=rng.uniform(*BACK_S),
+            back_s=rng.uniform(*RESTART_DELAY_S),
         )
         await self._send(fault, command)
 
     async def _restart(self, fault: Fault, rng: random.Random) -> None:
         """Restart workers, mostly at once, and sometimes twice."""
         machines = self._draw_machines(LARGE_SHARE, rng)
-        back_s = QUICK_RESTART_S if rng.random() < 0.7 else BACK_S
+        back_s = QUICK_RESTART_S if rng.random() < 0.7 else RESTART_DELAY_S
         for _ in range(rng.choice((1, 1, 2))):
             crash = Crash(
                 machines=machines, removed=rng.random() < 0.2, back_s=rng.uniform(*back_s)
@@ -177,7 +177,7 @@
         machines = self._draw_machines(SMALL_SHARE, rng)
         await self._send(fault, CutFromVms(machines=machines, seconds=fault.seconds))
         await asyncio.sleep(fault.seconds * rng.random())
-        back_s = rng.uniform(*BACK_S)
+        back_s = rng.uniform(*RESTART_DELAY_S)
         await self._send(fault, Crash(machines=machines, silent=True, back_s=back_s))
 
     async def _hang(self, fault: Fault, rng: random.Random) -> None:
--- a/tests/soak_support.py
+++ b/tests/soak_support.py
@@ -10,7 +10,6 @@
 
 from saddlestack.interfaces.workers import EndKind, StartOrder, StartReply, WorkerReport
 from saddlestack.soak.gangs import GangHub
-from saddlestack.soak.life import Arrival, WorkerIncarnation
 from saddlestack.soak.messages import (
     GangEnded,
     GangMessage,
@@ -20,6 +19,7 @@
     RunEnded,
 )
 from saddlestack.soak.shape import ShapeTimes
+from saddlestack.soak.worker_incarnation import Arrival, WorkerIncarnation
 from saddlestack.standins.loop import run
 from saddlestack.standins.pool.workers import TaskPlan, payload
 
