--- a/src/saddlestack/soak/store_process.py
+++ b/src/saddlestack/soak/store_process.py
@@ -67,7 +67,7 @@
         self._process = process
         self._vm = vm
         self.view = StoreView(process.state, check_s=WATCH_CHECK_INTERVAL_S)
-        self._serving = StoreHandler(self.view)
+        self._store_handler = StoreHandler(self.view)
         self.link = StoreLink(self._handle, rng)
         self.fault_number = 0
 
@@ -80,7 +80,7 @@
 
     async def _handle(self, request: Request) -> Response:
         try:
-            response = await self._serving.handle(request)
+            response = await self._store_handler.handle(request)
         except StoreUnavailable:
             return Response(503)
         if response.status == 200 and request.path.startswith(paths.KEEP_LEASE):
