--- a/src/saddlestack/soak/store_process.py
+++ b/src/saddlestack/soak/store_process.py
@@ -51,7 +51,7 @@
 from saddlestack.wire.http import Request, Response
 
 WATCH_CHECK_INTERVAL_S = 30.0
-"""Links silence watches on their connections, so the store itself rarely has to check them."""
+"""Watches are silenced by the connections of the links, so the store need not check for that."""
 EXPIRY_INTERVAL_S = 0.02
 """Interval at which expired leases are removed; its overrun is the event loop's lag."""
 LOAD_INTERVAL_S = 1.0
@@ -67,7 +67,7 @@
         self._process = process
         self._vm = vm
         self.view = StoreView(process.state, check_s=WATCH_CHECK_INTERVAL_S)
-        self._serving = StoreHandler(self.view)
+        self._store_handler = StoreHandler(self.view)
         self.link = StoreLink(self._handle, rng)
         self.fault_number = 0
 
@@ -80,7 +80,7 @@
 
     async def _handle(self, request: Request) -> Response:
         try:
-            response = await self._serving.handle(request)
+            response = await self._store_handler.handle(request)
         except StoreUnavailable:
             return Response(503)
         if response.status == 200 and request.path.startswith(paths.KEEP_LEASE):
