--- a/src/saddlestack/cli/connection.py
+++ b/src/saddlestack/cli/connection.py
@@ -1,4 +1,4 @@
-"""How commands reach the entry VMs: options, environment and the client."""
+"""The connection options that commands share."""
 
 from __future__ import annotations
 
@@ -13,20 +13,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Connection:
-    """Where to connect, and as whom."""
+    """Addresses of entry VMs and the bearer token.
+
+    :param vms: ``IP:PORT`` texts; :data:`DEFAULT_VM` is used if there are none.
+    """
 
     vms: tuple[str, ...]
     token: str | None
 
     def client(self) -> Client:
-        """A client for these VMs."""
+        """Create a client for these VMs.
+
+        :raises click.BadParameter: an address is not ``IP:PORT``.
+        """
         return Client([parse_vm(vm) for vm in self.vms or (DEFAULT_VM,)], self.token)
 
 
 def parse_vm(text: str) -> tuple[str, int]:
-    """Read ``IP:PORT``.
+    """Parse ``IP:PORT``.
 
-    :raises click.BadParameter: another form.
+    :raises click.BadParameter: the text has another form.
     """
     address, _, port = text.rpartition(":")
     if not address or not port.isdigit():
--- a/src/saddlestack/cli/crashes.py
+++ b/src/saddlestack/cli/crashes.py
@@ -1,4 +1,4 @@
-"""What the logs tell of tasks under which workers crashed, and of what died beside them."""
+"""Tasks under which workers crashed, and runs that were lost with these workers, from the logs."""
 
 from __future__ import annotations
 
@@ -16,15 +16,15 @@
 GIVEN_UP = "crash_given_up"
 RUN_OVER = "run_over"
 MAX_LOST_TASKS_SHOWN = 8
-"""Runs that died beside a task are named up to so many a crash."""
+"""The maximum number of lost tasks that are named for one crash."""
 
 
 @dataclass(slots=True)
 class Suspect:
     """A task under which workers crashed.
 
-    :param state: what it is taken for at the end of the logs.
-    :param lines: one for each crash, the verdict on it.
+    :param state: its last logged state: ``suspect``, ``cleared`` or ``given_up``.
+    :param lines: the log line with the finding for each crash.
     """
 
     task: str
@@ -33,7 +33,7 @@
 
 
 def suspects(lines: Sequence[LogLine]) -> dict[str, Suspect]:
-    """All tasks under which workers crashed, by name, in the order of their first crash."""
+    """Find all tasks under which workers crashed, by name, in the order of their first crash."""
     found: dict[str, Suspect] = {}
     for line in lines:
         if line.event not in {SUSPECT, CLEARED, GIVEN_UP}:
@@ -46,19 +46,19 @@
 
 
 def culprits(lines: Sequence[LogLine]) -> set[str]:
-    """The tasks that were given up."""
+    """Return the tasks that were given up because workers crash under them."""
     return {line.task for line in lines if line.event == GIVEN_UP}
 
 
 def crashed_workers(lines: Sequence[LogLine], tasks: set[str]) -> set[str]:
-    """The lives of workers that crashed under some tasks."""
+    """Return the incarnations of workers that crashed under the given tasks."""
     return {
         line.worker for line in lines if line.task in tasks and line.event in {SUSPECT, GIVEN_UP}
     }
 
 
 def lost_with_worker(lines: Sequence[LogLine], crash: LogLine) -> list[str]:
-    """Tasks of other runs that were lost with the worker of a crash."""
+    """Return the other tasks whose runs were lost with the worker of a crash."""
     return [
         line.task
         for line in lines
@@ -67,13 +67,13 @@
 
 
 def describe(crash: LogLine, lines: Sequence[LogLine]) -> str:
-    """What a line about a task under which a worker crashed tells, in a sentence."""
+    """Describe a log line about a task under which a worker crashed, in one sentence."""
     if crash.event == CLEARED:
-        return f"{crash.task} is held to be sound from {crash.time} on"
+        return f"{crash.task} counts as not at fault from {crash.time} on"
     what = f"{crash.task} was given up" if crash.event == GIVEN_UP else f"{crash.task} is a suspect"
     count = f"{crash.crashes} workers crashed under it, odds {crash.odds:.3g} to 1"
     if not crash.worker:
-        return f"{what} at {crash.time}: {count}; it was started as often as it may be"
+        return f"{what} at {crash.time}: {count}; it has no starts left"
     others = lost_with_worker(lines, crash)
     named = ", ".join(others[:MAX_LOST_TASKS_SHOWN])
     more = (
@@ -91,15 +91,21 @@
 def suspects_command(files: tuple[Path, ...]) -> None:
     """List the tasks under which workers crashed, from the log FILEs of all VMs.
 
-    `saddlestack job clear` holds a job of them to be sound, `saddlestack job cancel` gives it up.
+    `saddlestack job clear` declares such a job not at fault, `saddlestack job cancel` gives it up.
     """
     lines = read(files)
     found = suspects(lines)
     if not found:
-        click.echo("no worker crashed under a task, as far as is logged")
+        click.echo("the logs show no worker that crashed under a task")
         return
     rows = [
-        [each.task, each.state, str(len(each.lines)), _odds(each), str(_beside(each, lines))]
+        [
+            each.task,
+            each.state,
+            str(len(each.lines)),
+            _odds(each),
+            str(_lost_task_count(each, lines)),
+        ]
         for each in found.values()
     ]
     table(["TASK", "STATE", "CRASHES", "ODDS", "DIED BESIDE"], rows)
@@ -109,5 +115,5 @@
     return f"{suspect.lines[-1].odds:.3g}" if suspect.lines else ""
 
 
-def _beside(suspect: Suspect, lines: Sequence[LogLine]) -> int:
+def _lost_task_count(suspect: Suspect, lines: Sequence[LogLine]) -> int:
     return sum(len(lost_with_worker(lines, crash)) for crash in suspect.lines)
--- a/src/saddlestack/cli/entry.py
+++ b/src/saddlestack/cli/entry.py
@@ -1,4 +1,4 @@
-"""Runs an entry VM on the platform's machines."""
+"""Commands that run an entry VM on the platform's machines, and the soak test."""
 
 from __future__ import annotations
 
@@ -12,15 +12,15 @@
 from saddlestack.control.entry import serve
 from saddlestack.control.settings import load
 
-TOLD = 20
-"""Broken promises of a soak that are printed."""
+MAX_BROKEN_SHOWN = 20
+"""The maximum number of broken promises that are printed for one seed of a soak."""
 
 
 def main(path: Path) -> None:
-    """Run an entry VM until it is told to stop.
+    """Run an entry VM until it receives a signal to stop.
 
     :param path: its settings, JSON with comments.
-    :raises SaddlestackError: settings that are wrong, with each fault and its place.
+    :raises SaddlestackError: the settings are invalid; names each fault and its place.
     """
     settings = load(path)
     handler = logs.configure(logs.level_of(settings.log_level), settings.vm)
@@ -38,7 +38,7 @@
     required=True,
     help="JSON with comments; deploy/settings.template shows every key.",
 )
-@click.option("--check", is_flag=True, help="Only check the settings, whole.")
+@click.option("--check", is_flag=True, help="Only check all settings.")
 @errors_to_exit_codes
 def entry(path: Path, check: bool) -> None:
     """Run one entry VM on the platform's machines. SIGTERM drains it."""
@@ -55,23 +55,23 @@
     "shape_path",
     type=click.Path(dir_okay=False, path_type=Path),
     required=True,
-    help="What is served, JSON with comments; deploy/soak/ has some.",
+    help="The deployment and its load, JSON with comments; deploy/soak/ has examples.",
 )
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--seeds", type=int, default=1, show_default=True, help="How many, from --seed on.")
-@click.option("--seconds", type=float, default=30.0, show_default=True, help="Of faults, a seed.")
+@click.option("--seeds", type=int, default=1, show_default=True, help="Number of seeds.")
+@click.option("--seconds", type=float, default=30.0, show_default=True, help="Seconds of faults.")
 @click.option("--calm", type=float, default=0.0, help="Seconds of load before the first fault.")
 @click.option(
     "--report",
     type=click.Path(dir_okay=False, path_type=Path),
-    help="JSON, and text beside it; with several seeds, one of each.",
+    help="Write a JSON report, and a text next to it; one of each for every seed.",
 )
 @click.option(
     "--program-src",
     type=click.Path(exists=True, file_okay=False, path_type=Path),
-    help="Sources that the entry VMs run, in place of these.",
+    help="Sources that the entry VMs run instead of these.",
 )
-@click.option("--keep-logs", is_flag=True, help="Keep the logs also where no promise broke.")
+@click.option("--keep-logs", is_flag=True, help="Keep the logs even if no promise broke.")
 @errors_to_exit_codes
 def soak(
     shape_path: Path,
@@ -83,7 +83,7 @@
     program_src: Path | None,
     keep_logs: bool,
 ) -> None:
-    """Run real processes on stand-ins, with faults drawn by seed; exit 1 where a promise broke."""
+    """Run real processes on stand-ins with seeded random faults; exit 1 if a promise broke."""
     from saddlestack.soak.processes import Program
     from saddlestack.soak.run import SoakPlan, run
     from saddlestack.soak.shape import load as load_shape
@@ -96,10 +96,10 @@
         if report is not None:
             found.write(report if seeds == 1 else report.with_stem(f"{report.stem}-{each}"))
         click.echo(found.summary())
-        for broken in found.broken[:TOLD]:
+        for broken in found.broken[:MAX_BROKEN_SHOWN]:
             click.echo(f"  {broken.text}")
-        if len(found.broken) > TOLD:
-            click.echo(f"  and {len(found.broken) - TOLD} more, in the report")
+        if len(found.broken) > MAX_BROKEN_SHOWN:
+            click.echo(f"  and {len(found.broken) - MAX_BROKEN_SHOWN} more, in the report")
         for trouble in found.troubled:
             click.echo(f"  unsound: {trouble}")
         if found.logs:
--- a/src/saddlestack/cli/explain.py
+++ b/src/saddlestack/cli/explain.py
@@ -1,4 +1,4 @@
-"""From a job's id to its cause, by the logs of all VMs."""
+"""The command `saddlestack explain`: what happened to a job and why, from the logs of all VMs."""
 
 from __future__ import annotations
 
@@ -20,42 +20,42 @@
 
 
 LEASE_WAIT = "lease_wait"
-STANDS_STILL = "stands_still"
-LATE_S = 1.0
-"""A look that came so much later than it was due: the leader itself had come to nothing."""
+STALLED = "stands_still"
+LATE_CHECK_S = 1.0
+"""A check that is later than this shows that the leader itself had been paused."""
 WAITS = "waits"
 RUN_ENDS = frozenset({"ended", "run_over", "run_absent"})
 
 
 def related_lines(job_id: str, lines: Sequence[LogLine]) -> list[LogLine]:
-    """The lines about a job, and what happened to leaders and the store meanwhile."""
-    own = [line for line in lines if _concerns(line, job_id)]
+    """Return the lines about a job, and those about leaders and the store in the same time."""
+    own = [line for line in lines if _is_about(line, job_id)]
     if not own:
         return []
     first, last = own[0].time, own[-1].time
-    meanwhile = []
-    places: dict[str, str] = {}
+    related = []
+    workers: dict[str, str] = {}
     for line in lines:
-        waits = line.event == LEASE_WAIT and line.worker in places.values()
+        waits = line.event == LEASE_WAIT and line.worker in workers.values()
         context = line.event in CONTEXT_EVENTS and first <= line.time <= last
-        if _concerns(line, job_id):
-            _note_place(line, places)
-            meanwhile.append(line)
+        if _is_about(line, job_id):
+            _track_worker(line, workers)
+            related.append(line)
         elif waits or context:
-            meanwhile.append(line)
-    return _evacuated_at(lines, first) + meanwhile
+            related.append(line)
+    return _evacuations_in_effect(lines, first) + related
 
 
-def _note_place(line: LogLine, places: dict[str, str]) -> None:
-    """Keep on which worker each task is: a wait for a lease names the worker alone."""
+def _track_worker(line: LogLine, workers: dict[str, str]) -> None:
+    """Track which worker runs each task, since the line of a lease wait names only the worker."""
     if line.event == "start":
-        places[line.task] = line.worker
+        workers[line.task] = line.worker
     elif line.event in RUN_ENDS:
-        places.pop(line.task, None)
+        workers.pop(line.task, None)
 
 
-def _evacuated_at(lines: Sequence[LogLine], time: str) -> list[LogLine]:
-    """The lines that tell which data halls had been evacuated and were not back yet."""
+def _evacuations_in_effect(lines: Sequence[LogLine], time: str) -> list[LogLine]:
+    """Return the lines about data halls that were evacuated and not yet back at a time."""
     begun: dict[str, LogLine] = {}
     for line in lines:
         if line.event != EVACUATION or line.time >= time:
@@ -70,19 +70,19 @@
 def causes(
     job_id: str, lines: Sequence[LogLine], others: Sequence[LogLine] | None = None
 ) -> list[str]:
-    """What the lines say went wrong with a job, a sentence each.
+    """Describe what went wrong with a job, in one sentence for each event.
 
-    :param others: the lines of all jobs; they name what died beside it.
+    :param others: the lines of all jobs, which name the runs lost with a crashed worker.
     """
-    everything = lines if others is None else others
+    all_lines = lines if others is None else others
     found: list[str] = []
     for line in lines:
         if line.event == EVACUATION:
-            found.append(_evacuated(line))
+            found.append(_describe_evacuation(line))
         elif line.event == LEASE_WAIT:
             what = f"may go on unseen for {line.left_s:.1f} s at most"
             found.append(f"{line.worker} did not answer at {line.time}: what runs there {what}")
-        if not _concerns(line, job_id):
+        if not _is_about(line, job_id):
             continue
         if line.event == "not_written":
             what = "not known whether taken" if line.doubt else "refused"
@@ -94,9 +94,9 @@
         elif line.event == "ended" and line.how not in {"done", "stopped", "broken"}:
             found.append(f"{line.task} run {line.run} ended {line.how} on {line.worker}")
         elif line.event in {SUSPECT, CLEARED, GIVEN_UP}:
-            found.append(describe(line, everything))
-        elif line.event in {WAITS, STANDS_STILL}:
-            found.append(_waited(line))
+            found.append(describe(line, all_lines))
+        elif line.event in {WAITS, STALLED}:
+            found.append(_describe_wait(line))
         elif line.event == "start_refused":
             found.append(f"{line.worker} refused {line.task} run {line.run}: {line.reason}")
         elif line.event == "run_absent":
@@ -107,28 +107,28 @@
     return found
 
 
-def _waited(line: LogLine) -> str:
-    """For what a job waited, by which mechanism, since when, and what ends that."""
-    beside = " beside a free pool" if line.event == STANDS_STILL else ""
-    stood = f"at {line.time} nothing of it had run for {line.stood_s:.1f} s{beside}"
-    why = f"{_awaited(line.reason)} ({line.reason}; {line.tasks} tasks)"
+def _describe_wait(line: LogLine) -> str:
+    """Describe what a job waited for, by which mechanism, since when, and what ends the wait."""
+    beside = " beside a free pool" if line.event == STALLED else ""
+    waited = f"at {line.time} nothing of it had run for {line.stood_s:.1f} s{beside}"
+    why = f"{_describe_reason(line.reason)} ({line.reason}; {line.tasks} tasks)"
     ends = f"ends with {line.ends}"
     if line.ends_s is not None:
         ends = f"{ends}, {line.ends_s:.1f} s later at most"
-    if line.late_s >= LATE_S:
+    if line.late_s >= LATE_CHECK_S:
         ends = f"{ends}; the leader itself had come to nothing for {line.late_s:.1f} s before"
-    return f"{stood}: {why}; {ends}"
+    return f"{waited}: {why}; {ends}"
 
 
-def _awaited(reason: str) -> str:
-    """What a reason stands for; other releases may know other ones."""
+def _describe_reason(reason: str) -> str:
+    """Describe a wait reason; logs of other releases may hold unknown ones."""
     try:
         return WaitReason(reason).awaited
     except ValueError:
         return "a reason that this release does not know"
 
 
-def _evacuated(line: LogLine) -> str:
+def _describe_evacuation(line: LogLine) -> str:
     if line.state == BEGUN:
         return (
             f"{line.data_hall} was evacuated at {line.time}: nothing starts there until it is back"
@@ -136,7 +136,7 @@
     return f"{line.data_hall} was back at {line.time}"
 
 
-def _concerns(line: LogLine, job_id: str) -> bool:
+def _is_about(line: LogLine, job_id: str) -> bool:
     return line.job == job_id or line.task.startswith(f"{job_id}.") or line.cause == job_id
 
 
@@ -145,20 +145,20 @@
 @log_files
 @errors_to_exit_codes
 def explain(job_id: str, files: tuple[Path, ...]) -> None:
-    """Tell what became of job ID, and why, from the log FILEs of all VMs."""
-    everything = read(files)
-    lines = related_lines(job_id, everything)
+    """Explain what happened to job ID, and why, from the log FILEs of all VMs."""
+    all_lines = read(files)
+    lines = related_lines(job_id, all_lines)
     if not lines:
-        click.echo(f"no line tells of job {job_id}", err=True)
+        click.echo(f"no log line mentions job {job_id}", err=True)
         raise SystemExit(1)
     for line in lines:
-        click.echo(f"{line.time} {line.vm:24} {_shown(line)}")
-    nothing = ["nothing went wrong with it, as far as is logged"]
-    for sentence in causes(job_id, lines, everything) or nothing:
+        click.echo(f"{line.time} {line.vm:24} {_format_line(line)}")
+    nothing = ["the logs show nothing that went wrong with it"]
+    for sentence in causes(job_id, lines, all_lines) or nothing:
         click.echo(f"- {sentence}")
 
 
-def _shown(line: LogLine) -> str:
+def _format_line(line: LogLine) -> str:
     task = f"{line.task} run {line.run}" if line.task else line.job
     what = (line.event, task, line.worker, line.state, line.how)
     why = (line.data_hall, line.reason, line.cause or "", line.proof)
--- a/src/saddlestack/cli/jobs.py
+++ b/src/saddlestack/cli/jobs.py
@@ -1,4 +1,4 @@
-"""Commands of callers: submit, ask, list, cancel."""
+"""Commands for callers: submit, show, list, cancel and clear jobs."""
 
 from __future__ import annotations
 
@@ -31,18 +31,18 @@
     type=click.Choice([kind.value for kind in JobClass]),
     default=JobClass.NORMAL.value,
     show_default=True,
-    help="How soon it has to start.",
+    help="How soon the job must start.",
 )
 @click.option(
     "--adjacent",
     type=click.Choice([kind.value for kind in Adjacency]),
-    help="How close the accelerators have to be. [default: the narrowest that holds them]",
+    help="How close together the accelerators must be. [default: the narrowest that fits]",
 )
-@click.option("--run-once", is_flag=True, help="Never start it a second time.")
-@click.option("--checkpoint", is_flag=True, help="It can save its work and go on elsewhere.")
+@click.option("--run-once", is_flag=True, help="Never start the job a second time.")
+@click.option("--checkpoint", is_flag=True, help="The job can save its work and resume elsewhere.")
 @click.option("--estimate", type=float, default=60.0, help="Expected running time, seconds.")
-@click.option("--deadline", type=float, help="Seconds after which it is not to start any more.")
-@click.option("--payload", default="", help="Handed to the job; @FILE reads a file.")
+@click.option("--deadline", type=float, help="Seconds after which the job must not start any more.")
+@click.option("--payload", default="", help="Passed to the job; @FILE reads a file.")
 @account_option
 @wait_option
 @json_option
@@ -65,7 +65,7 @@
 ) -> None:
     """Submit a job of ACCELERATORS under the name REQUEST.
 
-    The same REQUEST never runs twice: sent again, it gets its first answer.
+    The same REQUEST never runs twice: a repeated submission returns the first answer.
 
     \b
     Examples:
@@ -141,7 +141,7 @@
 @pass_connection
 @errors_to_exit_codes
 def cancel(connection: Connection, request: str, account: str | None, as_json_: bool) -> None:
-    """Cancel a job. What has started may have run in part."""
+    """Cancel a job. Tasks that have started may have run in part."""
     with connection.client() as client:
         view = client.cancel(request, account=account)
     _show(view, as_json_)
@@ -154,9 +154,9 @@
 @pass_connection
 @errors_to_exit_codes
 def clear(connection: Connection, request: str, account: str | None, as_json_: bool) -> None:
-    """Hold a job to be sound though workers crashed under it: its tasks start as any others.
+    """Declare a job not at fault though workers crashed under it: its tasks start as any others.
 
-    Each start still counts. To give such a job up, cancel it.
+    Each start still counts towards its limit. To give such a job up, cancel it.
     """
     with connection.client() as client:
         view = client.clear(request, account=account)
--- a/src/saddlestack/cli/loggedpool.py
+++ b/src/saddlestack/cli/loggedpool.py
@@ -1,10 +1,10 @@
-"""The pool as log lines show it: which workers there were, and what runs hold of them.
+"""The worker pool as reconstructed from log lines: its workers and their allocated resources.
 
-The logs tell neither the workers that there are nor their room. A life of a worker counts from the
-first line that names it to the last one, or to the end of the day where no line tells of any worker
-that went or was silent. How many accelerators each has is told from outside. Of
-processors and memory it is taken to have the most that half of the workers held at one time: where
-no worker was ever full, standstills for which only more would be room enough are not found.
+The logs list neither the workers nor their capacity. A worker's incarnation counts as present from
+the first line that names it to the last one, or to the end of the logs if no line reports a worker
+that was lost or unreachable. The number of accelerators of a worker is a parameter. Its processors
+and memory are taken to be the most that at least half of the workers held at one time. If no worker
+was ever full, stalls of jobs that would fit only into more than that are not found.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 
 START = "start"
 WORKER_LOSS_EVENTS = frozenset({"lease_wait", "worker_replaced", "worker_silent"})
-"""Events that tell of workers that went, or were silent."""
+"""Events that report workers as lost or unreachable."""
 WORKER_LOSS_PROOFS = frozenset({"replaced", "lapsed"})
-"""Proofs of a run that counts as over that tell so too."""
+"""Proofs of events ``run_over`` that report a worker as lost, too."""
 RUN_ENDS = frozenset({"ended", "run_over", "run_absent", "start_refused"})
-LEAVES = "worker_leaves"
+WORKER_LEAVES = "worker_leaves"
 """The reason of a stop on a worker that has announced its end."""
 _NOTHING = Resources()
 _COMPLETED = "completed"
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoggedRun:
-    """A run that a task has."""
+    """The current run of a task."""
 
     number: int
     worker: str
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerSpan:
-    """From when to when lines named a life of a worker."""
+    """The time between the first and the last line that names a worker's incarnation."""
 
     first_s: float
     last_s: float
@@ -49,13 +49,15 @@
 
 @dataclass(slots=True)
 class LoggedPool:
-    """What is held of each worker.
+    """The resources held on each worker.
 
-    A leader that is killed takes ends with it that nobody tells again: a run is also over where its
-    task has a later one, and where its job is completed or forgotten.
+    Ends that a killed leader had received may never be logged. A run therefore also counts as ended
+    if its task has a later run, or if its job is completed or forgotten.
 
-    :param needs: of a task, by job and step.
-    :ivar runs: the present run of each task, by job.
+    :param needs: resources that one task takes, by job and step.
+    :ivar held: resources held on each worker, by incarnation.
+    :ivar runs: the current run of each task, by job.
+    :ivar present: incarnations of workers that are present now.
     """
 
     needs: Mapping[tuple[str, int], Resources]
@@ -63,12 +65,14 @@
     runs: dict[str, dict[str, LoggedRun]] = field(default_factory=dict)
     present: set[str] = field(default_factory=set)
 
-    def take(self, line: LogLine) -> None:
-        """A run begins, or is over."""
+    def apply(self, line: LogLine) -> None:
+        """Apply the start or the end of a run."""
         if line.event == START:
             self._end(line.task)
             self.runs.setdefault(job_id_of(line), {})[line.task] = LoggedRun(line.run, line.worker)
-            self.held[line.worker] = self.held.get(line.worker, _NOTHING) + self._needs(line.task)
+            self.held[line.worker] = self.held.get(line.worker, _NOTHING) + self._needs_of_task(
+                line.task
+            )
         elif line.event in RUN_ENDS:
             run = self.runs.get(job_id_of(line), {}).get(line.task)
             if run is not None and run.number == line.run:
@@ -78,48 +82,48 @@
                 self._end(task)
 
     def has_running_tasks(self, job_id: str) -> bool:
-        """Whether something of a job runs."""
+        """Whether any task of a job runs."""
         return bool(self.runs.get(job_id))
 
     def _end(self, task: str) -> None:
-        """The run of a task is over, where it has one."""
+        """End the run of a task, if it has one."""
         run = self.runs.get(task.partition(".")[0], {}).pop(task, None)
         if run is not None:
-            self.held[run.worker] -= self._needs(task)
+            self.held[run.worker] -= self._needs_of_task(task)
 
-    def use(self, accelerators: int) -> PoolUsage:
-        """What is held of the workers that are there.
+    def usage(self, accelerators: int) -> PoolUsage:
+        """Return how many accelerators of the present workers are held.
 
-        :param accelerators: of each worker.
+        :param accelerators: accelerators of each worker.
         """
         used = sum(min(held.accelerators, accelerators) for held in self.held.values())
         return PoolUsage(used, len(self.present) * accelerators)
 
-    def has_free_capacity_for(self, step: LoggedStep, room: Resources) -> bool:
-        """Whether a step that waits fits in twice over.
+    def has_free_capacity_for(self, step: LoggedStep, capacity: Resources) -> bool:
+        """Whether there is free capacity for a waiting step; see :func:`has_free_capacity`.
 
-        :param room: of each worker.
+        :param capacity: resources of each worker.
         """
         wanted = step.count if step.gang else 1
         copies = 0
         for worker in self.present:
-            copies += step.needs.copies_in(room - self.held.get(worker, _NOTHING))
+            copies += step.needs.copies_in(capacity - self.held.get(worker, _NOTHING))
             if copies >= FREE_CAPACITY_FACTOR * wanted:
                 break
-        return has_free_capacity(self.use(room.accelerators), copies, wanted)
+        return has_free_capacity(self.usage(capacity.accelerators), copies, wanted)
 
-    def _needs(self, task: str) -> Resources:
+    def _needs_of_task(self, task: str) -> Resources:
         name = TaskName.parse(task)
         return self.needs.get((name.job_id, name.step), _NOTHING)
 
 
 def job_id_of(line: LogLine) -> str:
-    """The job of the task that a line names."""
+    """Return the id of the job whose task a line names."""
     return line.task.partition(".")[0]
 
 
 def task_needs(lines: Iterable[LogLine]) -> dict[tuple[str, int], Resources]:
-    """What a task takes, by job and step."""
+    """Return the resources that one task takes, by job and step."""
     found: dict[tuple[str, int], Resources] = {}
     for line in lines:
         if line.event == "accepted":
@@ -131,7 +135,10 @@
 
 
 def worker_spans(lines: Sequence[LogLine]) -> dict[str, WorkerSpan]:
-    """The lives of workers that ran something, lines in order of time."""
+    """Return when each worker that ran something was present, by incarnation.
+
+    :param lines: in order of time.
+    """
     found: dict[str, WorkerSpan] = {}
     for line in lines:
         if not line.worker:
@@ -141,42 +148,44 @@
             found[line.worker] = WorkerSpan(known.first_s, line.at_s)
         elif line.event == START:
             found[line.worker] = WorkerSpan(line.at_s, line.at_s)
-    if any(_tells_of_going(line) for line in lines):
+    if any(_reports_worker_loss(line) for line in lines):
         return found
     return {name: WorkerSpan(seen.first_s, lines[-1].at_s) for name, seen in found.items()}
 
 
-def _tells_of_going(line: LogLine) -> bool:
+def _reports_worker_loss(line: LogLine) -> bool:
     return (
         line.event in WORKER_LOSS_EVENTS
         or line.proof in WORKER_LOSS_PROOFS
-        or line.reason == LEAVES
+        or line.reason == WORKER_LEAVES
     )
 
 
 def estimate_worker_capacity(
     lines: Iterable[LogLine], needs: Mapping[tuple[str, int], Resources], accelerators: int
 ) -> Resources:
-    """The room of a worker, as far as it was used: the most that half of the workers held at once.
+    """Estimate a worker's capacity: the most that at least half of the workers held at one time.
 
-    Not the most of all: some seem to hold more than they have, where no line told of an end.
+    The maximum over all workers would be too high: some seem to hold more than they have, because
+    no line reports the end of a run.
 
-    :param accelerators: of each worker; moments with more than these do not count.
+    :param accelerators: accelerators of each worker; moments at which a worker seems to hold more
+        do not count.
     """
     pool = LoggedPool(needs)
-    most: dict[str, Resources] = {}
+    max_held: dict[str, Resources] = {}
     for line in lines:
-        pool.take(line)
+        pool.apply(line)
         if line.event == START:
             held = pool.held[line.worker]
             if held.accelerators <= accelerators:
-                before = most.get(line.worker, _NOTHING)
+                before = max_held.get(line.worker, _NOTHING)
                 cpu, memory_mb = max(before.cpu, held.cpu), max(before.memory_mb, held.memory_mb)
-                most[line.worker] = Resources(cpu, memory_mb, accelerators)
-    if not most:
+                max_held[line.worker] = Resources(cpu, memory_mb, accelerators)
+    if not max_held:
         return Resources(0, 0, accelerators)
     return Resources(
-        statistics.median_high(each.cpu for each in most.values()),
-        statistics.median_high(each.memory_mb for each in most.values()),
+        statistics.median_high(each.cpu for each in max_held.values()),
+        statistics.median_high(each.memory_mb for each in max_held.values()),
         accelerators,
     )
--- a/src/saddlestack/cli/loglines.py
+++ b/src/saddlestack/cli/loglines.py
@@ -1,4 +1,4 @@
-"""The JSON log lines of entry VMs, read back."""
+"""Reader for the JSON log lines of entry VMs."""
 
 from __future__ import annotations
 
@@ -13,24 +13,24 @@
 
 
 class LogLine(msgspec.Struct):
-    """The fields of a log line that tell about a job.
+    """The fields of a log line that the commands use.
 
-    :param leader: of an event ``leader``: who leads now, or ``None``.
-    :param revision: of the leader key as it was seen, 0 where there was none.
+    :param leader: of an event ``leader``: the current leader, or ``None``.
+    :param revision: revision of the leader key that the VM saw; 0 if there was no key.
     :param fence: the fencing token of the term, which is the revision of its key.
     :param proof: of an event ``run_over``: why the run counts as over.
-    :param age_s: how old that is.
-    :param left_s: of an event ``lease_wait``: how long it lasts at most.
-    :param stood_s: of events ``waits`` and ``stands_still``: for how long nothing of the job ran.
-    :param tasks: how many of its tasks waited.
+    :param age_s: age of that proof in seconds.
+    :param left_s: of an event ``lease_wait``: the longest time that the wait may last.
+    :param stood_s: of events ``waits`` and ``stands_still``: how long no task of the job had run.
+    :param tasks: number of tasks of the job that waited.
     :param ends: what ends the wait.
-    :param ends_s: when that is at the latest, in seconds from then, where it was known.
-    :param late_s: by how much the leader's own look came late.
-    :param crashes: of events ``crash_...``: workers that crashed under the task and count.
-    :param odds: how much likelier it crashes its workers than not.
-    :param beside: other runs that were lost with the worker.
-    :param at_s: when it was written: the number of seconds that a collector has put in front
-        of the line, else the VM's time of day.
+    :param ends_s: seconds until the wait ends at the latest, if known.
+    :param late_s: how late the leader's own check was.
+    :param crashes: of events ``crash_...``: number of counted crashes of workers under the task.
+    :param odds: odds that the task crashes its workers.
+    :param beside: number of other runs that were lost with the worker.
+    :param at_s: time at which the line was written: the number of seconds that a collector put
+        before the line, else the VM's local time.
     """
 
     time: str = ""
@@ -70,7 +70,7 @@
 
 
 def read(files: Iterable[Path]) -> list[LogLine]:
-    """All log lines of some files, in order of time; what is no log line is left out."""
+    """Read the log lines of some files, in order of time, and skip all other text."""
     lines: list[LogLine] = []
     for file in files:
         with file.open(encoding="utf-8", errors="replace") as text:
--- a/src/saddlestack/cli/main.py
+++ b/src/saddlestack/cli/main.py
@@ -40,14 +40,14 @@
     Callers:
       saddlestack submit replay-0412 16 --class bulk --checkpoint --wait 600
       saddlestack job show replay-0412
-    Operators state an intent, get a plan, and confirm it:
+    Operators state an intent, get a plan and confirm it:
       saddlestack plan account set depots --guarantee 2x16@rack
       saddlestack confirm
-    See it run without any set-up:
+    Run a demo without any set-up:
       saddlestack demo
 
     VM and token also come from SADDLESTACK_VM and SADDLESTACK_TOKEN. Exit codes: 0 done or
-    under way, 1 failed, 2 wrong input, 3 refused, 4 conflict, 5 not available now, 6 not
+    under way, 1 failed, 2 invalid input, 3 refused, 4 conflict, 5 not available now, 6 not
     known whether it ran. Shell completion: `_SADDLESTACK_COMPLETE=bash_source saddlestack`.
     """
     context.obj = Connection(vms, token)
--- a/src/saddlestack/cli/operators.py
+++ b/src/saddlestack/cli/operators.py
@@ -1,4 +1,4 @@
-"""Commands of operators: plan, confirm, look."""
+"""Commands for operators: plan and confirm changes, and show the state of the cluster."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
     type=click.Path(dir_okay=False, path_type=Path),
     default=DEFAULT_PLAN,
     show_default=True,
-    help="Where to keep the plan for `saddlestack confirm`.",
+    help="File in which to save the plan for `saddlestack confirm`.",
 )
 
 
-def planning(command: Callable[..., Any]) -> Callable[..., Any]:
-    """The options and the error handling of a command that makes a plan."""
+def plan_command(command: Callable[..., Any]) -> Callable[..., Any]:
+    """Decorate a command that makes a plan with its options and error handling."""
     for decorate in (errors_to_exit_codes, pass_connection, json_option, save_option):
         command = decorate(command)
     return command
@@ -38,7 +38,7 @@
 
 @click.group()
 def plan() -> None:
-    """State an intent and see what it would change. Nothing changes yet.
+    """State an intent and show what it would change. Nothing is changed yet.
 
     \b
     Examples:
@@ -51,10 +51,10 @@
 
 @plan.command("file")
 @click.argument("path", type=click.Path(exists=True, dir_okay=False, path_type=Path))
-@planning
+@plan_command
 def plan_file(connection: Connection, path: Path, save: Path, as_json_: bool) -> None:
     """Plan an intent written in JSON with comments: data_halls, accounts, weights, spare."""
-    _make(connection, read_json_with_comments(path, Intent), save, as_json_)
+    _make_plan(connection, read_json_with_comments(path, Intent), save, as_json_)
 
 
 @plan.group("account")
@@ -71,10 +71,14 @@
     metavar="COUNTxN@worker|rack|hall",
     help="A guaranteed shape, such as 2x16@rack; may be given more than once.",
 )
-@click.option("--queued", type=int, default=1000, show_default=True, help="Jobs waiting at once.")
-@click.option("--rate", type=float, default=500.0, show_default=True, help="Submissions a second.")
-@click.option("--new-token", is_flag=True, help="Make a token and print it once.")
-@planning
+@click.option(
+    "--queued", type=int, default=1000, show_default=True, help="Maximum number of waiting jobs."
+)
+@click.option(
+    "--rate", type=float, default=500.0, show_default=True, help="Submissions per second."
+)
+@click.option("--new-token", is_flag=True, help="Create a token and print it once.")
+@plan_command
 def plan_account_set(
     connection: Connection,
     name: str,
@@ -97,51 +101,51 @@
         limits=Limits(queued=queued, rate=rate),
         tokens=tokens,
     )
-    _make(connection, Intent(accounts=(account_,)), save, as_json_)
+    _make_plan(connection, Intent(accounts=(account_,)), save, as_json_)
 
 
 @plan_account.command("remove")
 @click.argument("name")
-@planning
+@plan_command
 def plan_account_remove(connection: Connection, name: str, save: Path, as_json_: bool) -> None:
-    """Remove the account NAME; its running work goes on as borrowed."""
-    _make(connection, Intent(remove_accounts=(name,)), save, as_json_)
+    """Remove the account NAME; its running work continues on borrowed capacity."""
+    _make_plan(connection, Intent(remove_accounts=(name,)), save, as_json_)
 
 
 @plan.command("weights")
 @click.option("--completion", type=float, required=True)
 @click.option("--fragmentation", type=float, required=True)
-@planning
+@plan_command
 def plan_weights(
     connection: Connection, completion: float, fragmentation: float, save: Path, as_json_: bool
 ) -> None:
-    """Plan how completion time and fragmentation are weighed."""
+    """Plan the weights of completion time and fragmentation."""
     weights = Weights(completion=completion, fragmentation=fragmentation)
-    _make(connection, Intent(weights=weights), save, as_json_)
+    _make_plan(connection, Intent(weights=weights), save, as_json_)
 
 
 @plan.command("spare")
 @click.argument("workers", type=click.IntRange(0, 16))
-@planning
+@plan_command
 def plan_spare(connection: Connection, workers: int, save: Path, as_json_: bool) -> None:
-    """Plan how many workers a cell may lose with all guarantees still packing."""
-    _make(connection, Intent(spare=workers), save, as_json_)
+    """Plan how many workers a cell may lose while all guarantees still fit."""
+    _make_plan(connection, Intent(spare=workers), save, as_json_)
 
 
 @plan.command("drain")
 @click.argument("vms", nargs=-1, required=True)
-@planning
+@plan_command
 def plan_drain(connection: Connection, vms: tuple[str, ...], save: Path, as_json_: bool) -> None:
     """Plan that VMS receive no new work."""
-    _make(connection, Intent(drain=vms), save, as_json_)
+    _make_plan(connection, Intent(drain=vms), save, as_json_)
 
 
 @plan.command("undrain")
 @click.argument("vms", nargs=-1, required=True)
-@planning
+@plan_command
 def plan_undrain(connection: Connection, vms: tuple[str, ...], save: Path, as_json_: bool) -> None:
     """Plan that VMS may receive work again."""
-    _make(connection, Intent(undrain=vms), save, as_json_)
+    _make_plan(connection, Intent(undrain=vms), save, as_json_)
 
 
 @click.command()
@@ -155,13 +159,13 @@
     type=click.FloatRange(0, 30),
     default=5.0,
     show_default=True,
-    help="Seconds to wait until all known VMs have it in force.",
+    help="Seconds to wait until the plan is in force on all known VMs.",
 )
 @json_option
 @pass_connection
 @errors_to_exit_codes
 def confirm(connection: Connection, path: Path, wait: float, as_json_: bool) -> None:
-    """Put the plan in PATH in force. An outdated plan is a conflict and changes nothing."""
+    """Apply the plan in PATH. An outdated plan is a conflict and changes nothing."""
     made = from_json(path.read_bytes(), Plan, str(path))
     with connection.client() as client:
         confirmation = client.confirm(made, wait=wait)
@@ -170,7 +174,7 @@
 
 @click.group()
 def account() -> None:
-    """Look at client accounts."""
+    """Show client accounts."""
 
 
 @account.command("list")
@@ -277,7 +281,7 @@
 
 @click.group()
 def vm() -> None:
-    """Take VMs out of work and back."""
+    """Drain VMs and return them to work."""
 
 
 @vm.command("drain")
@@ -287,10 +291,10 @@
 @pass_connection
 @errors_to_exit_codes
 def vm_drain(connection: Connection, name: str, yes: bool, as_json_: bool) -> None:
-    """Let NAME receive no new work: plan, show, ask, confirm.
+    """Give NAME no new work: plan, show, ask, confirm.
 
-    An endpoint finishes what runs; an entry VM hands its cells over, answers what it has in
-    hand, and ends.
+    An endpoint finishes its running work. An entry VM hands over its cells, answers the requests
+    under way and exits.
     """
     _plan_and_confirm(connection, Intent(drain=(name,)), yes, as_json_)
 
@@ -302,7 +306,7 @@
 @pass_connection
 @errors_to_exit_codes
 def vm_undrain(connection: Connection, name: str, yes: bool, as_json_: bool) -> None:
-    """Let NAME receive work again."""
+    """Allow NAME to receive work again."""
     _plan_and_confirm(connection, Intent(undrain=(name,)), yes, as_json_)
 
 
@@ -317,7 +321,7 @@
     _show_confirmation(confirmation, as_json_)
 
 
-def _make(connection: Connection, intent: Intent, save: Path, as_json_: bool) -> None:
+def _make_plan(connection: Connection, intent: Intent, save: Path, as_json_: bool) -> None:
     with connection.client() as client:
         made = client.plan(intent)
     save.write_bytes(to_json(made))
@@ -326,7 +330,7 @@
     else:
         _show_plan(made)
         if not made.refusals:
-            click.echo(f"\nKept in {save}. To put it in force: saddlestack confirm {save}")
+            click.echo(f"\nSaved in {save}. To apply it: saddlestack confirm {save}")
     if made.refusals:
         kind = ErrorKind(made.refusal_kind or ErrorKind.INVALID)
         raise SystemExit(TABLE[kind].exit_code or EXIT_REFUSED)
--- a/src/saddlestack/cli/output.py
+++ b/src/saddlestack/cli/output.py
@@ -1,4 +1,4 @@
-"""What the command line prints: tables for people, JSON for programs, errors with codes."""
+"""Output of the commands: tables for people, JSON for programs, errors and exit codes."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
     metavar="FILE...",
     type=click.Path(exists=True, dir_okay=False, path_type=Path),
 )
-"""The log files that a command reads."""
+"""The argument for the log files that a command reads."""
 
 
 def table(headings: Sequence[str], rows: Iterable[Sequence[object]]) -> None:
-    """Print rows under headings, columns aligned."""
+    """Print rows under headings in aligned columns."""
     texts = [[str(cell) for cell in row] for row in rows]
     widths = [
         max([len(heading), *(len(row[i]) for row in texts)]) for i, heading in enumerate(headings)
@@ -45,14 +45,14 @@
 
 
 def moment(wall: float | None) -> str:
-    """A wall time for people."""
+    """Format a wall-clock time in local time; ``-`` for ``None``."""
     if wall is None:
         return "-"
     return time.strftime("%Y-%m-%d %H:%M:%S", time.localtime(wall))
 
 
 def errors_to_exit_codes(command: Callable[P, R]) -> Callable[P, R]:
-    """Turn a :class:`SaddlestackError` into one line and the exit code of its kind."""
+    """Decorate a command to print each :class:`SaddlestackError` and exit with its code."""
 
     @functools.wraps(command)
     def wrapped(*args: P.args, **kwargs: P.kwargs) -> R:
@@ -69,7 +69,7 @@
 
 
 def job_exit_code(view: JobView) -> int:
-    """The exit code for a job's state: 0 while it may still end well."""
+    """Return the exit code for a job's state; 0 while the job may still succeed."""
     if view.state is JobState.DONE or not view.state.final:
         return 0
     if view.error is None:
@@ -100,7 +100,7 @@
 
 
 def where(view: JobView) -> str:
-    """The parts of a gang in short."""
+    """Format the parts of a gang as ``VM:ACCELERATORS``."""
     return ", ".join(f"{part.vm}:{part.accelerators}" for part in view.parts) or "-"
 
 
--- a/src/saddlestack/cli/running.py
+++ b/src/saddlestack/cli/running.py
@@ -1,4 +1,4 @@
-"""Commands that run something: the daemon, its settings, and the stand-ins."""
+"""Commands that run the daemon and the stand-ins, and check settings."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 )
 @errors_to_exit_codes
 def daemon(path: Path) -> None:
-    """Run one entry VM's daemon. SIGTERM drains it: no request in hand is cut short."""
+    """Run the daemon of one entry VM. SIGTERM drains it: requests under way are completed."""
     from saddlestack.daemon import serve
 
     settings_ = load(path)
@@ -46,7 +46,7 @@
 @path_argument
 @errors_to_exit_codes
 def check(path: Path) -> None:
-    """Check FILE whole: each fault with its line or key path and what was expected."""
+    """Check all of FILE and print each fault with its line or key path and what was expected."""
     settings_ = load(path)
     click.echo(f"{path}: settings of VM {settings_.vm} in data hall {settings_.data_hall}: good")
 
@@ -62,13 +62,13 @@
 
 @click.group()
 def standin() -> None:
-    """Run a stand-in for an outside system, for trials only: nothing is kept."""
+    """Run a stand-in for an external system, for trials only: it stores nothing durably."""
 
 
 @standin.command()
 @listen_option
 def store(listen: str) -> None:
-    """Stand in for the platform's key-value store. POST /v1/faults plays faults."""
+    """Stand in for the platform's key-value store. POST /v1/faults injects faults."""
     from saddlestack.standins.store import StandinStore
 
     address, port = parse_vm(listen)
@@ -77,7 +77,7 @@
 
 @standin.command()
 @listen_option
-@click.option("--lag", type=float, default=1.0, help="Seconds until a change shows.")
+@click.option("--lag", type=float, default=1.0, help="Seconds until a change becomes visible.")
 def vms(listen: str, lag: float) -> None:
     """Stand in for the platform's list of VMs. PUT and DELETE /v1/vms change it."""
     from saddlestack.standins.vms import StandinVms
@@ -92,7 +92,7 @@
 @click.option("--accelerators", type=int, default=8, show_default=True)
 @click.option("--slots", type=int, default=8, show_default=True)
 def endpoint(listen: str, name: str, accelerators: int, slots: int) -> None:
-    """Stand in for an endpoint. POST /v1/faults plays faults, POST /v1/leave leaves."""
+    """Stand in for an endpoint. POST /v1/faults injects faults, POST /v1/leave makes it leave."""
     from saddlestack.standins.endpoint import StandinEndpoint
 
     address, port = parse_vm(listen)
--- a/src/saddlestack/cli/simulations.py
+++ b/src/saddlestack/cli/simulations.py
@@ -1,4 +1,4 @@
-"""Commands to try saddlestack: the demo, replay of traces and scenarios."""
+"""Commands that simulate a deployment: the demo, replays of traces, and scenarios."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 @click.option("--seed", type=int, default=1, show_default=True)
 @click.option("--json", "as_json_", is_flag=True, help="Print JSON.")
 def demo(seed: int, as_json_: bool) -> None:
-    """Show the main job: three data halls in one process, jobs, a reclaim, a killed VM."""
+    """Run a demo in one process: three data halls, jobs, a reclaim, a killed VM."""
     from saddlestack.standins.demo import run_demo, show
 
     result = asyncio.run(run_demo(seed))
@@ -40,21 +40,23 @@
     "config_path",
     required=True,
     type=click.Path(exists=True, dir_okay=False, path_type=Path),
-    help="Halls, accounts and weights, JSON with comments.",
+    help="Data halls, accounts and weights, JSON with comments.",
 )
 @click.option(
     "--policy",
     type=click.Choice(POLICIES),
     default=POLICIES[0],
     show_default=True,
-    help="The product's own policy or a baseline.",
+    help="The policy of saddlestack or a baseline.",
 )
 @click.option("--json", "as_json_", is_flag=True, help="Print one JSON object.")
-@click.option("--stable", is_flag=True, help="With --json: leave out what differs by machine.")
+@click.option(
+    "--stable", is_flag=True, help="With --json: leave out fields that differ between machines."
+)
 @click.option(
     "--report",
     type=click.Path(dir_okay=False, path_type=Path),
-    help="Also write a page with timelines (needs the extra `report`).",
+    help="Also write an HTML page with timelines (needs the extra `report`).",
 )
 def replay(
     trace: Path,
@@ -64,9 +66,9 @@
     stable: bool,
     report: Path | None,
 ) -> None:
-    """Run TRACE through the decision core and judge its stated outcomes.
+    """Run TRACE through the scheduling policy and check its expected outcomes.
 
-    Exit codes: 0 all hold, 1 one fails or an invariant is violated, 2 unusable input.
+    Exit codes: 0 all hold, 1 one fails or an invariant is violated, 2 invalid input.
 
     \b
     Example:
@@ -99,7 +101,7 @@
 
 @click.group()
 def trace() -> None:
-    """Make traces to replay."""
+    """Generate traces for replays."""
 
 
 @trace.command("make")
@@ -116,12 +118,12 @@
 @trace.command("config")
 @click.argument("name", type=click.Choice(sorted(RECIPES)))
 def trace_config(name: str) -> None:
-    """Print the configuration that the trace NAME is meant for."""
+    """Print the configuration for the trace NAME."""
     as_json(config_of(name))
 
 
 def show_result(result: Result) -> None:
-    """Print a replay's result for people."""
+    """Print the result of a replay as text."""
     click.echo(
         f"policy {result.policy}: {result.jobs} jobs, {result.finished} finished, "
         f"{result.refused} refused, {result.unknown} unknown"
@@ -152,10 +154,10 @@
 
 @click.command()
 @click.argument("files", nargs=-1, type=click.Path(exists=True, dir_okay=False, path_type=Path))
-@click.option("--chaos", is_flag=True, help="Mix all faults at random instead.")
+@click.option("--chaos", is_flag=True, help="Inject a random mix of all faults instead.")
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--seconds", type=float, default=60.0, show_default=True, help="Length of chaos.")
-@click.option("--real-time", is_flag=True, help="Do not let the clock jump.")
+@click.option("--seconds", type=float, default=60.0, show_default=True, help="Duration of --chaos.")
+@click.option("--real-time", is_flag=True, help="Run in real time instead of on a virtual clock.")
 @click.option("--json", "as_json_", is_flag=True, help="Print JSON.")
 def scenario(
     files: tuple[Path, ...],
@@ -165,9 +167,9 @@
     real_time: bool,
     as_json_: bool,
 ) -> None:
-    """Play scenario FILES, or a seeded mix of all faults, and hold the promises.
+    """Run scenario FILES, or a seeded mix of all faults, and check that the promises hold.
 
-    Exit codes: 0 all hold, 1 one fails, 2 a file that can't be read.
+    Exit codes: 0 all hold, 1 one fails, 2 a file can't be read.
 
     \b
     Examples:
--- a/src/saddlestack/cli/stalled_jobs.py
+++ b/src/saddlestack/cli/stalled_jobs.py
@@ -1,12 +1,13 @@
-"""Jobs that stood still beside a free pool, from the logs of all VMs of one day.
+"""Jobs that stalled although the pool was mostly free, from the logs of all VMs of one day.
 
-What counts is told by :mod:`saddlestack.policy.stall`; what the logs do not tell is taken as
-:mod:`saddlestack.cli.loggedpool` says, and:
+:mod:`saddlestack.policy.stall` defines what counts as a stall. What the logs lack is filled in as
+:mod:`saddlestack.cli.loggedpool` describes, and by these rules:
 
-- a run counts from the order to start it to the line that ends it, also where its worker never
-  answered: a standstill before a start without effect is over shows only with the next one;
-- of a job's steps the earliest that is not done counts: it may run whatever it waits for;
-- jobs that are due later, and wishes for a label or a rack, are not told.
+- A run counts from the order to start it to the line that ends it, even if its worker never
+  answered. A stall that goes on after a start without effect is therefore found only once a line
+  reports that this start is over.
+- The earliest step of a job that is not done counts as allowed to run, whatever it waits for.
+- Jobs that are due later, and constraints on labels or racks, are not in the logs.
 """
 
 from __future__ import annotations
@@ -33,28 +34,29 @@
 from saddlestack.work import FINAL_STATES, Resources, TaskName
 
 ACCELERATORS = 8
-"""Of each worker, where nothing else is told."""
-TOLD = "stands_still"
-"""The event by which a leader tells that a job stands still."""
-BESIDE_MARGIN_S = 0.5
-"""Runs that start less than this before a job goes on start with it, not beside it."""
+"""The default number of accelerators of each worker."""
+STALL_EVENT = "stands_still"
+"""The event by which a leader reports that a job is stalled."""
+RESUME_MARGIN_S = 0.5
+"""Runs that start less than this before a job resumes count as started together with it."""
 _FINAL = frozenset(state.value for state in FINAL_STATES)
 _CLOSING = frozenset({"cancelled", "forgotten"})
 _DONE = "done"
 _BROKEN = "broken"
-"""How the members of a gang end beside the one that failed, or was stopped."""
+"""How the other members of a gang end when one has failed or was stopped."""
 
 
 @dataclass(frozen=True, slots=True)
 class LoggedStall:
-    """A job that stood still.
-
-    :param until_s: when it went on, or the room was gone.
-    :param usage: what was held of the pool when it had stood for too long.
-    :param other_starts: runs of other jobs that were started meanwhile, before it went on.
-    :param last_event: what the last line about the job before told: how a run had ended, or its
-        acceptance.
-    :param reasons: what leaders told about it meanwhile.
+    """A job that was stalled.
+
+    :param since_s: when it began to wait.
+    :param until_s: when it resumed, or when the free capacity was gone.
+    :param usage: usage of the pool when the job became stalled.
+    :param other_starts: number of runs of other jobs that were started before it resumed.
+    :param last_event: the last event of the job before the stall: its acceptance, a start, or how a
+        run ended.
+    :param reasons: reasons that leaders reported during the stall.
     """
 
     job_id: str
@@ -67,20 +69,21 @@
 
     @property
     def duration_s(self) -> float:
-        """For how long."""
+        """Duration of the stall in seconds."""
         return self.until_s - self.since_s
 
 
 @dataclass(frozen=True, slots=True)
 class StallReport:
-    """All that the logs tell of jobs that stood still.
-
-    :param accepted: jobs that were accepted.
-    :param incarnations: lives of workers that were seen.
-    :param worker_capacity: that each of them was taken to have.
-    :param missing_starts: runs that ended without a start in the logs: lines are missing, and
-        jobs of which something ran may seem to have stood still.
-    :param reported: the lines by which leaders told that jobs stand still.
+    """All stalls found in the logs.
+
+    :param stalls: the stalls that were found.
+    :param accepted: number of accepted jobs.
+    :param incarnations: number of incarnations of workers in the logs.
+    :param worker_capacity: the estimated capacity of each worker.
+    :param missing_starts: number of runs that ended without a start in the logs. Lines are then
+        missing, and jobs may seem stalled although a task ran.
+    :param reported: the lines by which leaders reported stalled jobs.
     """
 
     stalls: tuple[LoggedStall, ...]
@@ -93,11 +96,14 @@
 
 @dataclass(slots=True)
 class _Job:
-    """What is known of a job that was accepted."""
+    """State of an accepted job.
+
+    :param done: indexes of the tasks that are done, by step.
+    """
 
     steps: list[LoggedStep | None]
-    last: str = "accepted"
-    over: bool = False
+    last_event: str = "accepted"
+    is_over: bool = False
     done: dict[int, set[int]] = field(default_factory=lambda: defaultdict(set))
 
     @property
@@ -112,117 +118,115 @@
 
 
 def find_stalls(lines: Sequence[LogLine], accelerators: int = ACCELERATORS) -> StallReport:
-    """Find jobs that stood still.
+    """Find stalled jobs.
 
-    :param lines: of all VMs, in order of time.
-    :param accelerators: of each worker.
+    :param lines: log lines of all VMs, in order of time.
+    :param accelerators: accelerators of each worker.
     """
     needs = task_needs(lines)
-    room = estimate_worker_capacity(lines, needs, accelerators)
-    workers = worker_spans(lines)
-    reader = _Reader(LoggedPool(needs), room, workers)
+    capacity = estimate_worker_capacity(lines, needs, accelerators)
+    spans = worker_spans(lines)
+    reader = _Reader(LoggedPool(needs), capacity, spans)
     reader.read(lines)
-    told = tuple(line for line in lines if line.event == TOLD)
+    reported = tuple(line for line in lines if line.event == STALL_EVENT)
     return StallReport(
-        stalls=tuple(_with_rest(each, lines, told) for each in reader.found),
+        stalls=tuple(_with_context(each, lines, reported) for each in reader.stalls),
         accepted=len(reader.jobs),
-        incarnations=len(workers),
-        worker_capacity=room,
+        incarnations=len(spans),
+        worker_capacity=capacity,
         missing_starts=reader.missing_starts,
-        reported=told,
+        reported=reported,
     )
 
 
-def _with_rest(
-    stood: LoggedStall, lines: Sequence[LogLine], told: Sequence[LogLine]
+def _with_context(
+    stall: LoggedStall, lines: Sequence[LogLine], reported: Sequence[LogLine]
 ) -> LoggedStall:
-    """What happened beside a standstill, and what leaders told of it."""
-    beside = sum(
+    """Add the starts of other jobs during a stall, and the reasons that leaders reported."""
+    other_starts = sum(
         1
         for line in lines
         if line.event == START
-        and stood.since_s < line.at_s < stood.until_s - BESIDE_MARGIN_S
-        and not line.task.startswith(f"{stood.job_id}.")
+        and stall.since_s < line.at_s < stall.until_s - RESUME_MARGIN_S
+        and not line.task.startswith(f"{stall.job_id}.")
     )
     reasons = Counter(
         line.reason
-        for line in told
-        if line.job == stood.job_id and stood.since_s <= line.at_s <= stood.until_s
+        for line in reported
+        if line.job == stall.job_id and stall.since_s <= line.at_s <= stall.until_s
     )
-    return replace(stood, other_starts=beside, reasons=tuple(reasons))
+    return replace(stall, other_starts=other_starts, reasons=tuple(reasons))
 
 
 class _Reader:
-    """Goes through log lines once, in order of time."""
+    """Finds stalls in log lines in order of time."""
 
-    def __init__(self, pool: LoggedPool, room: Resources, workers: dict[str, WorkerSpan]) -> None:
+    def __init__(self, pool: LoggedPool, capacity: Resources, spans: dict[str, WorkerSpan]) -> None:
         self.jobs: dict[str, _Job] = {}
-        self.found: list[LoggedStall] = []
+        self.stalls: list[LoggedStall] = []
         self.missing_starts = 0
         self._pool = pool
-        self._room = room
-        self._comings = [(seen.first_s, name) for name, seen in workers.items()]
-        self._goings = [(seen.last_s, name) for name, seen in workers.items()]
-        heapq.heapify(self._comings)
-        heapq.heapify(self._goings)
+        self._capacity = capacity
+        self._arrivals = [(span.first_s, name) for name, span in spans.items()]
+        self._departures = [(span.last_s, name) for name, span in spans.items()]
+        heapq.heapify(self._arrivals)
+        heapq.heapify(self._departures)
         self._started: set[tuple[str, int]] = set()
-        self._watch = StallDetector()
-        self._standing: set[str] = set()
+        self._detector = StallDetector()
+        self._stalled: set[str] = set()
         self._idle: set[str] = set()
-        self._open: dict[str, LoggedStall] = {}
+        self._open_stalls: dict[str, LoggedStall] = {}
 
     def read(self, lines: Sequence[LogLine]) -> None:
-        """Read all lines."""
+        """Process all lines."""
         for line in lines:
-            self._look(line.at_s)
+            self._update_stalls(line.at_s)
             changed = self._move_workers(line.at_s)
-            if self._take(line) or changed:
-                self._standing = set(self._standing_now())
-                self._look(line.at_s)
+            if self._apply(line) or changed:
+                self._stalled = set(self._stalled_now())
+                self._update_stalls(line.at_s)
         if lines:
-            self._close([*self._open], lines[-1].at_s)
+            self._close([*self._open_stalls], lines[-1].at_s)
 
     def _move_workers(self, at_s: float) -> bool:
-        """Let workers come and go; whether any did."""
+        """Add and remove workers up to a time; whether any changed."""
         changed = False
-        while self._comings and self._comings[0][0] <= at_s:
-            self._pool.present.add(heapq.heappop(self._comings)[1])
+        while self._arrivals and self._arrivals[0][0] <= at_s:
+            self._pool.present.add(heapq.heappop(self._arrivals)[1])
             changed = True
-        while self._goings and self._goings[0][0] < at_s:
-            self._pool.present.discard(heapq.heappop(self._goings)[1])
+        while self._departures and self._departures[0][0] < at_s:
+            self._pool.present.discard(heapq.heappop(self._departures)[1])
             changed = True
         return changed
 
-    # Lines
-
-    def _take(self, line: LogLine) -> bool:
-        """Take a line in; whether it may change who stands still."""
+    def _apply(self, line: LogLine) -> bool:
+        """Apply a line; whether it may change which jobs are stalled."""
         if line.event == "accepted":
             if line.job not in self.jobs:
                 self.jobs[line.job] = _Job([parse_logged_step(text) for text in line.steps])
-            self._sort(line.job)
+            self._update_idle(line.job)
         elif line.event == START:
             self._start(line)
         elif line.event in RUN_ENDS:
             self._end(line)
         elif line.event in _CLOSING or line.state in _FINAL:
-            self._over(line)
+            self._finish_job(line)
         else:
             return False
         return True
 
     def _start(self, line: LogLine) -> None:
         job_id = job_id_of(line)
-        self._pool.take(line)
+        self._pool.apply(line)
         self._started.add((line.task, line.run))
         if job_id in self.jobs:
-            self.jobs[job_id].last = "a start"
-            self._sort(job_id)
+            self.jobs[job_id].last_event = "a start"
+            self._update_idle(job_id)
 
     def _end(self, line: LogLine) -> None:
         job_id = job_id_of(line)
         job = self.jobs.get(job_id)
-        self._pool.take(line)
+        self._pool.apply(line)
         if line.event == "ended" and (line.task, line.run) not in self._started:
             self._started.add((line.task, line.run))
             self.missing_starts += 1
@@ -231,46 +235,44 @@
         if line.how == _DONE:
             name = TaskName.parse(line.task)
             job.done[name.step].add(name.index)
-        if line.how != _BROKEN or not job.last.startswith("ended"):
-            job.last = " ".join(part for part in (line.event, line.how, line.proof) if part)
-        self._sort(job_id)
+        if line.how != _BROKEN or not job.last_event.startswith("ended"):
+            job.last_event = " ".join(part for part in (line.event, line.how, line.proof) if part)
+        self._update_idle(job_id)
 
-    def _over(self, line: LogLine) -> None:
+    def _finish_job(self, line: LogLine) -> None:
         job = self.jobs.get(line.job)
         if job is None:
             return
-        job.over = True
-        self._pool.take(line)
-        self._sort(line.job)
+        job.is_over = True
+        self._pool.apply(line)
+        self._update_idle(line.job)
 
-    def _sort(self, job_id: str) -> None:
-        """Keep which jobs wait with nothing running."""
+    def _update_idle(self, job_id: str) -> None:
+        """Update whether a job waits while none of its tasks runs."""
         job = self.jobs[job_id]
-        if job.over or self._pool.has_running_tasks(job_id) or job.next_step is None:
+        if job.is_over or self._pool.has_running_tasks(job_id) or job.next_step is None:
             self._idle.discard(job_id)
         else:
             self._idle.add(job_id)
 
-    # Standing still
-
-    def _standing_now(self) -> Iterator[str]:
-        if not self._pool.use(self._room.accelerators).is_mostly_free:
+    def _stalled_now(self) -> Iterator[str]:
+        if not self._pool.usage(self._capacity.accelerators).is_mostly_free:
             return
         for job_id in self._idle:
             step = self.jobs[job_id].next_step
-            if step is not None and self._pool.has_free_capacity_for(step, self._room):
+            if step is not None and self._pool.has_free_capacity_for(step, self._capacity):
                 yield job_id
 
-    def _look(self, at_s: float) -> None:
-        """Note who has stood for too long by now, and who stands no more."""
-        self._close([job_id for job_id in self._open if job_id not in self._standing], at_s)
-        for each in self._watch.update(self._standing, at_s):
-            use = self._pool.use(self._room.accelerators)
-            last = self.jobs[each.job_id].last
-            self._open[each.job_id] = LoggedStall(
-                each.job_id, each.since_s, math.inf, use, 0, last, ()
+    def _update_stalls(self, at_s: float) -> None:
+        """Open stalls of jobs that have waited for too long; close those of jobs that resumed."""
+        self._close([job_id for job_id in self._open_stalls if job_id not in self._stalled], at_s)
+        for each in self._detector.update(self._stalled, at_s):
+            usage = self._pool.usage(self._capacity.accelerators)
+            last_event = self.jobs[each.job_id].last_event
+            self._open_stalls[each.job_id] = LoggedStall(
+                each.job_id, each.since_s, math.inf, usage, 0, last_event, ()
             )
 
     def _close(self, jobs: Sequence[str], at_s: float) -> None:
         for job_id in jobs:
-            self.found.append(replace(self._open.pop(job_id), until_s=at_s))
+            self.stalls.append(replace(self._open_stalls.pop(job_id), until_s=at_s))
--- a/src/saddlestack/cli/standstills.py
+++ b/src/saddlestack/cli/standstills.py
@@ -1,4 +1,4 @@
-"""The command `saddlestack standstills`: which jobs stood still beside a free pool."""
+"""The command `saddlestack standstills`: jobs that stalled although the pool was mostly free."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
     type=click.IntRange(min=1),
     default=ACCELERATORS,
     show_default=True,
-    help="Of each worker: the logs do not tell.",
+    help="Accelerators of each worker, which the logs do not show.",
 )
 @errors_to_exit_codes
 def standstills(files: tuple[Path, ...], accelerators: int) -> None:
-    """Tell which jobs stood still, from the log FILEs of all VMs of one day.
+    """List the jobs that stalled, from the log FILEs of all VMs of one day.
 
-    A job stands still where nothing of it runs for 3 s or more, though a task could run, there is
-    room for it twice over, and under half of the accelerators is held. Only workers that ran
-    something are known, each from the first line that names it to the last, with the most
+    A job is stalled if none of its tasks runs for 3 s or more although one could run, there is
+    free capacity for it twice over, and less than half of the accelerators are held. Only workers
+    that ran something are known, each from the first line that names it to the last, with the most
     processors and memory that half of them held at one time.
     """
     for text in describe(find_stalls(read(files), accelerators)):
@@ -37,16 +37,16 @@
 
 
 def describe(found: StallReport) -> Iterator[str]:
-    """What was found in words, a line each."""
-    for stood in found.stalls:
-        yield _row(stood)
+    """Describe what was found, line by line."""
+    for stall in found.stalls:
+        yield _stall_row(stall)
     for line in found.reported:
-        yield _told(line)
+        yield _reported_row(line)
     yield (
         f"{len(found.stalls)} times a job of {found.accepted} stood still for {STALL_S:g} s or "
         f"more with room for {FREE_CAPACITY_FACTOR} of it and under half of the pool held"
     )
-    for after, count in Counter(stood.last_event for stood in found.stalls).most_common():
+    for after, count in Counter(stall.last_event for stall in found.stalls).most_common():
         yield f"{count:8}  after {after}"
     jobs = {line.job for line in found.reported}
     yield f"{len(found.reported)} times leaders told that a job stands still, {len(jobs)} jobs"
@@ -59,21 +59,21 @@
     )
     if found.missing_starts:
         yield (
-            f"{found.missing_starts} runs ended whose start is not in the logs: what is told of "
+            f"{found.missing_starts} runs ended whose start is not in the logs: results for "
             "their jobs may be wrong"
         )
 
 
-def _row(stood: LoggedStall) -> str:
-    reasons = "; ".join(stood.reasons)
+def _stall_row(stall: LoggedStall) -> str:
+    reasons = "; ".join(stall.reasons)
     return (
-        f"{stood.since_s:.3f} {stood.job_id} stood still for {stood.duration_s:.2f} s after "
-        f"{stood.last_event}, {stood.usage.used} of {stood.usage.total} accelerators held, "
-        f"{stood.other_starts} runs of others started" + (f": {reasons}" if reasons else "")
+        f"{stall.since_s:.3f} {stall.job_id} stood still for {stall.duration_s:.2f} s after "
+        f"{stall.last_event}, {stall.usage.used} of {stall.usage.total} accelerators held, "
+        f"{stall.other_starts} runs of others started" + (f": {reasons}" if reasons else "")
     )
 
 
-def _told(line: LogLine) -> str:
+def _reported_row(line: LogLine) -> str:
     what = f"{line.vm} tells that {line.job} has stood still for {line.stood_s:.2f} s"
     ends = f", ends with {line.ends}" if line.ends else ""
     return f"{line.at_s:.3f} {what}: {line.reason}{ends}"
--- a/src/saddlestack/cli/steps.py
+++ b/src/saddlestack/cli/steps.py
@@ -1,4 +1,4 @@
-"""A step, read back from the text that log lines give it."""
+"""Parser for the text by which log lines describe a step of a job."""
 
 from __future__ import annotations
 
@@ -8,20 +8,21 @@
 from saddlestack.policy.cluster.jobs import weight
 from saddlestack.work import Resources
 
-_SHAPE = re.compile(r"(\d+)x(\d+)acc/(\d+)cpu/(\d+)mb (\d+)ms")
+_STEP_PATTERN = re.compile(r"(\d+)x(\d+)acc/(\d+)cpu/(\d+)mb (\d+)ms")
 _SAVES = "saves"
 _GANG = "gang"
 
 
 @dataclass(frozen=True, slots=True)
 class LoggedStep:
-    """What a log line tells of a step.
-
-    :param cores: that one task holds, accelerators included.
-    :param estimate_s: how long a task was guessed to take.
-    :param saves: whether its tasks save their progress.
-    :param needs: what one task takes of a worker.
-    :param gang: whether its tasks run all together or not at all.
+    """A step as a log line describes it.
+
+    :param count: number of tasks.
+    :param cores: cores that one task holds, accelerators included.
+    :param estimate_s: estimated run time of one task.
+    :param saves: whether tasks save their progress.
+    :param needs: resources that one task takes of a worker.
+    :param gang: whether all tasks run together or not at all.
     """
 
     count: int
@@ -33,18 +34,18 @@
 
 
 def parse_logged_step(text: str) -> LoggedStep | None:
-    """The step that a text such as ``4x2acc/500cpu/900mb 60ms gang saves`` spells."""
-    found = _SHAPE.match(text)
+    """Parse a text such as ``4x2acc/500cpu/900mb 60ms gang saves``; ``None`` for other texts."""
+    found = _STEP_PATTERN.match(text)
     if found is None:
         return None
     count, accelerators, cpu, memory_mb, estimate_ms = (int(each) for each in found.groups())
     needs = Resources(cpu, memory_mb, accelerators)
-    marks = text.split()
+    flags = text.split()
     return LoggedStep(
         count,
         weight(Resources(cpu, 0, accelerators)),
         estimate_ms / 1000,
-        _SAVES in marks,
+        _SAVES in flags,
         needs,
-        _GANG in marks,
+        _GANG in flags,
     )
--- a/src/saddlestack/cli/stops.py
+++ b/src/saddlestack/cli/stops.py
@@ -1,4 +1,7 @@
-"""What stops of runs cost, and crashes beside them, and who asked for the room: from all logs."""
+"""Work lost to stops of runs and to crashes of workers, and the jobs that preempted others.
+
+All figures come from the logs of all VMs.
+"""
 
 from __future__ import annotations
 
@@ -11,44 +14,50 @@
 from saddlestack.cli.steps import LoggedStep, parse_logged_step
 
 SAVE_INTERVAL_S = 2.0
-"""Seconds that a stopped run loses at most where its step saves: it saves this often."""
+"""How often steps that save their progress do so; a stopped run of theirs loses this at most."""
 _PREEMPTED = "preempted"
 LOST_WITH_CRASHED_WORKER = "died beside a task that crashes its workers"
 
 
 @dataclass(slots=True)
 class ReasonCost:
-    """All stops for one reason.
+    """The cost of all stops for one reason.
 
-    :param lost: core-seconds of work thrown away, an accelerator counting as eight cores.
+    :param runs: number of stopped runs.
+    :param lost_core_s: core-seconds of lost work; an accelerator counts as eight cores.
     """
 
     runs: int = 0
-    lost: float = 0.0
+    lost_core_s: float = 0.0
 
 
 @dataclass(slots=True)
 class Preemptor:
-    """A job that others were stopped for.
-
-    :param preemption_rounds: moments at which it had others stopped; more than one means that the
-        room made first was not used.
-    :param used_s: from the first stop to its first start on one of the workers it made room on;
-        ``None`` where it never started there.
+    """A job for which runs of other jobs were stopped.
+
+    :param runs: number of runs that were stopped for it.
+    :param lost_core_s: core-seconds of work that these runs lost.
+    :param preemption_rounds: number of times at which runs were stopped for it; more than one means
+        that the capacity freed first was not used.
+    :param time_to_use_s: time from the first stop to its first start on a worker that was freed for
+        it; ``None`` if it never started on one.
     """
 
     job_id: str
     runs: int = 0
-    lost: float = 0.0
+    lost_core_s: float = 0.0
     preemption_rounds: int = 0
-    used_s: float | None = None
+    time_to_use_s: float | None = None
 
 
 @dataclass(slots=True)
 class StopCosts:
-    """The stops of one stretch of logs.
+    """The cost of all stops in some logs.
 
-    :param tasks: how often each preempted task was preempted.
+    :param starts: number of starts of runs.
+    :param reasons: the cost for each reason of a stop.
+    :param preemptors: jobs for which others were stopped, by id.
+    :param tasks: number of preemptions of each preempted task.
     """
 
     starts: int = 0
@@ -58,39 +67,41 @@
 
     @property
     def unused(self) -> list[Preemptor]:
-        """Jobs that never started where others were stopped for them."""
-        return [asker for asker in self.preemptors.values() if asker.used_s is None]
+        """Jobs that never started on a worker that was freed for them."""
+        return [each for each in self.preemptors.values() if each.time_to_use_s is None]
 
     def add(self, other: StopCosts) -> None:
-        """Sum another stretch into this one."""
+        """Add the cost of stops in other logs."""
         self.starts += other.starts
         for reason, cost in other.reasons.items():
             self.reasons[reason].runs += cost.runs
-            self.reasons[reason].lost += cost.lost
+            self.reasons[reason].lost_core_s += cost.lost_core_s
         self.preemptors.update(other.preemptors)
         self.tasks.update(other.tasks)
 
 
 class _Reader:
-    """Goes through log lines once, in order of time."""
+    """Sums the cost of stops over log lines in order of time."""
 
     def __init__(self) -> None:
         self.found = StopCosts()
-        self._shapes: dict[str, list[LoggedStep | None]] = {}
-        self._began: dict[tuple[str, int], float] = {}
-        self._asked_on: dict[str, set[str]] = defaultdict(set)
-        self._first_asked_s: dict[str, float] = {}
-        self._last_asked_s: dict[str, float] = {}
-
-    def lost_beside(self, line: LogLine) -> None:
-        """A run was lost with its worker, which crashed under another task."""
+        self._steps_of_jobs: dict[str, list[LoggedStep | None]] = {}
+        self._start_times_s: dict[tuple[str, int], float] = {}
+        self._preempted_on: dict[str, set[str]] = defaultdict(set)
+        self._first_preemption_s: dict[str, float] = {}
+        self._last_preemption_s: dict[str, float] = {}
+
+    def add_lost_run(self, line: LogLine) -> None:
+        """Add a run that was lost with its worker, which crashed under another task."""
         cost = self.found.reasons[LOST_WITH_CRASHED_WORKER]
         cost.runs += 1
-        cost.lost += self._lost(line)
+        cost.lost_core_s += self._lost_core_s(line)
 
-    def read(self, line: LogLine) -> None:
+    def add_line(self, line: LogLine) -> None:
         if line.event == "accepted":
-            self._shapes.setdefault(line.job, [parse_logged_step(text) for text in line.steps])
+            self._steps_of_jobs.setdefault(
+                line.job, [parse_logged_step(text) for text in line.steps]
+            )
         elif line.event == "start":
             self._start(line)
         elif line.event == "stop":
@@ -98,79 +109,81 @@
 
     def _start(self, line: LogLine) -> None:
         self.found.starts += 1
-        self._began[line.task, line.run] = line.at_s
+        self._start_times_s[line.task, line.run] = line.at_s
         job_id = line.task.partition(".")[0]
-        asker = self.found.preemptors.get(job_id)
-        if asker is None or asker.used_s is not None:
+        preemptor = self.found.preemptors.get(job_id)
+        if preemptor is None or preemptor.time_to_use_s is not None:
             return
-        if line.worker in self._asked_on[job_id]:
-            asker.used_s = line.at_s - self._first_asked_s[job_id]
+        if line.worker in self._preempted_on[job_id]:
+            preemptor.time_to_use_s = line.at_s - self._first_preemption_s[job_id]
 
     def _stop(self, line: LogLine) -> None:
-        lost = self._lost(line)
+        lost_core_s = self._lost_core_s(line)
         cost = self.found.reasons[line.reason]
         cost.runs += 1
-        cost.lost += lost
+        cost.lost_core_s += lost_core_s
         if line.reason != _PREEMPTED or not line.cause:
             return
         self.found.tasks[line.task] += 1
-        asker = self.found.preemptors.setdefault(line.cause, Preemptor(line.cause))
-        asker.runs += 1
-        asker.lost += lost
-        if self._last_asked_s.get(line.cause) != line.at_s:
-            asker.preemption_rounds += 1
-        self._first_asked_s.setdefault(line.cause, line.at_s)
-        self._last_asked_s[line.cause] = line.at_s
-        self._asked_on[line.cause].add(line.worker)
-
-    def _lost(self, line: LogLine) -> float:
-        began = self._began.get((line.task, line.run))
-        if began is None:
+        preemptor = self.found.preemptors.setdefault(line.cause, Preemptor(line.cause))
+        preemptor.runs += 1
+        preemptor.lost_core_s += lost_core_s
+        if self._last_preemption_s.get(line.cause) != line.at_s:
+            preemptor.preemption_rounds += 1
+        self._first_preemption_s.setdefault(line.cause, line.at_s)
+        self._last_preemption_s[line.cause] = line.at_s
+        self._preempted_on[line.cause].add(line.worker)
+
+    def _lost_core_s(self, line: LogLine) -> float:
+        started_s = self._start_times_s.get((line.task, line.run))
+        if started_s is None:
             return 0.0
         job_id, _, step, _ = line.task.split(".")
-        shapes = self._shapes.get(job_id, [])
-        shape = shapes[int(step)] if int(step) < len(shapes) else None
-        if shape is None:
+        job_steps = self._steps_of_jobs.get(job_id, [])
+        logged_step = job_steps[int(step)] if int(step) < len(job_steps) else None
+        if logged_step is None:
             return 0.0
-        worked_s = line.at_s - began
-        if shape.saves:
+        worked_s = line.at_s - started_s
+        if logged_step.saves:
             worked_s = min(worked_s, SAVE_INTERVAL_S)
-        return worked_s * shape.cores
+        return worked_s * logged_step.cores
 
 
 def stop_costs(lines: Sequence[LogLine]) -> StopCosts:
-    """What the stops in some log lines cost, lines in order of time.
+    """Sum the cost of the stops in some log lines.
+
+    The logs do not say how much progress a run had saved. A run of a step that saves its progress
+    is taken to lose at most :data:`SAVE_INTERVAL_S` of work.
 
-    What a run had saved is not in the logs: a run of a step that saves is held to lose the time
-    between two savings.
+    :param lines: of all VMs, in order of time.
     """
     reader = _Reader()
-    guilty = culprits(lines)
-    workers = crashed_workers(lines, guilty)
+    culprit_tasks = culprits(lines)
+    workers = crashed_workers(lines, culprit_tasks)
     for line in lines:
         if line.event != RUN_OVER:
-            reader.read(line)
-        elif line.worker in workers and line.task not in guilty:
-            reader.lost_beside(line)
+            reader.add_line(line)
+        elif line.worker in workers and line.task not in culprit_tasks:
+            reader.add_lost_run(line)
     return reader.found
 
 
 def describe(found: StopCosts) -> Iterable[str]:
-    """The stops in words, a line each."""
+    """Describe the stops for people, line by line."""
     runs = sum(
         cost.runs for reason, cost in found.reasons.items() if reason != LOST_WITH_CRASHED_WORKER
     )
     yield f"{runs} stops of {found.starts} starts"
-    for reason, cost in sorted(found.reasons.items(), key=lambda each: -each[1].lost):
-        yield f"{cost.runs:8} runs {cost.lost:9.0f} core-seconds  {reason}"
+    for reason, cost in sorted(found.reasons.items(), key=lambda each: -each[1].lost_core_s):
+        yield f"{cost.runs:8} runs {cost.lost_core_s:9.0f} core-seconds  {reason}"
     if not found.preemptors:
         return
-    sizes = sorted(asker.runs for asker in found.preemptors.values())
+    sizes = sorted(preemptor.runs for preemptor in found.preemptors.values())
     yield (
         f"{len(sizes)} jobs had others stopped: {sizes[len(sizes) // 2]} runs in the median, "
         f"{sizes[-1]} at most; {len(found.unused)} never started there"
     )
-    again = sum(1 for asker in found.preemptors.values() if asker.preemption_rounds > 1)
+    again = sum(1 for preemptor in found.preemptors.values() if preemptor.preemption_rounds > 1)
     yield f"{again} of them asked more than once"
     twice = sum(1 for count in found.tasks.values() if count > 1)
     yield f"{twice} of {len(found.tasks)} preempted tasks were preempted more than once"
--- a/src/saddlestack/replay/baselines.py
+++ b/src/saddlestack/replay/baselines.py
@@ -25,19 +25,23 @@
     def __init__(self, sites: Iterable[CellSite], *, strict: bool) -> None:
         self._strict = strict
         self.cell_resources = {site.plan.name: CellResources(site.workers) for site in sites}
-        self._room_of_vm = {
-            worker.name: room for room in self.cell_resources.values() for worker in room.workers
+        self._resources_of_vm = {
+            worker.name: resources
+            for resources in self.cell_resources.values()
+            for worker in resources.workers
         }
         self.waiting: dict[str, Gang] = {}
         self.running: dict[str, tuple[Gang, CellResources]] = {}
-        self._orders = 0
+        self._submissions = 0
 
     def submit(self, spec: JobSpec, now: float) -> Refusal | None:
         """Take a job in, if any room could ever hold it."""
-        if not any(self._could_hold(room, spec) for room in self.cell_resources.values()):
+        if not any(
+            self._can_ever_fit(resources, spec) for resources in self.cell_resources.values()
+        ):
             return Refusal(ErrorKind.SHAPE_IMPOSSIBLE, f"no cell can ever hold {spec.shape}")
-        self._orders += 1
-        gang = Gang(spec, now, self._orders)
+        self._submissions += 1
+        gang = Gang(spec, now, self._submissions)
         self.waiting[gang.job_id] = gang
         return None
 
@@ -60,8 +64,8 @@
 
     def finished(self, job_id: str) -> None:
         """A running gang ended."""
-        gang, room = self.running.pop(job_id)
-        room.give_back(gang.shares, pinned=False)
+        gang, resources = self.running.pop(job_id)
+        resources.give_back(gang.shares, pinned=False)
 
     def cancel(self, job_id: str) -> None:
         """Drop a job."""
@@ -70,16 +74,16 @@
 
     def vm_lost(self, vm: str, now: float) -> list[Loss]:
         """A worker is gone, and with it every gang that had a part there."""
-        room = self._room_of_vm[vm]
-        index = room.index[vm]
-        hurt = [
+        resources = self._resources_of_vm[vm]
+        index = resources.index[vm]
+        affected = [
             gang
             for gang, place in self.running.values()
-            if place is room and any(worker == index for worker, _ in gang.shares)
+            if place is resources and any(worker == index for worker, _ in gang.shares)
         ]
-        room.set_state(index, up=False, leaving=False)
+        resources.set_state(index, up=False, leaving=False)
         losses = []
-        for gang in hurt:
+        for gang in affected:
             lost = gang.work(now)
             self.finished(gang.job_id)
             state = JobState.UNKNOWN if gang.spec.run_once else JobState.QUEUED
@@ -90,56 +94,56 @@
 
     def vm_leaving(self, vm: str) -> None:
         """A worker receives no new work."""
-        room = self._room_of_vm[vm]
-        index = room.index[vm]
-        room.set_state(index, up=room.up[index], leaving=True)
+        resources = self._resources_of_vm[vm]
+        index = resources.index[vm]
+        resources.set_state(index, up=resources.up[index], leaving=True)
 
     def vm_back(self, vm: str) -> None:
         """A worker serves again."""
-        room = self._room_of_vm[vm]
-        room.set_state(room.index[vm], up=True, leaving=False)
+        resources = self._resources_of_vm[vm]
+        resources.set_state(resources.index[vm], up=True, leaving=False)
 
-    def _start(self, gang: Gang, room: CellResources, shares: Shares, now: float) -> Start:
+    def _start(self, gang: Gang, resources: CellResources, shares: Shares, now: float) -> Start:
         del self.waiting[gang.job_id]
         gang.attempt += 1
         gang.started = now
         gang.shares = shares
-        room.take(shares, pinned=False)
-        self.running[gang.job_id] = (gang, room)
-        parts = tuple(Part(room.workers[w].name, count) for w, count in shares)
+        resources.take(shares, pinned=False)
+        self.running[gang.job_id] = (gang, resources)
+        parts = tuple(Part(resources.workers[w].name, count) for w, count in shares)
         return Start(gang.job_id, gang.attempt, parts, gang.progress, False)
 
     def _first_fit(self, spec: JobSpec) -> tuple[CellResources, Shares] | None:
-        for room in self.cell_resources.values():
-            shares = _first_place(room, spec)
+        for resources in self.cell_resources.values():
+            shares = _first_place(resources, spec)
             if shares is not None:
-                return room, shares
+                return resources, shares
         return None
 
-    def _could_hold(self, room: CellResources, spec: JobSpec) -> bool:
+    def _can_ever_fit(self, resources: CellResources, spec: JobSpec) -> bool:
         rank = [Adjacency.WORKER, Adjacency.RACK, Adjacency.HALL].index(spec.adjacent)
-        return room.largest_possible(rank) >= spec.accelerators
+        return resources.largest_possible(rank) >= spec.accelerators
 
 
-def _first_place(room: CellResources, spec: JobSpec) -> Shares | None:
+def _first_place(resources: CellResources, spec: JobSpec) -> Shares | None:
     if spec.adjacent is Adjacency.WORKER:
-        for worker, free in enumerate(room.free):
+        for worker, free in enumerate(resources.free):
             if free >= spec.accelerators:
                 return ((worker, spec.accelerators),)
         return None
-    groups = room.racks
+    groups = resources.racks
     if spec.adjacent is Adjacency.HALL:
-        groups = [[worker for rack in room.racks for worker in rack]]
+        groups = [[worker for rack in resources.racks for worker in rack]]
     for workers in groups:
-        if sum(room.free[w] for w in workers) >= spec.accelerators:
-            return _take_in_order(room, workers, spec.accelerators)
+        if sum(resources.free[w] for w in workers) >= spec.accelerators:
+            return _take_in_order(resources, workers, spec.accelerators)
     return None
 
 
-def _take_in_order(room: CellResources, workers: Iterable[int], wanted: int) -> Shares:
+def _take_in_order(resources: CellResources, workers: Iterable[int], wanted: int) -> Shares:
     shares: list[tuple[int, int]] = []
     for worker in workers:
-        count = min(room.free[worker], wanted)
+        count = min(resources.free[worker], wanted)
         if count:
             shares.append((worker, count))
             wanted -= count
--- a/src/saddlestack/replay/invariants.py
+++ b/src/saddlestack/replay/invariants.py
@@ -27,12 +27,12 @@
         self._leaving: set[str] = set()
         self._starts: dict[str, int] = {}
 
-    def note(self, now: float, text: str) -> None:
+    def add_violation(self, now: float, text: str) -> None:
         """Keep a violation."""
         if len(self.violations) < MAX_LISTED:
             self.violations.append(f"t={now:g}: {text}")
 
-    def vm(self, name: str, *, up: bool, leaving: bool) -> None:
+    def set_worker_state(self, name: str, *, up: bool, leaving: bool) -> None:
         """A worker came, went or is leaving."""
         for names, member in ((self.down, not up), (self._leaving, leaving)):
             names.discard(name)
@@ -42,31 +42,34 @@
     def started(self, now: float, spec: JobSpec, start: Start) -> None:
         """A gang starts."""
         if spec.job_id in self.running:
-            self.note(now, f"{spec.job_id} was started while it runs")
-        self._check_whole(now, spec, start.parts)
+            self.add_violation(now, f"{spec.job_id} was started while it runs")
+        self._check_gang(now, spec, start.parts)
         for part in start.parts:
             if part.vm in self._leaving or part.vm in self.down:
-                self.note(now, f"{spec.job_id} was started on {part.vm}, which takes no work")
+                self.add_violation(
+                    now,
+                    f"{spec.job_id} was started on {part.vm}, which takes no work",
+                )
         if not start.resumed:
             self._starts[spec.job_id] = self._starts.get(spec.job_id, 0) + 1
             if spec.run_once and self._starts[spec.job_id] > 1:
-                self.note(now, f"run-once {spec.job_id} was started again")
+                self.add_violation(now, f"run-once {spec.job_id} was started again")
         self.running[spec.job_id] = start.parts
-        self._hold(now, start.parts, 1)
+        self._update_usage(now, start.parts, 1)
 
     def ended(self, now: float, job_id: str) -> None:
         """A gang's room is given back."""
         held = self.running.pop(job_id, None)
         if held is None:
-            self.note(now, f"{job_id} ended without running")
+            self.add_violation(now, f"{job_id} ended without running")
             return
-        self._hold(now, held, -1)
+        self._update_usage(now, held, -1)
 
-    def starts(self, job_id: str) -> int:
+    def fresh_starts(self, job_id: str) -> int:
         """Fresh starts of a job; going on from a checkpoint is none."""
         return self._starts.get(job_id, 0)
 
-    def guarantees(self, now: float, cell: Cell, missing_before: int) -> None:
+    def check_guarantees(self, now: float, cell: Cell, missing_before: int) -> None:
         """Every account's unused guaranteed shapes fit at the same time, as far as VMs allow.
 
         The cell names a place for each unused shape; the places are checked against what
@@ -75,9 +78,9 @@
 
         :param missing_before: shapes without a place before the decision.
         """
-        pins = self._pins(now, cell)
+        non_reclaimable = self._non_reclaimable(now, cell)
         self._check_charges(now, cell)
-        taken = dict(pins)
+        taken = dict(non_reclaimable)
         missing = 0
         for unit in cell.guarantees.units:
             if not unit.left:
@@ -85,7 +88,7 @@
             if unit.witness is None:
                 missing += 1
                 continue
-            self._check_place(now, cell, unit)
+            self._check_witness(now, cell, unit)
             for worker, count in unit.witness:
                 name = cell.resources.workers[worker].name
                 accelerators, tasks = taken.get(name, (0, 0))
@@ -93,17 +96,19 @@
         for name, (accelerators, tasks) in taken.items():
             worker_info = self._workers[name]
             if accelerators > worker_info.accelerators or tasks > worker_info.slots:
-                self.note(now, f"guaranteed shapes overlap on {name}")
+                self.add_violation(now, f"guaranteed shapes overlap on {name}")
         self._check_missing(now, cell, missing, missing_before)
 
     def _check_missing(self, now: float, cell: Cell, missing: int, before: int) -> None:
         closed = any(not cell.resources.open(w) for w in range(len(cell.resources.total)))
         if missing and not closed:
-            self.note(now, f"{missing} guaranteed shapes of cell {cell.name} can't be formed")
+            self.add_violation(
+                now, f"{missing} guaranteed shapes of cell {cell.name} can't be formed"
+            )
         elif missing > before:
-            self.note(now, f"a decision in cell {cell.name} took a guaranteed shape away")
+            self.add_violation(now, f"a decision in cell {cell.name} took a guaranteed shape away")
 
-    def _check_place(self, now: float, cell: Cell, unit: Unit) -> None:
+    def _check_witness(self, now: float, cell: Cell, unit: Unit) -> None:
         shares = unit.witness or ()
         workers = [cell.resources.workers[w] for w, _ in shares]
         near = {
@@ -114,7 +119,7 @@
         whole = sum(count for _, count in shares) == unit.left
         here = not any(w.name in self.down or w.name in self._leaving for w in workers)
         if not (near and whole and here):
-            self.note(now, f"the place kept for {unit.account}'s {unit.shape} is none")
+            self.add_violation(now, f"the place kept for {unit.account}'s {unit.shape} is none")
 
     def _check_charges(self, now: float, cell: Cell) -> None:
         """What accounts are charged for is what they run as guaranteed."""
@@ -126,48 +131,56 @@
         used: dict[str, int] = {}
         for unit in cell.guarantees.units:
             if not 0 <= unit.used <= unit.shape.accelerators:
-                self.note(now, f"{unit.account} is charged {unit.used} of {unit.shape}")
+                self.add_violation(now, f"{unit.account} is charged {unit.used} of {unit.shape}")
             used[unit.account] = used.get(unit.account, 0) + unit.used
         for account, count in used.items():
             if charged.get(account, 0) != count:
-                self.note(now, f"{account} is charged {count}, runs {charged.get(account, 0)}")
+                self.add_violation(
+                    now, f"{account} is charged {count}, runs {charged.get(account, 0)}"
+                )
 
-    def _pins(self, now: float, cell: Cell) -> dict[str, tuple[int, int]]:
+    def _non_reclaimable(self, now: float, cell: Cell) -> dict[str, tuple[int, int]]:
         """Accelerators and slots of gangs that can't be taken back, by worker."""
-        pins: dict[str, tuple[int, int]] = {}
+        non_reclaimable: dict[str, tuple[int, int]] = {}
         for job_id, gang in cell.running.items():
             if gang.charge is None and gang.spec.reclaimable:
                 continue
             held = self.running.get(job_id)
             if held is None:
-                self.note(now, f"{job_id} runs without having started")
+                self.add_violation(now, f"{job_id} runs without having started")
                 continue
             for part in held:
-                accelerators, tasks = pins.get(part.vm, (0, 0))
-                pins[part.vm] = (accelerators + part.accelerators, tasks + 1)
-        return pins
-
-    def _check_whole(self, now: float, spec: JobSpec, parts: tuple[Part, ...]) -> None:
+                accelerators, tasks = non_reclaimable.get(part.vm, (0, 0))
+                non_reclaimable[part.vm] = (
+                    accelerators + part.accelerators,
+                    tasks + 1,
+                )
+        return non_reclaimable
+
+    def _check_gang(self, now: float, spec: JobSpec, parts: tuple[Part, ...]) -> None:
         total = sum(part.accelerators for part in parts)
         vms = {part.vm for part in parts}
         if total != spec.accelerators or len(vms) != len(parts):
-            self.note(now, f"{spec.job_id} started with {total} of {spec.accelerators}")
+            self.add_violation(now, f"{spec.job_id} started with {total} of {spec.accelerators}")
         cells = {self._cell_of[vm] for vm in vms}
         racks = {self._workers[vm].rack for vm in vms}
-        too_far = (
+        is_too_wide = (
             len(cells) > 1
             or (spec.adjacent is Adjacency.RACK and len(racks) > 1)
             or (spec.adjacent is Adjacency.WORKER and len(vms) > 1)
         )
-        if too_far:
-            self.note(now, f"{spec.job_id} is spread wider than {spec.adjacent}")
+        if is_too_wide:
+            self.add_violation(now, f"{spec.job_id} is spread wider than {spec.adjacent}")
 
-    def _hold(self, now: float, parts: Iterable[Part], sign: int) -> None:
+    def _update_usage(self, now: float, parts: Iterable[Part], sign: int) -> None:
         for part in parts:
             self._used[part.vm] += sign * part.accelerators
             self._slots[part.vm] += sign
             worker = self._workers[part.vm]
             if self._used[part.vm] > worker.accelerators:
-                self.note(now, f"{part.vm} holds {self._used[part.vm]} accelerators")
+                self.add_violation(
+                    now,
+                    f"{part.vm} holds {self._used[part.vm]} accelerators",
+                )
             if self._slots[part.vm] > worker.slots:
-                self.note(now, f"{part.vm} uses {self._slots[part.vm]} slots")
+                self.add_violation(now, f"{part.vm} uses {self._slots[part.vm]} slots")
--- a/src/saddlestack/replay/maker.py
+++ b/src/saddlestack/replay/maker.py
@@ -27,7 +27,7 @@
 WORKERS_A_HALL = 8
 ACCELERATORS = 8
 CAPACITY = 3 * WORKERS_A_HALL * ACCELERATORS
-LATE_S = 48 * HOUR_S
+DEADLINE_S = 48 * HOUR_S
 
 EE_HALLS = (("ulemiste", "ee-u"), ("mustamae", "ee-m"), ("maardu", "ee-d"))
 IS_HALLS = (("hofn-hall", "is-h"), ("laugar-hall", "is-l"), ("kopa-hall", "is-k"))
@@ -86,16 +86,16 @@
     """A named trace: its configuration and its maker."""
 
     config: Callable[[], ReplayConfig]
-    make: Callable[[_Maker], None]
+    make: Callable[[_TraceBuilder], None]
 
 
-class _Maker:
+class _TraceBuilder:
     """Collects events; helpers for the shapes of load that recur."""
 
     def __init__(self, seed: int, scale: float) -> None:
         self.rng = random.Random(seed)
         self.scale = scale
-        self.late = LATE_S * max(1.0, scale)
+        self.deadline = DEADLINE_S * max(1.0, scale)
         self.events: list[Event] = []
         self._counters: dict[str, int] = {}
         self._last = 0.0
@@ -111,20 +111,20 @@
         adjacent: Adjacency | None = None,
         run_once: bool = False,
         checkpoint: bool = False,
-        guess: float = 0.0,
-        finishes: bool = True,
+        estimate_error: float = 0.0,
+        must_finish: bool = True,
     ) -> None:
         """Submit a job; urgent ones must start in time, all must end well.
 
-        :param guess: how far the caller's estimate is off, as a spread around 1.
+        :param estimate_error: how far the caller's estimate is off, as a spread around 1.
         """
         number = self._counters[account] = self._counters.get(account, 0) + 1
         request = f"{account[:3]}-{number:05d}"
         at = round(at, 3)
         duration = round(duration, 3)
         estimate = None
-        if guess:
-            estimate = round(duration * self.rng.uniform(1 - guess, 1 + guess), 3)
+        if estimate_error:
+            estimate = round(duration * self.rng.uniform(1 - estimate_error, 1 + estimate_error), 3)
         self.events.append(
             Submit(
                 t=at,
@@ -143,11 +143,11 @@
         if job_class is JobClass.URGENT:
             self._expect(at, Outcome.STARTED_WITHIN, account, request, seconds=URGENT_START_S)
         if run_once:
-            self._expect(self.late, Outcome.STARTS_AT_MOST, account, request, count=1)
-        if finishes:
-            self._expect(self.late, Outcome.FINISHED, account, request)
+            self._expect(self.deadline, Outcome.STARTS_AT_MOST, account, request, count=1)
+        if must_finish:
+            self._expect(self.deadline, Outcome.FINISHED, account, request)
 
-    def guarantees(self, config: ReplayConfig, every: float, until: float) -> None:
+    def expect_guarantees(self, config: ReplayConfig, every: float, until: float) -> None:
         """Every account's guarantee must be formable at regular times."""
         at = every
         while at < until:
@@ -186,182 +186,190 @@
         )
 
 
-def _checks(maker: _Maker, start: float, end: float, every: float, burst_every: float) -> None:
+def _fault_checks(
+    builder: _TraceBuilder, start: float, end: float, every: float, burst_every: float
+) -> None:
     """Fault checks of station crews: a trickle and bursts."""
-    for at in maker.arrivals(start, end, every):
-        maker.submit(at, "stations", JobClass.URGENT, 1, maker.rng.uniform(8, 40))
-    for at in maker.arrivals(start, end, burst_every):
-        for _ in range(maker.rng.randint(20, 45)):
-            offset = maker.rng.uniform(0, 4)
-            accelerators = maker.rng.choice((1, 1, 1, 2))
-            maker.submit(
-                at + offset, "stations", JobClass.URGENT, accelerators, maker.rng.uniform(8, 40)
+    for at in builder.arrivals(start, end, every):
+        builder.submit(at, "stations", JobClass.URGENT, 1, builder.rng.uniform(8, 40))
+    for at in builder.arrivals(start, end, burst_every):
+        for _ in range(builder.rng.randint(20, 45)):
+            offset = builder.rng.uniform(0, 4)
+            accelerators = builder.rng.choice((1, 1, 1, 2))
+            builder.submit(
+                at + offset, "stations", JobClass.URGENT, accelerators, builder.rng.uniform(8, 40)
             )
 
 
-def _forecasts(maker: _Maker, start: float, end: float, every: float) -> None:
-    for at in maker.arrivals(start, end, every):
-        accelerators = maker.rng.choice((2, 4, 4, 8))
-        maker.submit(at, "tariffs", JobClass.NORMAL, accelerators, maker.minutes(3, 20), guess=0.4)
+def _forecasts(builder: _TraceBuilder, start: float, end: float, every: float) -> None:
+    for at in builder.arrivals(start, end, every):
+        accelerators = builder.rng.choice((2, 4, 4, 8))
+        builder.submit(
+            at, "tariffs", JobClass.NORMAL, accelerators, builder.minutes(3, 20), estimate_error=0.4
+        )
 
 
-def _depot_plans(maker: _Maker, start: float, end: float, every: float) -> None:
-    for at in maker.arrivals(start, end, every):
-        accelerators = maker.rng.choice((16, 16, 16, 32))
-        maker.submit(
+def _depot_plans(builder: _TraceBuilder, start: float, end: float, every: float) -> None:
+    for at in builder.arrivals(start, end, every):
+        accelerators = builder.rng.choice((16, 16, 16, 32))
+        builder.submit(
             at,
             "depots",
             JobClass.NORMAL,
             accelerators,
-            maker.minutes(8, 40),
+            builder.minutes(8, 40),
             adjacent=Adjacency.RACK,
             checkpoint=True,
-            guess=0.3,
+            estimate_error=0.3,
         )
 
 
-def _replays(maker: _Maker, start: float, end: float, load: float) -> None:
+def _replays(builder: _TraceBuilder, start: float, end: float, load: float) -> None:
     """Bulk session replays until they make up a share of the capacity."""
     wanted = load * CAPACITY * (end - start)
     while wanted > 0:
-        accelerators = maker.rng.choice((1, 1, 2, 2, 4, 4, 8))
-        duration = maker.minutes(5, 60)
-        billing = maker.rng.random() < 0.5
-        maker.submit(
-            maker.rng.uniform(start, end),
+        accelerators = builder.rng.choice((1, 1, 2, 2, 4, 4, 8))
+        duration = builder.minutes(5, 60)
+        is_billing = builder.rng.random() < 0.5
+        builder.submit(
+            builder.rng.uniform(start, end),
             "replays",
             JobClass.BULK,
             accelerators,
             duration,
-            run_once=billing,
-            checkpoint=billing or maker.rng.random() < 0.8,
-            guess=0.5,
+            run_once=is_billing,
+            checkpoint=is_billing or builder.rng.random() < 0.8,
+            estimate_error=0.5,
         )
         wanted -= accelerators * duration
 
 
-def _ee_day(maker: _Maker) -> None:
-    end = 8 * HOUR_S * maker.scale
-    _checks(maker, 0, end, 90, 45 * MINUTE_S)
-    _forecasts(maker, 0, end, 90)
-    _depot_plans(maker, 0, end, 9 * MINUTE_S)
-    _replays(maker, 0, end, 0.6)
-    maker.guarantees(ee_config(), HOUR_S / 2, end)
+def _ee_day(builder: _TraceBuilder) -> None:
+    end = 8 * HOUR_S * builder.scale
+    _fault_checks(builder, 0, end, 90, 45 * MINUTE_S)
+    _forecasts(builder, 0, end, 90)
+    _depot_plans(builder, 0, end, 9 * MINUTE_S)
+    _replays(builder, 0, end, 0.6)
+    builder.expect_guarantees(ee_config(), HOUR_S / 2, end)
 
 
-def _ee_night(maker: _Maker) -> None:
-    end = 6 * HOUR_S * maker.scale
-    _checks(maker, 0, end, 240, 30 * MINUTE_S)
-    _depot_plans(maker, 0, end, 12 * MINUTE_S)
-    _replays(maker, 0, end * 0.6, 1.1)
-    maker.guarantees(ee_config(), HOUR_S / 2, end)
+def _ee_night(builder: _TraceBuilder) -> None:
+    end = 6 * HOUR_S * builder.scale
+    _fault_checks(builder, 0, end, 240, 30 * MINUTE_S)
+    _depot_plans(builder, 0, end, 12 * MINUTE_S)
+    _replays(builder, 0, end * 0.6, 1.1)
+    builder.expect_guarantees(ee_config(), HOUR_S / 2, end)
 
 
-def _ee_bad_day(maker: _Maker) -> None:
-    end = 8 * HOUR_S * maker.scale
-    _checks(maker, 0, end, 90, 60 * MINUTE_S)
-    _forecasts(maker, 0, end, 120)
-    _depot_plans(maker, 0, end, 12 * MINUTE_S)
-    _replays_that_may_be_lost(maker, 0, end, 0.6)
-    _failures(maker, EE_HALLS, end)
+def _ee_bad_day(builder: _TraceBuilder) -> None:
+    end = 8 * HOUR_S * builder.scale
+    _fault_checks(builder, 0, end, 90, 60 * MINUTE_S)
+    _forecasts(builder, 0, end, 120)
+    _depot_plans(builder, 0, end, 12 * MINUTE_S)
+    _lossy_replays(builder, 0, end, 0.6)
+    _failures(builder, EE_HALLS, end)
 
 
-def _replays_that_may_be_lost(maker: _Maker, start: float, end: float, load: float) -> None:
+def _lossy_replays(builder: _TraceBuilder, start: float, end: float, load: float) -> None:
     """Bulk work on a bad day: run-once replays may become unknown, but never run twice."""
     wanted = load * CAPACITY * (end - start)
     while wanted > 0:
-        accelerators = maker.rng.choice((1, 2, 4, 8))
-        duration = maker.minutes(5, 45)
-        billing = maker.rng.random() < 0.4
-        maker.submit(
-            maker.rng.uniform(start, end),
+        accelerators = builder.rng.choice((1, 2, 4, 8))
+        duration = builder.minutes(5, 45)
+        is_billing = builder.rng.random() < 0.4
+        builder.submit(
+            builder.rng.uniform(start, end),
             "replays",
             JobClass.BULK,
             accelerators,
             duration,
-            run_once=billing,
-            checkpoint=maker.rng.random() < 0.8,
-            guess=0.5,
-            finishes=not billing,
+            run_once=is_billing,
+            checkpoint=builder.rng.random() < 0.8,
+            estimate_error=0.5,
+            must_finish=not is_billing,
         )
         wanted -= accelerators * duration
 
 
-def _failures(maker: _Maker, halls: tuple[tuple[str, str], ...], end: float) -> None:
+def _failures(builder: _TraceBuilder, halls: tuple[tuple[str, str], ...], end: float) -> None:
     """VMs that vanish or leave and come back, never more than one of a hall at once."""
     for _, rack in halls:
-        at = maker.rng.uniform(0.02, 0.1) * end
+        at = builder.rng.uniform(0.02, 0.1) * end
         while at < end:
-            vm = f"{rack}-{maker.rng.randint(1, WORKERS_A_HALL):02d}"
-            away = maker.minutes(5, 40)
-            if maker.rng.random() < 0.4:
-                maker.events.append(VmLeaving(t=round(at, 3), vm=vm))
-                maker.events.append(VmLost(t=round(at + away / 2, 3), vm=vm))
+            vm = f"{rack}-{builder.rng.randint(1, WORKERS_A_HALL):02d}"
+            away = builder.minutes(5, 40)
+            if builder.rng.random() < 0.4:
+                builder.events.append(VmLeaving(t=round(at, 3), vm=vm))
+                builder.events.append(VmLost(t=round(at + away / 2, 3), vm=vm))
             else:
-                maker.events.append(VmLost(t=round(at, 3), vm=vm))
-            maker.events.append(VmBack(t=round(at + away, 3), vm=vm))
-            at += away + maker.minutes(5, 60)
+                builder.events.append(VmLost(t=round(at, 3), vm=vm))
+            builder.events.append(VmBack(t=round(at + away, 3), vm=vm))
+            at += away + builder.minutes(5, 60)
 
 
-def _fillers(maker: _Maker, start: float, end: float, load: float) -> None:
+def _fillers(builder: _TraceBuilder, start: float, end: float, load: float) -> None:
     """Ledger work: many small jobs that fill every gap."""
     wanted = load * CAPACITY * (end - start)
     while wanted > 0:
-        accelerators = maker.rng.choice((1, 1, 2, 3, 4, 5))
-        duration = maker.minutes(3, 30)
-        maker.submit(
-            maker.rng.uniform(start, end),
+        accelerators = builder.rng.choice((1, 1, 2, 3, 4, 5))
+        duration = builder.minutes(3, 30)
+        builder.submit(
+            builder.rng.uniform(start, end),
             "ledger",
             JobClass.BULK,
             accelerators,
             duration,
-            checkpoint=maker.rng.random() < 0.85,
-            guess=0.5,
+            checkpoint=builder.rng.random() < 0.85,
+            estimate_error=0.5,
         )
         wanted -= accelerators * duration
 
 
-def _splits(maker: _Maker, start: float, end: float, every: float, *, lost: bool = False) -> None:
+def _splits(
+    builder: _TraceBuilder, start: float, end: float, every: float, *, lost: bool = False
+) -> None:
     """Pool splits of restaurants: large, run once, all on one rack."""
-    for at in maker.arrivals(start, end, every):
-        account, accelerators = maker.rng.choice(
+    for at in builder.arrivals(start, end, every):
+        account, accelerators = builder.rng.choice(
             (("kitchens", 32), ("kitchens", 16), ("floors", 16), ("floors", 16))
         )
-        maker.submit(
+        builder.submit(
             at,
             account,
             JobClass.NORMAL,
             accelerators,
-            maker.minutes(4, 20),
+            builder.minutes(4, 20),
             adjacent=Adjacency.RACK,
             run_once=True,
-            checkpoint=maker.rng.random() < 0.5,
-            guess=0.3,
-            finishes=not lost,
+            checkpoint=builder.rng.random() < 0.5,
+            estimate_error=0.3,
+            must_finish=not lost,
         )
 
 
-def _corrections(maker: _Maker, start: float, end: float, every: float) -> None:
+def _corrections(builder: _TraceBuilder, start: float, end: float, every: float) -> None:
     """Corrections of a payout that a waiter waits for."""
-    for at in maker.arrivals(start, end, every):
-        accelerators = maker.rng.choice((1, 2, 4))
-        maker.submit(at, "corrections", JobClass.URGENT, accelerators, maker.rng.uniform(10, 60))
+    for at in builder.arrivals(start, end, every):
+        accelerators = builder.rng.choice((1, 2, 4))
+        builder.submit(
+            at, "corrections", JobClass.URGENT, accelerators, builder.rng.uniform(10, 60)
+        )
 
 
-def _is_closing_night(maker: _Maker) -> None:
-    end = 5 * HOUR_S * maker.scale
-    _fillers(maker, 0, end, 0.73)
-    _splits(maker, 0.1 * end, end, 5 * MINUTE_S)
-    _corrections(maker, 0, end, 3 * MINUTE_S)
-    maker.guarantees(is_config(), HOUR_S / 4, end)
+def _is_closing_night(builder: _TraceBuilder) -> None:
+    end = 5 * HOUR_S * builder.scale
+    _fillers(builder, 0, end, 0.73)
+    _splits(builder, 0.1 * end, end, 5 * MINUTE_S)
+    _corrections(builder, 0, end, 3 * MINUTE_S)
+    builder.expect_guarantees(is_config(), HOUR_S / 4, end)
 
 
-def _is_bad_day(maker: _Maker) -> None:
-    end = 8 * HOUR_S * maker.scale
-    _fillers(maker, 0, end, 0.66)
-    _splits(maker, 0, end, 7 * MINUTE_S, lost=True)
-    _corrections(maker, 0, end, 4 * MINUTE_S)
-    _failures(maker, IS_HALLS, end)
+def _is_bad_day(builder: _TraceBuilder) -> None:
+    end = 8 * HOUR_S * builder.scale
+    _fillers(builder, 0, end, 0.66)
+    _splits(builder, 0, end, 7 * MINUTE_S, lost=True)
+    _corrections(builder, 0, end, 4 * MINUTE_S)
+    _failures(builder, IS_HALLS, end)
 
 
 RECIPES: dict[str, Recipe] = {
@@ -380,9 +388,9 @@
     :raises SaddlestackError: no such trace.
     """
     recipe = _recipe(name)
-    maker = _Maker(seed, scale)
-    recipe.make(maker)
-    return sorted(maker.events, key=_order)
+    builder = _TraceBuilder(seed, scale)
+    recipe.make(builder)
+    return sorted(builder.events, key=_order)
 
 
 def config_of(name: str) -> ReplayConfig:
--- a/src/saddlestack/replay/measures.py
+++ b/src/saddlestack/replay/measures.py
@@ -102,11 +102,11 @@
         self._area = 0.0
         self.points: list[tuple[float, float]] = []
 
-    def note(self, now: float, rooms: Sequence[CellResources]) -> None:
+    def update(self, now: float, cell_resources: Sequence[CellResources]) -> None:
         """Account for the time since the last change, then look at the rooms anew."""
         self._area += self._value * (now - self._at)
         self._at = now
-        value = self._now(rooms)
+        value = self._now(cell_resources)
         if value != self._value or not self.points:
             self.points.append((now, value))
         self._value = value
@@ -116,11 +116,14 @@
         area = self._area + self._value * (until - self._at)
         return area / until if until > 0 else self._value
 
-    def _now(self, rooms: Sequence[CellResources]) -> float:
-        free = sum(sum(room.free) for room in rooms)
+    def _now(self, cell_resources: Sequence[CellResources]) -> float:
+        free = sum(sum(resources.free) for resources in cell_resources)
         if not free or not self._shapes:
             return 0.0
-        left = [free - sum(usable(room, shape) for room in rooms) for shape in self._shapes]
+        left = [
+            free - sum(usable(resources, shape) for resources in cell_resources)
+            for shape in self._shapes
+        ]
         return sum(left) / (free * len(self._shapes))
 
 
--- a/src/saddlestack/replay/report.py
+++ b/src/saddlestack/replay/report.py
@@ -16,7 +16,7 @@
 from saddlestack.replay.measures import Result
 from saddlestack.replay.runner import Replay
 
-COLOURS = ("#4c78a8", "#f58518", "#54a24b", "#e45756", "#72b7b2", "#b279a2", "#9d755d")
+COLORS = ("#4c78a8", "#f58518", "#54a24b", "#e45756", "#72b7b2", "#b279a2", "#9d755d")
 SHADES = {"urgent": 1.0, "normal": 0.7, "bulk": 0.45}
 HEIGHT = 900
 MAX_MARKS = 200
@@ -39,7 +39,7 @@
             "Fragmentation",
         ),
     )
-    _add_use(figure, run)
+    _add_usage(figure, run)
     _add_delays(figure, run)
     _add_fragmentation(figure, run)
     _add_failures(figure, run)
@@ -52,18 +52,18 @@
         raise SaddlestackError(ErrorKind.INVALID, str(error), where=str(path)) from error
 
 
-def _add_use(figure: Any, run: Replay) -> None:
+def _add_usage(figure: Any, run: Replay) -> None:
     """Accelerators in use over time, stacked by account and class."""
     changes: dict[tuple[str, str], list[tuple[float, int]]] = {}
     for job in run.jobs.values():
         key = (job.spec.account, job.spec.job_class.value)
-        for stretch in job.runs:
-            changes.setdefault(key, []).append((stretch.start, job.spec.accelerators))
-            changes[key].append((stretch.end, -job.spec.accelerators))
+        for run_span in job.runs:
+            changes.setdefault(key, []).append((run_span.start, job.spec.accelerators))
+            changes[key].append((run_span.end, -job.spec.accelerators))
     accounts = sorted({account for account, _ in changes})
     for account, kind in sorted(changes):
         times, counts = _steps(changes[account, kind])
-        colour = COLOURS[accounts.index(account) % len(COLOURS)]
+        color = COLORS[accounts.index(account) % len(COLORS)]
         figure.add_trace(
             graphs.Scatter(
                 x=times,
@@ -71,7 +71,7 @@
                 name=f"{account} {kind}",
                 mode="lines",
                 line={"width": 0, "shape": "hv"},
-                fillcolor=_with_alpha(colour, SHADES[kind]),
+                fillcolor=_with_alpha(color, SHADES[kind]),
                 stackgroup="use",
             ),
             row=1,
@@ -90,8 +90,8 @@
     return times, counts
 
 
-def _with_alpha(colour: str, alpha: float) -> str:
-    red, green, blue = (int(colour[i : i + 2], 16) for i in (1, 3, 5))
+def _with_alpha(color: str, alpha: float) -> str:
+    red, green, blue = (int(color[i : i + 2], 16) for i in (1, 3, 5))
     return f"rgba({red},{green},{blue},{alpha})"
 
 
--- a/src/saddlestack/replay/runner.py
+++ b/src/saddlestack/replay/runner.py
@@ -70,7 +70,7 @@
     finished: float | None = None
     attempt: int = 0
     ever_started: bool = False
-    began: float = 0.0
+    started_s: float = 0.0
     progress: float = 0.0
     runs: list[Run] = field(default_factory=list)
 
@@ -110,7 +110,7 @@
         self.fragmentation = Fragmentation(self._shapes)
         self._heap: list[tuple[float, int, int, Event | tuple[str, int] | None]] = []
         self._sequence = 0
-        self._held = 0
+        self._expectations_held = 0
         self._lost_work = 0.0
         self.reclaim_lost = 0.0
         self.work_done = 0.0
@@ -131,7 +131,7 @@
         for line, event in self._trace.events:
             order = 2 if isinstance(event, Expect) else 1
             self._push(event.t, order, event, line)
-        self.fragmentation.note(0.0, self._rooms())
+        self.fragmentation.update(0.0, self._cell_resources())
         while self._heap:
             now, _, _, item = heapq.heappop(self._heap)
             self._step(now, item)
@@ -150,11 +150,11 @@
     def _step(self, now: float, item: Event | tuple[str, int] | None) -> None:
         if isinstance(item, Expect):
             if item.that is Outcome.STARTED_WITHIN:
-                self._judge_later(now, item)
+                self._schedule_expectation(now, item)
             else:
-                self._judge(now, item)
+                self._check_expectation(now, item)
             return
-        if item is not None and not self._happen(now, item):
+        if item is not None and not self._apply(now, item):
             return
         self._decide(now)
         if self.jobs:
@@ -163,7 +163,7 @@
     def _active(self) -> bool:
         return bool(self.invariants.running)
 
-    def _happen(self, now: float, item: Event | tuple[str, int]) -> bool:
+    def _apply(self, now: float, item: Event | tuple[str, int]) -> bool:
         """Let an event happen; false where nothing follows from it."""
         if isinstance(item, tuple):
             return self._finish(now, *item)
@@ -172,15 +172,15 @@
         if isinstance(item, Cancel):
             return self._cancel(now, f"{item.account}/{item.request}")
         if isinstance(item, VmLost):
-            self.invariants.vm(item.vm, up=False, leaving=False)
+            self.invariants.set_worker_state(item.vm, up=False, leaving=False)
             for loss in self._vm_lost(item.vm, now):
-                self._lose(now, loss)
+                self._lose_run(now, loss)
         elif isinstance(item, VmLeaving):
             up = item.vm not in self.invariants.down
-            self.invariants.vm(item.vm, up=up, leaving=True)
+            self.invariants.set_worker_state(item.vm, up=up, leaving=True)
             self._vm_leaving(item.vm)
         elif isinstance(item, VmBack):
-            self.invariants.vm(item.vm, up=True, leaving=False)
+            self.invariants.set_worker_state(item.vm, up=True, leaving=False)
             self._vm_back(item.vm)
         return True
 
@@ -190,7 +190,7 @@
             return False
         job = JobRun(spec, event.duration, now)
         self.jobs[spec.job_id] = job
-        refusal = self._take_in(spec, now)
+        refusal = self._submit_to_policy(spec, now)
         if refusal is not None:
             job.state = JobState.NOT_RUN
             job.refused = refusal.kind
@@ -228,7 +228,7 @@
         job.state = JobState.UNKNOWN if job.ever_started else JobState.CANCELLED
         return True
 
-    def _lose(self, now: float, loss: Loss) -> None:
+    def _lose_run(self, now: float, loss: Loss) -> None:
         job = self.jobs[loss.job_id]
         self._lost_work += loss.lost
         self._stop_run(now, job)
@@ -236,7 +236,7 @@
 
     # The policy
 
-    def _take_in(self, spec: JobSpec, now: float) -> Refusal | None:
+    def _submit_to_policy(self, spec: JobSpec, now: float) -> Refusal | None:
         if self._fleet is not None:
             return self._fleet.submit(spec, now)
         assert self._baseline is not None
@@ -263,7 +263,7 @@
         elif self._baseline is not None:
             self._baseline.vm_back(vm)
 
-    def _rooms(self) -> list[CellResources]:
+    def _cell_resources(self) -> list[CellResources]:
         if self._fleet is not None:
             return [cell.resources for cell in self._fleet.cells.values()]
         assert self._baseline is not None
@@ -271,23 +271,23 @@
 
     def _decide(self, now: float) -> None:
         missing = self._missing()
-        began = time.perf_counter()
+        started_s = time.perf_counter()
         if self._fleet is not None:
             decisions = self._fleet.decide(now)
         else:
             assert self._baseline is not None
             decisions = self._baseline.decide(now)
-        self._deciding_s += time.perf_counter() - began
+        self._deciding_s += time.perf_counter() - started_s
         self._decisions += 1
         for decision in decisions:
-            self._carry_out(now, decision)
+            self._apply_decision(now, decision)
         if self._fleet is not None:
-            for cell in self._touched(decisions):
-                self.invariants.guarantees(now, cell, missing[cell.name])
-            self._wake(now)
-        self.fragmentation.note(now, self._rooms())
+            for cell in self._changed_cells(decisions):
+                self.invariants.check_guarantees(now, cell, missing[cell.name])
+            self._schedule_wake(now)
+        self.fragmentation.update(now, self._cell_resources())
 
-    def _touched(self, decisions: Sequence[Decision]) -> list[Cell]:
+    def _changed_cells(self, decisions: Sequence[Decision]) -> list[Cell]:
         """The cells that the last event or its decisions changed."""
         assert self._fleet is not None
         found = {self._event_cell}
@@ -302,7 +302,7 @@
         cells = self._fleet.cells.values()
         return {cell.name: len(cell.guarantees.unformable()) for cell in cells}
 
-    def _wake(self, now: float) -> None:
+    def _schedule_wake(self, now: float) -> None:
         """Decide again later where waiting itself changes what is allowed."""
         if self._fleet is None:
             return
@@ -311,7 +311,7 @@
             self._next_wake = now + WAKE_S
             self._push(self._next_wake, 3, None)
 
-    def _carry_out(self, now: float, decision: Decision) -> None:
+    def _apply_decision(self, now: float, decision: Decision) -> None:
         job = self.jobs[decision.job_id]
         if isinstance(decision, Start):
             self._start(now, job, decision)
@@ -319,7 +319,7 @@
             self._stop_run(now, job)
             job.state = JobState.QUEUED
             if job.spec.checkpoint:
-                job.progress += now - job.began
+                job.progress += now - job.started_s
             self._lost_work += decision.lost
             self.reclaim_lost += decision.lost
             self._reclaims += 0 if decision.moved else 1
@@ -330,7 +330,7 @@
         self.invariants.started(now, job.spec, start)
         job.state = JobState.RUNNING
         job.attempt = start.attempt
-        job.began = now
+        job.started_s = now
         job.ever_started = True
         if job.first_start is None:
             job.first_start = now
@@ -344,7 +344,7 @@
 
     # Stated outcomes
 
-    def _judge_later(self, now: float, event: Expect) -> None:
+    def _schedule_expectation(self, now: float, event: Expect) -> None:
         job = self.jobs[f"{event.account}/{event.request}"]
         due = job.submitted + (event.seconds or 0.0)
         if due > now:
@@ -357,29 +357,29 @@
             )
             self._push(due, 4, later)
             return
-        self._judge(now, event)
+        self._check_expectation(now, event)
 
-    def _judge(self, now: float, event: Expect) -> None:
-        problem = self._problem(event)
+    def _check_expectation(self, now: float, event: Expect) -> None:
+        problem = self._find_problem(event)
         if problem is None:
-            self._held += 1
+            self._expectations_held += 1
         else:
-            self.failed.append((now, f"t={event.t:g} {_name(event)}: {problem}"))
+            self.failed.append((now, f"t={event.t:g} {_describe_expectation(event)}: {problem}"))
 
-    def _problem(self, event: Expect) -> str | None:
+    def _find_problem(self, event: Expect) -> str | None:
         if event.that is Outcome.GUARANTEE_FORMABLE:
-            return self._problem_of_guarantee(event)
+            return self._guarantee_problem(event)
         if event.that is Outcome.FREE_AT_LEAST:
-            return self._problem_of_room(event)
+            return self._capacity_problem(event)
         job = self.jobs[f"{event.account}/{event.request}"]
-        return _problem_of_job(job, event, self.invariants.starts(job.spec.job_id))
+        return _job_problem(job, event, self.invariants.fresh_starts(job.spec.job_id))
 
-    def _problem_of_guarantee(self, event: Expect) -> str | None:
+    def _guarantee_problem(self, event: Expect) -> str | None:
         shape = None
         if event.shape is not None:
             shape = self._guarantee_shapes[event.account or ""][event.shape]
         if self._fleet is None:
-            return self._problem_without_reclaim(event.account or "", shape)
+            return self._baseline_guarantee_problem(event.account or "", shape)
         missing = [
             str(unit.request.shape)
             for cell in self._fleet.cells.values()
@@ -388,25 +388,27 @@
         ]
         return f"{', '.join(missing)} can't be formed" if missing else None
 
-    def _problem_without_reclaim(self, account: str, shape: Shape | None) -> str | None:
+    def _baseline_guarantee_problem(self, account: str, shape: Shape | None) -> str | None:
         """A baseline takes nothing back: its guarantee is what lies free."""
         for guaranteed in self._guarantee_shapes[account]:
             if shape in {None, guaranteed}:
-                resources = sum(usable(resources, guaranteed) for resources in self._rooms())
+                resources = sum(
+                    usable(resources, guaranteed) for resources in self._cell_resources()
+                )
                 if resources < guaranteed.accelerators:
                     return f"{guaranteed} can't be formed"
         return None
 
-    def _problem_of_room(self, event: Expect) -> str | None:
+    def _capacity_problem(self, event: Expect) -> str | None:
         wanted = event.accelerators or 0
         if event.adjacent is Adjacency.WORKER:
-            most = max(max(resources.free, default=0) for resources in self._rooms())
+            most = max(max(resources.free, default=0) for resources in self._cell_resources())
         elif event.adjacent is Adjacency.RACK:
-            most = max(max(resources.rack_free, default=0) for resources in self._rooms())
+            most = max(max(resources.rack_free, default=0) for resources in self._cell_resources())
         elif event.adjacent is Adjacency.HALL:
-            most = max(sum(resources.free) for resources in self._rooms())
+            most = max(sum(resources.free) for resources in self._cell_resources())
         else:
-            most = sum(sum(resources.free) for resources in self._rooms())
+            most = sum(sum(resources.free) for resources in self._cell_resources())
         return None if most >= wanted else f"{most} are free"
 
     # The result
@@ -414,8 +416,8 @@
     def _result(self) -> Result:
         jobs = list(self.jobs.values())
         for job in jobs:
-            if not job.state.final and self._could_start(job):
-                self.invariants.note(self.end, f"{job.spec.job_id} is still {job.state}")
+            if not job.state.final and self._could_fit(job):
+                self.invariants.add_violation(self.end, f"{job.spec.job_id} is still {job.state}")
         finished = [job for job in jobs if job.finished is not None]
         pairs = [(job.spec.job_class, (job.finished or 0.0) - job.submitted) for job in finished]
         fragmentation = self.fragmentation.mean(self.end)
@@ -438,26 +440,26 @@
             work_lost_s=round(self._lost_work, 6),
             reclaims=self._reclaims,
             score=round(score(self.config.weights, stretch, fragmentation), 6),
-            expectations=Expectations(self._held, [text for _, text in self.failed]),
+            expectations=Expectations(self._expectations_held, [text for _, text in self.failed]),
             violations=self.invariants.violations,
         )
 
-    def _could_start(self, job: JobRun) -> bool:
+    def _could_fit(self, job: JobRun) -> bool:
         """Whether a job that is left over would fit the VMs that are up."""
         return any(
             find_placement(job.spec.shape, resources.free, resources.racks, scatter=False)
             is not None
-            for resources in self._rooms()
+            for resources in self._cell_resources()
         )
 
 
-def _name(event: Expect) -> str:
+def _describe_expectation(event: Expect) -> str:
     subject = f" {event.account}" if event.account else ""
     request = f"/{event.request}" if event.request else ""
     return f"{event.that}{subject}{request}"
 
 
-def _problem_of_job(job: JobRun, event: Expect, starts: int) -> str | None:
+def _job_problem(job: JobRun, event: Expect, starts: int) -> str | None:
     """Why a stated outcome of a job does not hold, or ``None``."""
     if event.that is Outcome.STARTED_WITHIN:
         if job.first_start is None:
--- a/tests/test_told_crashes.py
+++ b/tests/test_told_crashes.py
@@ -87,12 +87,12 @@
 
     def test_why_blames_the_task_that_was_given_up_and_not_what_ran_beside_it(self) -> None:
         found = {loss.job_id: loss.cause for loss in find_missed_objectives(LINES)}
-        self.assertEqual(found, {CULPRIT: Cause.CRASHES, OTHER: Cause.BESIDE})
+        self.assertEqual(found, {CULPRIT: Cause.GIVEN_UP, OTHER: Cause.CRASHED_WORKER})
 
     def test_stops_count_what_died_beside_as_a_cause_of_its_own(self) -> None:
         cost = stop_costs(LINES).reasons[LOST_WITH_CRASHED_WORKER]
         self.assertEqual(cost.runs, 1)
-        self.assertAlmostEqual(cost.lost, 3.9 * 9)
+        self.assertAlmostEqual(cost.lost_core_s, 3.9 * 9)
 
     def test_a_crash_under_a_task_that_was_cleared_is_no_such_cause(self) -> None:
         cleared = [each for each in LINES if each.event != "crash_given_up"]
--- a/tests/test_why.py
+++ b/tests/test_why.py
@@ -66,7 +66,7 @@
 
     def test_waiting_for_room_for_stops_and_for_a_leader(self) -> None:
         tail = (start(4.0), end(5.0), completed(5.0))
-        self.assertIs(self.only(accepted(0.0), *tail).cause, Cause.ROOM)
+        self.assertIs(self.only(accepted(0.0), *tail).cause, Cause.CAPACITY)
         stop = line(0.1, "stop", task=f"{OTHER}.0.0.0", cause=JOB, reason="preempted")
         self.assertIs(self.only(accepted(0.0), stop, *tail).cause, Cause.STOPS)
         gap = (line(0.0, "deposed"), line(3.9, "scheduling"))
@@ -81,7 +81,7 @@
             (line(0.2, "leader", leader="two", revision=7),),
         ):
             with self.subTest(late=late):
-                self.assertIs(self.only(*led, accepted(0.1), *late, *tail).cause, Cause.ROOM)
+                self.assertIs(self.only(*led, accepted(0.1), *late, *tail).cause, Cause.CAPACITY)
         lost = line(0.2, "deposed", fence=7)
         self.assertIs(self.only(*led, accepted(0.1), lost, *tail).cause, Cause.LEADER)
 
@@ -89,14 +89,14 @@
         tail = (start(4.0, 2), end(5.0, 2), completed(5.0))
         for cause, lines in (
             (Cause.FAILED, [end(3.9, how="failed")]),
-            (Cause.SILENT, [end(3.9, how="lapsed")]),
-            (Cause.SILENT, []),
+            (Cause.UNREACHABLE_WORKER, [end(3.9, how="lapsed")]),
+            (Cause.UNREACHABLE_WORKER, []),
             (
                 Cause.PREEMPTED,
                 [line(1.0, "stop", task=TASK, run=1, reason="preempted"), end(1.2, how="stopped")],
             ),
             (
-                Cause.LEFT,
+                Cause.DRAINED_WORKER,
                 [line(1.0, "stop", task=TASK, run=1, reason="worker_leaves"), end(2.0, how="done")],
             ),
             (Cause.RESTARTED, [end(3.9, how="broken")]),
@@ -114,7 +114,7 @@
 
     def test_an_end_that_is_shown_late(self) -> None:
         loss = self.only(accepted(0.0), start(0.0), end(1.0), completed(4.0))
-        self.assertIs(loss.cause, Cause.END)
+        self.assertIs(loss.cause, Cause.LATE_END)
 
     def test_jobs_that_are_not_done(self) -> None:
         failed = line(2.0, "job", job=JOB, state="failed")
@@ -145,10 +145,10 @@
     def test_worth_in_time_and_late(self) -> None:
         worth = worth_by_priority(["0=4,0.8", "2=1"])
         self.assertEqual(worth, {0: Worth(4.0, 0.8), 2: Worth(1.0, 0.0)})
-        late = MissedObjective(JOB, "q", 0, 0.0, 1.0, Cause.ROOM, size=2.0)
-        self.assertAlmostEqual(worth[0].lost(late), 2.0 * 3.2)
+        late = MissedObjective(JOB, "q", 0, 0.0, 1.0, Cause.CAPACITY, size=2.0)
+        self.assertAlmostEqual(worth[0].lost_worth(late), 2.0 * 3.2)
         late.late_s = None
-        self.assertAlmostEqual(worth[0].lost(late), 8.0)
+        self.assertAlmostEqual(worth[0].lost_worth(late), 8.0)
 
     def test_worth_that_cannot_be_read_is_told(self) -> None:
         for text in ("0", "x=1", "0=one", "0=1,two"):
@@ -170,13 +170,13 @@
         again = (start(5.0, 2), self.stop(6.0, 2, reason="worker_leaves"))
         found = stop_costs([self.job(), start(0.0), self.stop(3.0), *again])
         self.assertEqual(found.starts, 2)
-        self.assertAlmostEqual(found.reasons["preempted"].lost, 3.0 * 20.0)
-        self.assertAlmostEqual(found.reasons["worker_leaves"].lost, 1.0 * 20.0)
-        self.assertAlmostEqual(found.preemptors[OTHER].lost, 60.0)
+        self.assertAlmostEqual(found.reasons["preempted"].lost_core_s, 3.0 * 20.0)
+        self.assertAlmostEqual(found.reasons["worker_leaves"].lost_core_s, 1.0 * 20.0)
+        self.assertAlmostEqual(found.preemptors[OTHER].lost_core_s, 60.0)
 
     def test_saved_work_is_not_thrown_away(self) -> None:
         found = stop_costs([self.job("saves"), start(0.0), self.stop(9.0)])
-        self.assertAlmostEqual(found.reasons["preempted"].lost, SAVE_INTERVAL_S * 20.0)
+        self.assertAlmostEqual(found.reasons["preempted"].lost_core_s, SAVE_INTERVAL_S * 20.0)
 
     def test_whether_room_was_used_by_whom_it_was_made_for(self) -> None:
         made = [self.job(), start(0.0), self.stop(3.0)]
@@ -185,7 +185,7 @@
         elsewhere = line(3.4, "start", task=f"{OTHER}.0.0.1", run=1, worker="w2")
         found = stop_costs([*made, elsewhere, there])
         self.assertEqual(found.unused, [])
-        self.assertAlmostEqual(found.preemptors[OTHER].used_s or 0.0, 0.5)
+        self.assertAlmostEqual(found.preemptors[OTHER].time_to_use_s or 0.0, 0.5)
 
     def test_tasks_preempted_twice_and_jobs_that_asked_twice(self) -> None:
         made = [self.job(), start(0.0), self.stop(3.0), start(4.0, 2), self.stop(5.0, 2)]
