--- a/src/saddlestack/replay/__init__.py
+++ b/src/saddlestack/replay/__init__.py
@@ -1,1 +1,1 @@
-"""Traces run through the decision core on a virtual clock."""
+"""Replays of traces through the scheduling policy on a virtual clock."""
--- a/src/saddlestack/replay/baselines.py
+++ b/src/saddlestack/replay/baselines.py
@@ -1,6 +1,6 @@
-"""Baseline policies to compare with: `fifo` and `first-fit`.
+"""Baseline policies for comparison: `fifo` and `first-fit`.
 
-Both start gangs whole and respect worker limits and adjacency; neither knows guarantees,
+Both start whole gangs and respect worker limits and adjacency. Neither supports guarantees, nor
 reclaims, reserves or moves anything.
 """
 
@@ -19,7 +19,7 @@
 class Baseline:
     """Starts waiting gangs in the order of submission, in the first place that fits.
 
-    :param strict: whether a gang that does not fit blocks all behind it.
+    :param strict: whether a gang that does not fit blocks all later ones.
     """
 
     def __init__(self, sites: Iterable[CellSite], *, strict: bool) -> None:
@@ -35,7 +35,7 @@
         self._submissions = 0
 
     def submit(self, spec: JobSpec, now: float) -> Refusal | None:
-        """Take a job in, if any room could ever hold it."""
+        """Queue a job, or refuse it if no cell can ever hold it."""
         if not any(
             self._can_ever_fit(resources, spec) for resources in self.cell_resources.values()
         ):
@@ -46,7 +46,7 @@
         return None
 
     def decide(self, now: float) -> list[Decision]:
-        """Start what fits."""
+        """Start the waiting gangs that fit."""
         decisions: list[Decision] = []
         too_large: dict[Adjacency, int] = {}
         for gang in sorted(self.waiting.values(), key=lambda gang: gang.order):
@@ -63,17 +63,17 @@
         return decisions
 
     def finished(self, job_id: str) -> None:
-        """A running gang ended."""
+        """Release the resources of a running gang that ended."""
         gang, resources = self.running.pop(job_id)
         resources.give_back(gang.shares, pinned=False)
 
     def cancel(self, job_id: str) -> None:
-        """Drop a job."""
+        """Remove a waiting or running job."""
         if self.waiting.pop(job_id, None) is None:
             self.finished(job_id)
 
     def vm_lost(self, vm: str, now: float) -> list[Loss]:
-        """A worker is gone, and with it every gang that had a part there."""
+        """Mark a worker as lost and return the gangs that had a part on it."""
         resources = self._resources_of_vm[vm]
         index = resources.index[vm]
         affected = [
@@ -93,13 +93,13 @@
         return losses
 
     def vm_leaving(self, vm: str) -> None:
-        """A worker receives no new work."""
+        """Stop placing new work on a worker."""
         resources = self._resources_of_vm[vm]
         index = resources.index[vm]
         resources.set_state(index, up=resources.up[index], leaving=True)
 
     def vm_back(self, vm: str) -> None:
-        """A worker serves again."""
+        """Mark a worker as up again."""
         resources = self._resources_of_vm[vm]
         resources.set_state(resources.index[vm], up=True, leaving=False)
 
--- a/src/saddlestack/replay/invariants.py
+++ b/src/saddlestack/replay/invariants.py
@@ -1,4 +1,4 @@
-"""What always has to hold in a replay, checked beside the policy, from its decisions alone."""
+"""Invariants of a replay, checked independently of the policy from its decisions alone."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class InvariantChecker:
-    """Keeps its own account of who holds what, and notes every violation."""
+    """Tracks the allocations of all jobs and records up to :data:`MAX_LISTED` violations."""
 
     def __init__(self, sites: Sequence[CellSite]) -> None:
         self.violations: list[str] = []
@@ -28,19 +28,19 @@
         self._starts: dict[str, int] = {}
 
     def add_violation(self, now: float, text: str) -> None:
-        """Keep a violation."""
+        """Record a violation, unless :data:`MAX_LISTED` are recorded."""
         if len(self.violations) < MAX_LISTED:
             self.violations.append(f"t={now:g}: {text}")
 
     def set_worker_state(self, name: str, *, up: bool, leaving: bool) -> None:
-        """A worker came, went or is leaving."""
+        """Record whether a worker is up and whether it is leaving."""
         for names, member in ((self.down, not up), (self._leaving, leaving)):
             names.discard(name)
             if member:
                 names.add(name)
 
     def started(self, now: float, spec: JobSpec, start: Start) -> None:
-        """A gang starts."""
+        """Check the start of a gang and record its allocation."""
         if spec.job_id in self.running:
             self.add_violation(now, f"{spec.job_id} was started while it runs")
         self._check_gang(now, spec, start.parts)
@@ -48,7 +48,7 @@
             if part.vm in self._leaving or part.vm in self.down:
                 self.add_violation(
                     now,
-                    f"{spec.job_id} was started on {part.vm}, which takes no work",
+                    f"{spec.job_id} was started on {part.vm}, which accepts no work",
                 )
         if not start.resumed:
             self._starts[spec.job_id] = self._starts.get(spec.job_id, 0) + 1
@@ -58,7 +58,7 @@
         self._update_usage(now, start.parts, 1)
 
     def ended(self, now: float, job_id: str) -> None:
-        """A gang's room is given back."""
+        """Release the allocation of a gang that ended."""
         held = self.running.pop(job_id, None)
         if held is None:
             self.add_violation(now, f"{job_id} ended without running")
@@ -66,17 +66,17 @@
         self._update_usage(now, held, -1)
 
     def fresh_starts(self, job_id: str) -> int:
-        """Fresh starts of a job; going on from a checkpoint is none."""
+        """Return the number of fresh starts of a job; resuming from a checkpoint does not count."""
         return self._starts.get(job_id, 0)
 
     def check_guarantees(self, now: float, cell: Cell, missing_before: int) -> None:
-        """Every account's unused guaranteed shapes fit at the same time, as far as VMs allow.
+        """Check that the unused guaranteed shapes of all accounts fit at the same time.
 
-        The cell names a place for each unused shape; the places are checked against what
-        runs. A shape may lack a place only while VMs are missing, and a decision may never
-        be what takes a place away.
+        The cell names a witness for each unused shape: the workers reserved for it. Witnesses are
+        checked against what runs. A shape may lack a witness only while VMs are missing, and no
+        decision may cause the loss of a witness.
 
-        :param missing_before: shapes without a place before the decision.
+        :param missing_before: number of shapes without a witness before the decision.
         """
         non_reclaimable = self._non_reclaimable(now, cell)
         self._check_charges(now, cell)
@@ -119,10 +119,10 @@
         whole = sum(count for _, count in shares) == unit.left
         here = not any(w.name in self.down or w.name in self._leaving for w in workers)
         if not (near and whole and here):
-            self.add_violation(now, f"the place kept for {unit.account}'s {unit.shape} is none")
+            self.add_violation(now, f"the witness for {unit.account}'s {unit.shape} is not valid")
 
     def _check_charges(self, now: float, cell: Cell) -> None:
-        """What accounts are charged for is what they run as guaranteed."""
+        """Check that the guarantees charged to each account match its running guaranteed gangs."""
         charged: dict[str, int] = {}
         for gang in cell.running.values():
             if gang.charge is not None:
@@ -140,7 +140,7 @@
                 )
 
     def _non_reclaimable(self, now: float, cell: Cell) -> dict[str, tuple[int, int]]:
-        """Accelerators and slots of gangs that can't be taken back, by worker."""
+        """Return accelerators and slots of gangs that can't be reclaimed, by worker."""
         non_reclaimable: dict[str, tuple[int, int]] = {}
         for job_id, gang in cell.running.items():
             if gang.charge is None and gang.spec.reclaimable:
--- a/src/saddlestack/replay/maker.py
+++ b/src/saddlestack/replay/maker.py
@@ -1,4 +1,4 @@
-"""Makes traces from a seed: days and nights of both users, each with stated outcomes."""
+"""Generates traces from a seed: days and nights of two users, each with expected outcomes."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 def ee_config() -> ReplayConfig:
-    """Laadimisvõrk today: three halls of eight workers, four accounts."""
+    """Return the configuration of Laadimisvõrk: three halls of eight workers, four accounts."""
     return ReplayConfig(
         data_halls=_halls(EE_HALLS),
         accounts=(
@@ -62,7 +62,7 @@
 
 
 def is_config() -> ReplayConfig:
-    """Þjórfé Skiptir today: three halls of eight workers, four accounts."""
+    """Return the configuration of Þjórfé Skiptir: three halls of eight workers, four accounts."""
     return ReplayConfig(
         data_halls=_halls(IS_HALLS),
         accounts=(
@@ -83,14 +83,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Recipe:
-    """A named trace: its configuration and its maker."""
+    """The configuration of a named trace and the function that adds its events."""
 
     config: Callable[[], ReplayConfig]
     make: Callable[[_TraceBuilder], None]
 
 
 class _TraceBuilder:
-    """Collects events; helpers for the shapes of load that recur."""
+    """Collects the events of a trace, with helpers for common kinds of load.
+
+    :ivar deadline: seconds at which all expected outcomes of jobs are checked at the latest.
+    """
 
     def __init__(self, seed: int, scale: float) -> None:
         self.rng = random.Random(seed)
@@ -114,9 +117,12 @@
         estimate_error: float = 0.0,
         must_finish: bool = True,
     ) -> None:
-        """Submit a job; urgent ones must start in time, all must end well.
+        """Submit a job and add its expected outcomes.
+
+        Urgent jobs must start in time, and run-once jobs must start at most once.
 
-        :param estimate_error: how far the caller's estimate is off, as a spread around 1.
+        :param estimate_error: the largest relative error of the caller's estimate.
+        :param must_finish: whether the job must finish by the deadline.
         """
         number = self._counters[account] = self._counters.get(account, 0) + 1
         request = f"{account[:3]}-{number:05d}"
@@ -148,7 +154,10 @@
             self._expect(self.deadline, Outcome.FINISHED, account, request)
 
     def expect_guarantees(self, config: ReplayConfig, every: float, until: float) -> None:
-        """Every account's guarantee must be formable at regular times."""
+        """Expect the guarantees of every account to be formable at regular times.
+
+        :param every: seconds between two checks.
+        """
         at = every
         while at < until:
             for account in config.accounts:
@@ -159,7 +168,7 @@
             at += every
 
     def arrivals(self, start: float, end: float, every: float) -> Iterator[float]:
-        """Times of a Poisson process, ``every`` seconds apart on average."""
+        """Yield times of a Poisson process that are ``every`` seconds apart on average."""
         at = start
         while True:
             at += self.rng.expovariate(1.0 / every)
@@ -168,7 +177,7 @@
             yield at
 
     def minutes(self, low: float, high: float) -> float:
-        """A running time between two numbers of minutes, short ones more often."""
+        """Draw a run time in seconds between two numbers of minutes; short ones are more likely."""
         return MINUTE_S * (low + (high - low) * self.rng.random() ** 2)
 
     def _expect(
@@ -189,7 +198,7 @@
 def _fault_checks(
     builder: _TraceBuilder, start: float, end: float, every: float, burst_every: float
 ) -> None:
-    """Fault checks of station crews: a trickle and bursts."""
+    """Add fault checks of station crews: a steady low rate and bursts."""
     for at in builder.arrivals(start, end, every):
         builder.submit(at, "stations", JobClass.URGENT, 1, builder.rng.uniform(8, 40))
     for at in builder.arrivals(start, end, burst_every):
@@ -225,7 +234,7 @@
 
 
 def _replays(builder: _TraceBuilder, start: float, end: float, load: float) -> None:
-    """Bulk session replays until they make up a share of the capacity."""
+    """Add bulk session replays up to a share ``load`` of the capacity."""
     wanted = load * CAPACITY * (end - start)
     while wanted > 0:
         accelerators = builder.rng.choice((1, 1, 2, 2, 4, 4, 8))
@@ -271,7 +280,7 @@
 
 
 def _lossy_replays(builder: _TraceBuilder, start: float, end: float, load: float) -> None:
-    """Bulk work on a bad day: run-once replays may become unknown, but never run twice."""
+    """Add bulk work of a bad day: run-once replays may become unknown but never run twice."""
     wanted = load * CAPACITY * (end - start)
     while wanted > 0:
         accelerators = builder.rng.choice((1, 2, 4, 8))
@@ -292,7 +301,7 @@
 
 
 def _failures(builder: _TraceBuilder, halls: tuple[tuple[str, str], ...], end: float) -> None:
-    """VMs that vanish or leave and come back, never more than one of a hall at once."""
+    """Add VMs that are lost or leave and return, at most one of each data hall at a time."""
     for _, rack in halls:
         at = builder.rng.uniform(0.02, 0.1) * end
         while at < end:
@@ -308,7 +317,7 @@
 
 
 def _fillers(builder: _TraceBuilder, start: float, end: float, load: float) -> None:
-    """Ledger work: many small jobs that fill every gap."""
+    """Add ledger work: many small jobs that fill all gaps."""
     wanted = load * CAPACITY * (end - start)
     while wanted > 0:
         accelerators = builder.rng.choice((1, 1, 2, 3, 4, 5))
@@ -328,7 +337,7 @@
 def _splits(
     builder: _TraceBuilder, start: float, end: float, every: float, *, lost: bool = False
 ) -> None:
-    """Pool splits of restaurants: large, run once, all on one rack."""
+    """Add pool splits of restaurants: large jobs that run once on a single rack."""
     for at in builder.arrivals(start, end, every):
         account, accelerators = builder.rng.choice(
             (("kitchens", 32), ("kitchens", 16), ("floors", 16), ("floors", 16))
@@ -348,7 +357,7 @@
 
 
 def _corrections(builder: _TraceBuilder, start: float, end: float, every: float) -> None:
-    """Corrections of a payout that a waiter waits for."""
+    """Add urgent corrections of payouts, which a waiter is waiting for."""
     for at in builder.arrivals(start, end, every):
         accelerators = builder.rng.choice((1, 2, 4))
         builder.submit(
@@ -382,10 +391,10 @@
 
 
 def make(name: str, seed: int, scale: float = 1.0) -> list[Event]:
-    """The events of a named trace, in order.
+    """Generate the events of a named trace, in order of time.
 
-    :param scale: stretches the time covered; 1 is a day or a night.
-    :raises SaddlestackError: no such trace.
+    :param scale: factor on the time covered; 1 is a day or a night.
+    :raises SaddlestackError: there is no such trace.
     """
     recipe = _recipe(name)
     builder = _TraceBuilder(seed, scale)
@@ -394,15 +403,15 @@
 
 
 def config_of(name: str) -> ReplayConfig:
-    """The configuration that a named trace is meant for.
+    """Return the configuration for a named trace.
 
-    :raises SaddlestackError: no such trace.
+    :raises SaddlestackError: there is no such trace.
     """
     return _recipe(name).config()
 
 
 def to_json_lines(events: list[Event]) -> Iterator[str]:
-    """The events as JSON lines, without fields at their defaults."""
+    """Encode events as JSON lines, without fields at their defaults."""
     for event in events:
         fields = msgspec.to_builtins(event)
         defaults = {None, False}
--- a/src/saddlestack/replay/measures.py
+++ b/src/saddlestack/replay/measures.py
@@ -1,4 +1,4 @@
-"""What a replay measures: completion, start delay, fragmentation, lost work, the score."""
+"""Measures of a replay: completion time, start delay, fragmentation, lost work, the score."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Summary(msgspec.Struct):
-    """Seconds over some jobs."""
+    """Mean and quantiles of a time over some jobs, in seconds."""
 
     mean: float
     p50: float
@@ -20,7 +20,7 @@
 
 
 class ByClass(msgspec.Struct):
-    """A summary over all jobs and for each class; ``None`` for a class without jobs."""
+    """Summaries over all jobs and for each class; ``None`` for a class without jobs."""
 
     overall: Summary | None
     urgent: Summary | None
@@ -29,7 +29,7 @@
 
 
 class Expectations(msgspec.Struct):
-    """How many stated outcomes held, and those that failed."""
+    """The number of expected outcomes that held, and a description of each that failed."""
 
     held: int
     failed: list[str]
@@ -54,19 +54,19 @@
 
 
 class TimedResult(Result):
-    """The same with the speed of the decisions, which differs from run to run."""
+    """A result with the rate of decisions, which differs from run to run."""
 
     decisions_per_s: float
 
 
 def quantile(ordered: Sequence[float], share: float) -> float:
-    """The smallest value that at least that share of the values do not exceed."""
+    """Return the smallest value that at least a share of the values do not exceed."""
     index = max(0, -(-int(len(ordered) * share * 1000) // 1000) - 1)
     return ordered[min(index, len(ordered) - 1)]
 
 
 def summarize(values: Sequence[float]) -> Summary | None:
-    """Mean and quantiles, or ``None`` of no values."""
+    """Return mean and quantiles, or ``None`` if there are no values."""
     if not values:
         return None
     ordered = sorted(values)
@@ -78,7 +78,7 @@
 
 
 def by_class(values: Sequence[tuple[JobClass, float]]) -> ByClass:
-    """Summaries over all values and for each class."""
+    """Summarize all values, and those of each class."""
     return ByClass(
         summarize([value for _, value in values]),
         *(
@@ -91,8 +91,8 @@
 class Fragmentation:
     """The time-weighted share of free accelerators that reference gangs cannot use.
 
-    At each moment, for each reference shape, the free accelerators are packed with as many
-    gangs of that shape alone as fit; the share left over, averaged over the shapes.
+    At each time and for each reference shape, the free accelerators are packed with as many gangs
+    of that shape as fit. The value is the share left over, averaged over the shapes.
     """
 
     def __init__(self, shapes: Sequence[Shape]) -> None:
@@ -103,7 +103,7 @@
         self.points: list[tuple[float, float]] = []
 
     def update(self, now: float, cell_resources: Sequence[CellResources]) -> None:
-        """Account for the time since the last change, then look at the rooms anew."""
+        """Add the time since the last change, then compute the current value."""
         self._area += self._value * (now - self._at)
         self._at = now
         value = self._now(cell_resources)
@@ -112,7 +112,7 @@
         self._value = value
 
     def mean(self, until: float) -> float:
-        """The time-weighted mean from 0 on."""
+        """Return the time-weighted mean from time 0 on."""
         area = self._area + self._value * (until - self._at)
         return area / until if until > 0 else self._value
 
@@ -128,12 +128,12 @@
 
 
 def score(weights: Weights, completions: Sequence[tuple[float, float]], frag: float) -> float:
-    """One number for a deployment, lower is better.
+    """Return the score of a replay; lower is better.
 
-    The mean over jobs of completion time over running time (1 is best), and the
-    fragmentation, each times its weight.
+    It is the weighted mean of the fragmentation and of the stretch: the sum of completion times
+    over the sum of run times, of which 1 is the best.
 
-    :param completions: completion time and true running time of each finished job.
+    :param completions: completion time and true run time of each finished job.
     """
     total = weights.completion + weights.fragmentation
     if completions:
--- a/src/saddlestack/replay/report.py
+++ b/src/saddlestack/replay/report.py
@@ -1,6 +1,6 @@
-"""One self-contained page about a replay: timelines, delays, fragmentation, failures.
+"""A self-contained HTML page about a replay: timelines, delays, fragmentation, failures.
 
-Made with plotly, which only this module imports; daemons never do.
+The page needs plotly. Only this module imports it, so daemons never do.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 def write(run: Replay, result: Result, path: Path) -> None:
-    """Write the page.
+    """Write the page to a file.
 
     :raises SaddlestackError: the file can't be written.
     """
@@ -53,7 +53,7 @@
 
 
 def _add_usage(figure: Any, run: Replay) -> None:
-    """Accelerators in use over time, stacked by account and class."""
+    """Add the accelerators in use over time, stacked by account and class."""
     changes: dict[tuple[str, str], list[tuple[float, int]]] = {}
     for job in run.jobs.values():
         key = (job.spec.account, job.spec.job_class.value)
@@ -141,7 +141,7 @@
 def _page(result: Result, body: str) -> str:
     problems = [*result.expectations.failed, *result.violations]
     items = "".join(f"<li>{html.escape(text)}</li>" for text in problems)
-    listed = f"<h2>Failed</h2><ul>{items}</ul>" if items else "<p>Every stated outcome held.</p>"
+    listed = f"<h2>Failed</h2><ul>{items}</ul>" if items else "<p>All expected outcomes held.</p>"
     return (
         "<!doctype html><html><head><meta charset='utf-8'><title>saddlestack replay</title>"
         "<style>body{font-family:sans-serif;margin:2em}</style></head><body>"
--- a/src/saddlestack/replay/runner.py
+++ b/src/saddlestack/replay/runner.py
@@ -1,7 +1,7 @@
-"""Runs a trace through a policy on a virtual clock and judges what came of it.
+"""Runs a trace through a policy on a virtual clock and checks the expected outcomes.
 
-The clock is an event heap, nothing more. Taking room back is instantaneous here: traces say
-nothing of how long a checkpoint takes.
+The clock is an event heap. Reclaims take no time here, since traces do not say how long a
+checkpoint takes.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True)
 class Run:
-    """A stretch of time in which a gang ran, for the report."""
+    """A period of time in which a gang ran, for the report."""
 
     start: float
     end: float
@@ -59,7 +59,12 @@
 
 @dataclass(slots=True)
 class JobRun:
-    """A job under replay."""
+    """The state of a job in a replay.
+
+    :param duration: its true run time in seconds.
+    :param started_s: start of its current run.
+    :param progress: seconds of work that its checkpoints saved.
+    """
 
     spec: JobSpec
     duration: float
@@ -76,10 +81,10 @@
 
 
 class Replay:
-    """One trace under one policy.
+    """A replay of one trace under one policy.
 
     :param policy: one of :data:`POLICIES`.
-    :raises SaddlestackError: the guarantees of the configuration don't pack.
+    :raises SaddlestackError: the guarantees of the configuration don't fit.
     """
 
     def __init__(self, config: ReplayConfig, trace: Trace, policy: str) -> None:
@@ -121,8 +126,6 @@
         self._event_cell: Cell | None = None
         self.end = 0.0
 
-    # Running
-
     def run(self) -> Result:
         """Run the whole trace.
 
@@ -138,7 +141,7 @@
         return self._result()
 
     def decisions_per_s(self) -> float:
-        """Decisions a second of real time spent deciding."""
+        """Return the number of decisions per second of real time spent deciding."""
         return self._decisions / self._deciding_s if self._deciding_s else 0.0
 
     def _push(
@@ -164,7 +167,7 @@
         return bool(self.invariants.running)
 
     def _apply(self, now: float, item: Event | tuple[str, int]) -> bool:
-        """Let an event happen; false where nothing follows from it."""
+        """Apply an event; false if it changes nothing."""
         if isinstance(item, tuple):
             return self._finish(now, *item)
         if isinstance(item, Submit):
@@ -234,8 +237,6 @@
         self._stop_run(now, job)
         job.state = loss.state
 
-    # The policy
-
     def _submit_to_policy(self, spec: JobSpec, now: float) -> Refusal | None:
         if self._fleet is not None:
             return self._fleet.submit(spec, now)
@@ -288,7 +289,7 @@
         self.fragmentation.update(now, self._cell_resources())
 
     def _changed_cells(self, decisions: Sequence[Decision]) -> list[Cell]:
-        """The cells that the last event or its decisions changed."""
+        """Return the cells that the last event or its decisions changed."""
         assert self._fleet is not None
         found = {self._event_cell}
         found |= {self._fleet.cell_of(decision.job_id) for decision in decisions}
@@ -296,14 +297,14 @@
         return [cell for cell in self._fleet.cells.values() if cell in found]
 
     def _missing(self) -> dict[str, int]:
-        """Guaranteed shapes that can't be formed now, by cell."""
+        """Return the number of guaranteed shapes that can't be formed now, by cell."""
         if self._fleet is None:
             return {}
         cells = self._fleet.cells.values()
         return {cell.name: len(cell.guarantees.unformable()) for cell in cells}
 
     def _schedule_wake(self, now: float) -> None:
-        """Decide again later where waiting itself changes what is allowed."""
+        """Schedule another decision, since waiting itself changes what is allowed."""
         if self._fleet is None:
             return
         waiting = any(cell.waiting for cell in self._fleet.cells.values())
@@ -342,8 +343,6 @@
         self.invariants.ended(now, job.spec.job_id)
         job.runs[-1].end = now
 
-    # Stated outcomes
-
     def _schedule_expectation(self, now: float, event: Expect) -> None:
         job = self.jobs[f"{event.account}/{event.request}"]
         due = job.submitted + (event.seconds or 0.0)
@@ -389,13 +388,13 @@
         return f"{', '.join(missing)} can't be formed" if missing else None
 
     def _baseline_guarantee_problem(self, account: str, shape: Shape | None) -> str | None:
-        """A baseline takes nothing back: its guarantee is what lies free."""
+        """Check a guarantee under a baseline, which reclaims nothing: only free capacity counts."""
         for guaranteed in self._guarantee_shapes[account]:
             if shape in {None, guaranteed}:
-                resources = sum(
-                    usable(resources, guaranteed) for resources in self._cell_resources()
+                available = sum(
+                    usable(available, guaranteed) for available in self._cell_resources()
                 )
-                if resources < guaranteed.accelerators:
+                if available < guaranteed.accelerators:
                     return f"{guaranteed} can't be formed"
         return None
 
@@ -411,8 +410,6 @@
             most = sum(sum(resources.free) for resources in self._cell_resources())
         return None if most >= wanted else f"{most} are free"
 
-    # The result
-
     def _result(self) -> Result:
         jobs = list(self.jobs.values())
         for job in jobs:
@@ -445,7 +442,7 @@
         )
 
     def _could_fit(self, job: JobRun) -> bool:
-        """Whether a job that is left over would fit the VMs that are up."""
+        """Whether a job that has not ended would fit the VMs that are up."""
         return any(
             find_placement(job.spec.shape, resources.free, resources.racks, scatter=False)
             is not None
@@ -460,7 +457,7 @@
 
 
 def _job_problem(job: JobRun, event: Expect, starts: int) -> str | None:
-    """Why a stated outcome of a job does not hold, or ``None``."""
+    """Return why an expected outcome of a job does not hold, or ``None``."""
     if event.that is Outcome.STARTED_WITHIN:
         if job.first_start is None:
             return f"not started; {job.state}"
--- a/src/saddlestack/replay/trace.py
+++ b/src/saddlestack/replay/trace.py
@@ -1,7 +1,7 @@
-"""Traces: JSON lines of what happened and what must have come of it.
+"""Traces: JSON lines of events and expected outcomes.
 
-The form is a contract with others who make traces; unknown fields are errors that name line
-and field. Times are seconds from the trace's start.
+Other tools write traces as well, so the format is a contract: unknown fields are errors that name
+the line and the field. Times are seconds from the start of the trace.
 """
 
 from __future__ import annotations
@@ -23,13 +23,20 @@
 
 
 class TraceEvent(msgspec.Struct, tag_field="event", forbid_unknown_fields=True, kw_only=True):
-    """Base of all events."""
+    """Base class of all events.
+
+    :param t: seconds from the start of the trace.
+    """
 
     t: float
 
 
 class Submit(TraceEvent, tag="submit"):
-    """A job is submitted. ``duration`` is its true running time, ``estimate`` the caller's."""
+    """A job is submitted.
+
+    :param duration: its true run time in seconds.
+    :param estimate: the run time that the caller expects, in seconds.
+    """
 
     account: str
     request: str
@@ -43,19 +50,19 @@
 
 
 class VmLost(TraceEvent, tag="vm_lost"):
-    """A worker vanishes with what runs on it."""
+    """A worker is lost with everything that runs on it."""
 
     vm: str
 
 
 class VmLeaving(TraceEvent, tag="vm_leaving"):
-    """A worker is to receive no new work."""
+    """A worker receives no new work from now on."""
 
     vm: str
 
 
 class VmBack(TraceEvent, tag="vm_back"):
-    """A worker serves again."""
+    """A worker is available again."""
 
     vm: str
 
@@ -68,7 +75,7 @@
 
 
 class Outcome(enum.StrEnum):
-    """The kinds of stated outcomes."""
+    """The kinds of expected outcomes."""
 
     STARTED_WITHIN = "started_within"
     FINISHED = "finished"
@@ -82,7 +89,11 @@
 
 
 class Expect(TraceEvent, tag="expect"):
-    """An outcome that must hold at this time."""
+    """An outcome that must hold at this time.
+
+    :cvar needs: required fields of each kind of outcome.
+    :cvar allows: optional fields of each kind of outcome.
+    """
 
     that: Outcome
     account: str | None = None
@@ -116,9 +127,9 @@
 
 
 class ReplayConfig(msgspec.Struct, forbid_unknown_fields=True):
-    """The halls, accounts and weights that a trace is run against.
+    """The data halls, accounts and weights for a replay.
 
-    :param spare: workers each cell must be able to lose; optional.
+    :param spare: number of workers that each cell must be able to lose; optional.
     """
 
     data_halls: tuple[DataHall, ...]
@@ -128,15 +139,18 @@
 
 
 class Trace(msgspec.Struct):
-    """A checked trace: events in order with their line numbers."""
+    """A validated trace.
+
+    :param events: events in order of time, with their line numbers.
+    """
 
     events: list[tuple[int, Event]]
 
 
 def read_config(path: Path) -> ReplayConfig:
-    """Read and check a configuration.
+    """Read and validate a configuration.
 
-    :raises SaddlestackError: with file and key path.
+    :raises SaddlestackError: it is invalid; names the file and the key path.
     """
     config = read_json_with_comments(path, ReplayConfig)
     intent = Intent(
@@ -155,9 +169,9 @@
 
 
 def read_trace(path: Path, config: ReplayConfig) -> Trace:
-    """Read and check a trace against a configuration.
+    """Read a trace and validate it against a configuration.
 
-    :raises SaddlestackError: with file, line and field.
+    :raises SaddlestackError: it is invalid; names the file, the line and the field.
     """
     try:
         lines = path.read_text(encoding="utf-8").splitlines()
@@ -167,7 +181,11 @@
 
 
 def parse_trace(lines: list[str], config: ReplayConfig, name: str) -> Trace:
-    """Parse and check the lines of a trace."""
+    """Parse and validate the lines of a trace.
+
+    :param name: name of the trace in errors.
+    :raises SaddlestackError: a line is invalid.
+    """
     checker = _Checker(config)
     events: list[tuple[int, Event]] = []
     for number, line in enumerate(lines, 1):
@@ -183,28 +201,31 @@
 
 
 class _Checker:
-    """Checks each event against the configuration and the events before it."""
+    """Validates each event against the configuration and the events before it."""
 
     def __init__(self, config: ReplayConfig) -> None:
         sites = cells_of(config.data_halls)
         self._accounts = {account.name: account for account in config.accounts}
         self._vms = {worker.name for site in sites for worker in site.workers}
         self._submitted: dict[tuple[str, str], Submit] = {}
-        self._last = 0.0
+        self._last_s = 0.0
 
     def check(self, event: Event, where: str) -> None:
         if event.t < 0:
             raise invalid(f"expected 0 or more, got {event.t:g}", f"{where}: t")
-        if event.t < self._last:
-            raise invalid(f"time runs backwards: {event.t:g} after {self._last:g}", f"{where}: t")
-        self._last = event.t
+        if event.t < self._last_s:
+            raise invalid(
+                f"events are not in order of time: {event.t:g} after {self._last_s:g}",
+                f"{where}: t",
+            )
+        self._last_s = event.t
         if isinstance(event, Submit):
             self._check_submit(event, where)
         elif isinstance(event, VmLost | VmLeaving | VmBack):
             if event.vm not in self._vms:
                 raise invalid(f"no VM {event.vm} in the configuration", f"{where}: vm")
         elif isinstance(event, Cancel):
-            self._known(event.account, event.request, where)
+            self._check_submitted(event.account, event.request, where)
         else:
             self._check_expect(event, where)
 
@@ -226,7 +247,7 @@
                 f"{where}: request",
             )
 
-    def _known(self, account: str | None, request: str | None, where: str) -> None:
+    def _check_submitted(self, account: str | None, request: str | None, where: str) -> None:
         if account not in self._accounts:
             raise invalid(f"no account {account}", f"{where}: account")
         if (account, request) not in self._submitted:
@@ -244,7 +265,7 @@
             if given and name not in allowed:
                 raise invalid(f"{event.that} has no such field", f"{where}: {name}")
         if "request" in needed:
-            self._known(event.account, event.request, where)
+            self._check_submitted(event.account, event.request, where)
         elif event.account is not None:
             self._check_shape(event, where)
 
@@ -260,7 +281,7 @@
 
 
 def spec_of(event: Submit, sites: list[CellSite]) -> JobSpec:
-    """The job of a submission; the narrowest adjacency that holds it where none is stated.
+    """Return the job of a submission, by default with the narrowest adjacency that fits.
 
     :rtype: JobSpec
     """
