--- a/tests/test_second_run.py
+++ b/tests/test_second_run.py
@@ -53,62 +53,64 @@
 
 
 @dataclass
-class Trouble:
+class InjectedFaults:
     """Faults that the stand-ins do not have.
 
-    :param frozen: VMs that stand still, and what ends that: calls under way then are over their
+    :param paused: VMs that stand still, and what ends that: calls under way then are over their
         time, and what they would have done next is done.
     :param cut: pairs of a VM and a worker between which nothing passes.
     :param resets: workers that end each new call at once.
     :param on_start: told of each start before it leaves; ``True`` where its request gets lost.
     """
 
-    frozen: dict[str, asyncio.Event] = field(default_factory=dict)
+    paused: dict[str, asyncio.Event] = field(default_factory=dict)
     cut: set[tuple[str, str]] = field(default_factory=set)
     resets: set[str] = field(default_factory=set)
     on_start: Callable[[str, StartOrder], bool] | None = None
 
-    def freeze(self, vm: str) -> None:
+    def pause(self, vm: str) -> None:
         """Have a VM stand still."""
-        self.frozen[vm] = asyncio.Event()
+        self.paused[vm] = asyncio.Event()
 
-    def thaw(self, vm: str) -> None:
+    def resume(self, vm: str) -> None:
         """Let a VM go on."""
-        self.frozen.pop(vm).set()
+        self.paused.pop(vm).set()
 
-    async def thawed(self, vm: str) -> bool:
+    async def wait_while_paused(self, vm: str) -> bool:
         """Wait while a VM stands still; whether it did."""
-        event = self.frozen.get(vm)
+        event = self.paused.get(vm)
         if event is None:
             return False
         await event.wait()
         return True
 
 
-class TroubledOrders:
+class FaultyOrders:
     """One VM's way to one worker, through all of this trouble."""
 
-    def __init__(self, trouble: Trouble, vm: str, inner: FloorOrders) -> None:
-        self._trouble = trouble
+    def __init__(self, injected_faults: InjectedFaults, vm: str, inner: FloorOrders) -> None:
+        self._injected_faults = injected_faults
         self._vm = vm
         self._inner = inner
 
     async def start(self, order: StartOrder, timeout_s: float) -> StartReply:
         """Start a run."""
-        on_start = self._trouble.on_start
+        on_start = self._injected_faults.on_start
         if on_start is not None and on_start(self._vm, order):
-            if not await self._trouble.thawed(self._vm):
+            if not await self._injected_faults.wait_while_paused(self._vm):
                 await asyncio.sleep(timeout_s)
             raise WorkerUnreachable("lost")
-        return await self._through(timeout_s, lambda: self._inner.start(order, timeout_s))
+        return await self._call_with_faults(timeout_s, lambda: self._inner.start(order, timeout_s))
 
     async def stop(self, task: str, run: int, fence: int, timeout_s: float) -> None:
         """Stop a run."""
-        await self._through(timeout_s, lambda: self._inner.stop(task, run, fence, timeout_s))
+        await self._call_with_faults(
+            timeout_s, lambda: self._inner.stop(task, run, fence, timeout_s)
+        )
 
     async def pace(self, task: str, run: int, percent: int, fence: int, timeout_s: float) -> None:
         """Let a run work at a share of its speed."""
-        await self._through(
+        await self._call_with_faults(
             timeout_s, lambda: self._inner.pace(task, run, percent, fence, timeout_s)
         )
 
@@ -116,88 +118,88 @@
         self, fence: int, deadline_ms: int | None, seen: int, wait_s: float, timeout_s: float
     ) -> WorkerReport:
         """Renew the lease, acknowledge ends, and look."""
-        return await self._through(
+        return await self._call_with_faults(
             timeout_s, lambda: self._inner.hold(fence, deadline_ms, seen, wait_s, timeout_s)
         )
 
     def close(self) -> None:
         """Nothing is kept open."""
 
-    async def _through(self, timeout_s: float, call: Callable[[], Awaitable[T]]) -> T:
-        await self._trouble.thawed(self._vm)
+    async def _call_with_faults(self, timeout_s: float, call: Callable[[], Awaitable[T]]) -> T:
+        await self._injected_faults.wait_while_paused(self._vm)
         worker_id = self._inner.worker.worker_id
-        if worker_id in self._trouble.resets:
+        if worker_id in self._injected_faults.resets:
             raise WorkerUnreachable("reset")
-        if (self._vm, worker_id) in self._trouble.cut:
+        if (self._vm, worker_id) in self._injected_faults.cut:
             await asyncio.sleep(timeout_s)
             raise WorkerUnreachable("silence")
         answer = await call()
-        if await self._trouble.thawed(self._vm):
+        if await self._injected_faults.wait_while_paused(self._vm):
             raise WorkerUnreachable("over its time")
-        if (self._vm, worker_id) in self._trouble.cut:
+        if (self._vm, worker_id) in self._injected_faults.cut:
             await asyncio.sleep(timeout_s)
             raise WorkerUnreachable("the answer is lost")
         return answer
 
 
-class FreezingView(StoreView):
+class PausableStoreView(StoreView):
     """A VM's way to the store; the VM may stand still."""
 
-    trouble: Trouble
+    injected_faults: InjectedFaults
     vm: str = ""
 
     async def get(self, key: str) -> Item:
         """A key."""
-        return await self._through(lambda: StoreView.get(self, key))
+        return await self._call_with_faults(lambda: StoreView.get(self, key))
 
     async def list(self, prefix: str) -> Listing:
         """All keys under a prefix."""
-        return await self._through(lambda: StoreView.list(self, prefix))
+        return await self._call_with_faults(lambda: StoreView.list(self, prefix))
 
     async def watch(self, prefix: str, after: int, wait_s: float) -> Listing:
         """Changes after a revision."""
-        return await self._through(lambda: StoreView.watch(self, prefix, after, wait_s))
+        return await self._call_with_faults(lambda: StoreView.watch(self, prefix, after, wait_s))
 
     async def transact(self, transaction: Transaction) -> Committed | Conflict:
         """Make changes all together."""
         try:
-            return await self._through(lambda: StoreView.transact(self, transaction))
+            return await self._call_with_faults(lambda: StoreView.transact(self, transaction))
         except StoreUnavailable as error:
             raise WriteInDoubt(str(error)) from error
 
     async def grant_lease(self, ttl_s: float) -> tuple[int, float]:
         """A new lease."""
-        return await self._through(lambda: StoreView.grant_lease(self, ttl_s))
+        return await self._call_with_faults(lambda: StoreView.grant_lease(self, ttl_s))
 
     async def renew_lease(self, lease: int) -> None:
         """Renew a lease."""
-        await self._through(lambda: StoreView.renew_lease(self, lease))
+        await self._call_with_faults(lambda: StoreView.renew_lease(self, lease))
 
-    async def _through(self, call: Callable[[], Awaitable[T]]) -> T:
-        await self.trouble.thawed(self.vm)
+    async def _call_with_faults(self, call: Callable[[], Awaitable[T]]) -> T:
+        await self.injected_faults.wait_while_paused(self.vm)
         answer = await call()
-        if await self.trouble.thawed(self.vm):
+        if await self.injected_faults.wait_while_paused(self.vm):
             raise StoreUnavailable("over its time")
         return answer
 
 
-class TroubledCluster(PoolCluster):
+class FaultyCluster(PoolCluster):
     """A small deployment with more trouble than the stand-ins have."""
 
-    trouble: Trouble
+    injected_faults: InjectedFaults
 
-    def _orders(self, name: str, record: WorkerRecord) -> TroubledOrders:
+    def _orders(self, name: str, record: WorkerRecord) -> FaultyOrders:
         inner = PoolCluster._orders(self, name, record)
         assert isinstance(inner, FloorOrders)
-        return TroubledOrders(self.trouble, name, inner)
+        return FaultyOrders(self.injected_faults, name, inner)
 
     def others(self, vm: str) -> list[str]:
         """All VMs but one."""
         return [name for name in self.members if name != vm]
 
-    def cut_from_all_but(self, vm: str, worker: FloorWorker) -> None:
+    def isolate_except(self, vm: str, worker: FloorWorker) -> None:
         """No VM but one reaches a worker."""
-        self.trouble.cut |= {(name, worker.worker_id) for name in self.others(vm)}
+        self.injected_faults.cut |= {(name, worker.worker_id) for name in self.others(vm)}
 
     def worker_of(self, job_id: str) -> FloorWorker:
         """Where the latest run of a job began."""
@@ -210,21 +212,21 @@
 
     def play(
         self,
-        body: Callable[[TroubledCluster], Awaitable[None]],
+        body: Callable[[FaultyCluster], Awaitable[None]],
         *,
         workers: int = 2,
         stop_s: float = 0.5,
     ) -> None:
         async def main() -> None:
-            trouble = Trouble()
-            cluster = TroubledCluster(entries=3, racks=1, workers=workers)
+            injected_faults = InjectedFaults()
+            cluster = FaultyCluster(entries=3, racks=1, workers=workers)
             cluster.times.stop_s = stop_s
-            cluster.trouble = trouble
+            cluster.injected_faults = injected_faults
             numbers = iter(range(1, 100))
 
-            def view(state: object) -> FreezingView:
-                made = FreezingView(cluster.store)
-                made.trouble, made.vm = trouble, f"entry-{next(numbers)}"
+            def view(state: object) -> PausableStoreView:
+                made = PausableStoreView(cluster.store)
+                made.injected_faults, made.vm = injected_faults, f"entry-{next(numbers)}"
                 return made
 
             with unittest.mock.patch.object(cluster_module, "StoreView", view):
@@ -232,15 +234,15 @@
             try:
                 await body(cluster)
             finally:
-                for vm in list(trouble.frozen):
-                    trouble.thaw(vm)
+                for vm in list(injected_faults.paused):
+                    injected_faults.resume(vm)
                 await cluster.stop()
             self.assertEqual(cluster.floor.violations, [])
 
         run(main())
 
 
-class FrozenLeaderTest(SecondRunCase):
+class PausedLeaderTest(SecondRunCase):
     def test_a_leader_that_thaws_renews_nothing_that_its_successor_counts_as_over(self) -> None:
         """Nothing checked how old the term is when a lease is renewed; now the leader does.
 
@@ -252,18 +254,18 @@
         leader started the next one at 17 to 18 s.
         """
 
-        async def body(cluster: TroubledCluster) -> None:
+        async def body(cluster: FaultyCluster) -> None:
             await cluster.submit(A, job(1, work_s=90.0, accelerators=8))
             await cluster.until(lambda: cluster.floor.starts_of(A) == 1)
             await asyncio.sleep(5.0)
             old, worker = cluster.leader_name, cluster.worker_of(A)
-            cluster.cut_from_all_but(old, worker)
+            cluster.isolate_except(old, worker)
             clock = asyncio.get_running_loop()
             while worker.lease_until - clock.time() < 9.99:
                 await asyncio.sleep(0.002)
-            cluster.trouble.freeze(old)
+            cluster.injected_faults.pause(old)
             await asyncio.sleep(9.8)
-            cluster.trouble.thaw(old)
+            cluster.injected_faults.resume(old)
             await asyncio.sleep(15.0)
 
         self.play(body)
@@ -278,25 +280,25 @@
         fencing token, and the order brings a lease of 10 s from now.
         """
 
-        async def body(cluster: TroubledCluster) -> None:
+        async def body(cluster: FaultyCluster) -> None:
             old = cluster.leader_name
             worker = next(iter(cluster.floor.workers.values()))
-            cluster.cut_from_all_but(old, worker)
+            cluster.isolate_except(old, worker)
             sent: list[str] = []
 
             def lose_the_first(vm: str, order: StartOrder) -> bool:
                 sent.append(vm)
                 if len(sent) == 1:
-                    cluster.trouble.freeze(old)
+                    cluster.injected_faults.pause(old)
                 return len(sent) == 1
 
-            cluster.trouble.on_start = lose_the_first
+            cluster.injected_faults.on_start = lose_the_first
             await cluster.submit(A, job(1, work_s=90.0, accelerators=8), at=cluster.others(old)[0])
             await cluster.until(lambda: bool(sent))
             cluster.floor.add(worker.rack, worker.data_hall)
             await asyncio.sleep(25.0)
             self.assertEqual(cluster.floor.starts_of(A), 1)
-            cluster.trouble.thaw(old)
+            cluster.injected_faults.resume(old)
             await asyncio.sleep(3.0)
 
         self.play(body, workers=1)
@@ -315,7 +317,7 @@
         knows of no entry that went before.
         """
 
-        async def body(cluster: TroubledCluster) -> None:
+        async def body(cluster: FaultyCluster) -> None:
             for member in cluster.members.values():
                 member.view.faults.silent = True
             await asyncio.sleep(12.0)
@@ -325,7 +327,7 @@
             old = cluster.leader_name
             await cluster.submit(A, job(1, work_s=90.0, accelerators=8), at=old)
             await cluster.until(lambda: cluster.floor.starts_of(A) == 1)
-            cluster.cut_from_all_but(old, cluster.worker_of(A))
+            cluster.isolate_except(old, cluster.worker_of(A))
             cluster.member(old).view.faults.silent = True
             listed = [item.key for item in cluster.store.keys("saddlestack/members/")]
             self.assertIn(f"saddlestack/members/{old}", listed)
@@ -337,9 +339,9 @@
 
 
 class LeavingWorkerTest(SecondRunCase):
-    def leave(
+    def check_leaving_worker(
         self,
-        lost: Callable[[TroubledCluster, FloorWorker], None],
+        lost: Callable[[FaultyCluster, FloorWorker], None],
         record_lasts_s: float = LAPSE_HEARTBEATS * HEARTBEAT_S,
     ) -> None:
         """A worker that is late to leave, and cut off from the store, is not heard for a moment.
@@ -350,7 +352,7 @@
         :param record_lasts_s: from its notice on.
         """
 
-        async def body(cluster: TroubledCluster) -> None:
+        async def body(cluster: FaultyCluster) -> None:
             await cluster.submit(A, job(1, work_s=90.0, accelerators=8))
             await cluster.until(lambda: cluster.floor.starts_of(A) == 1)
             await asyncio.sleep(6.0)
@@ -362,8 +364,8 @@
             await asyncio.sleep(0.3)
             cluster.floor.lapse(worker)
             await asyncio.sleep(1.3)
-            cluster.trouble.resets.clear()
-            cluster.trouble.cut.clear()
+            cluster.injected_faults.resets.clear()
+            cluster.injected_faults.cut.clear()
             await asyncio.sleep(8.0)
 
         self.play(body)
@@ -380,18 +382,18 @@
         run counted as over at once and started elsewhere, while it went on.
         """
 
-        def lost(cluster: TroubledCluster, worker: FloorWorker) -> None:
-            cluster.trouble.resets.add(worker.worker_id)
+        def lost(cluster: FaultyCluster, worker: FloorWorker) -> None:
+            cluster.injected_faults.resets.add(worker.worker_id)
 
-        self.leave(lost)
+        self.check_leaving_worker(lost)
 
     def test_a_worker_out_of_reach_for_a_second_has_not_left(self) -> None:
         """The same where the path to it is lost for 1.5 s."""
 
-        def lost(cluster: TroubledCluster, worker: FloorWorker) -> None:
-            cluster.cut_from_all_but("", worker)
+        def lost(cluster: FaultyCluster, worker: FloorWorker) -> None:
+            cluster.isolate_except("", worker)
 
-        self.leave(lost)
+        self.check_leaving_worker(lost)
 
     def test_a_worker_that_removed_its_record_may_serve_on(self) -> None:
         """A worker's record tells where to find it, not that it has ended.
@@ -402,10 +404,10 @@
         one that has ended; what ran there is over with its lease.
         """
 
-        def lost(cluster: TroubledCluster, worker: FloorWorker) -> None:
-            cluster.cut_from_all_but("", worker)
+        def lost(cluster: FaultyCluster, worker: FloorWorker) -> None:
+            cluster.isolate_except("", worker)
 
-        self.leave(lost, record_lasts_s=NOTICE_S + 0.2)
+        self.check_leaving_worker(lost, record_lasts_s=NOTICE_S + 0.2)
 
 
 class SlowClockTest(SecondRunCase):
@@ -431,7 +433,7 @@
             longest = now + floor.times.hold_s / SLOW
             worker.lease_until = max(worker.lease_until, min(until, longest))
 
-        async def body(cluster: TroubledCluster) -> None:
+        async def body(cluster: FaultyCluster) -> None:
             await cluster.submit(B, job(1, accelerators=8))
             await cluster.until_state(B, JobState.COMPLETED)
             worker = cluster.worker_of(B)
@@ -460,7 +462,7 @@
         progress of these times: it runs them again.
         """
 
-        async def body(cluster: TroubledCluster) -> None:
+        async def body(cluster: FaultyCluster) -> None:
             once = job(1, work_s=0.2)
             request = JobRequest(
                 payload=once.payload,
--- a/tests/test_stale_beliefs.py
+++ b/tests/test_stale_beliefs.py
@@ -26,7 +26,7 @@
 from tests.malformed import encoded
 from tests.test_entries import EntryCase, other_address
 from tests.test_inherited import HOLD_S, INHERITED_S, A, B
-from tests.test_second_run import SLOW, SecondRunCase, TroubledCluster
+from tests.test_second_run import SLOW, FaultyCluster, SecondRunCase
 from tests.test_session import HOLD_S as SESSION_HOLD_S
 from tests.test_session import FakeOrders, Scene, SessionCase, SingleWorkerOwner
 
@@ -127,7 +127,7 @@
             longest = now + floor.times.hold_s / SLOW
             worker.lease_until = max(worker.lease_until, min(until, longest))
 
-        async def body(cluster: TroubledCluster) -> None:
+        async def body(cluster: FaultyCluster) -> None:
             await cluster.submit(B, job(1, accelerators=8))
             await cluster.until_state(B, JobState.COMPLETED)
             worker = cluster.worker_of(B)
@@ -288,14 +288,14 @@
         removed while the leader leads.
         """
 
-        async def body(cluster: TroubledCluster) -> None:
+        async def body(cluster: FaultyCluster) -> None:
             old = cluster.leader_name
             cluster.store.remove(f"saddlestack/members/{old}")
             await asyncio.sleep(13.0)
             self.assertEqual(cluster.leader_name, old)
             await cluster.submit(A, job(1, work_s=90.0, accelerators=8), at=old)
             await cluster.until(lambda: cluster.floor.starts_of(A) == 1)
-            cluster.cut_from_all_but(old, cluster.worker_of(A))
+            cluster.isolate_except(old, cluster.worker_of(A))
             cluster.member(old).view.faults.silent = True
             await asyncio.sleep(25.0)
 
