--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""From a job's id to its cause."""
+"""Tests of the command ``explain``."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
             files.append(file)
         return files
 
-    def test_lines_of_all_vms_in_order_with_what_happened_meanwhile(self) -> None:
+    def test_lines_of_all_vms_in_order_with_their_context(self) -> None:
         lines = related_lines(JOB, read(self.files()))
         self.assertEqual([line.time for line in lines], ["1", "2", "3", "4", "5", "6"])
 
@@ -69,8 +69,8 @@
         self.assertIn("refused", found[1])
         self.assertIn("ended lapsed", found[2])
 
-    def test_a_hall_that_was_evacuated_meanwhile_is_named(self) -> None:
-        told = [
+    def test_a_hall_that_was_evacuated_during_the_job_is_named(self) -> None:
+        entries = [
             ("0.1", "evacuation", "back-before", "begun"),
             ("0.2", "evacuation", "back-before", "taken_back"),
             ("0.5", "evacuation", "emptied", "begun"),
@@ -80,14 +80,14 @@
         ]
         lines = [
             LogLine(time=time, event=event, data_hall=hall, state=state, job=JOB * (not hall))
-            for time, event, hall, state in told
+            for time, event, hall, state in entries
         ]
         found = causes(JOB, related_lines(JOB, lines))
         self.assertEqual(len(found), 2)
         self.assertIn("emptied was evacuated at 0.5", found[0])
         self.assertIn("emptied was back at 4", found[1])
 
-    def test_a_wait_for_a_lease_and_the_proof_of_its_end_are_told(self) -> None:
+    def test_a_lease_wait_and_the_proof_of_its_end_are_described(self) -> None:
         task = f"{JOB}.0.0.1"
         lines = [
             LogLine(time="1", event="start", task=task, run=1, worker="w1"),
@@ -99,14 +99,14 @@
             LogLine(time="6", event="ended", task=task, run=2, worker="w3", how="done"),
             LogLine(time="7", event="lease_wait", worker="w3", left_s=10.7),
         ]
-        told = related_lines(JOB, lines)
-        self.assertEqual([line.time for line in told], ["1", "2", "3", "4", "6"])
-        waits, over = causes(JOB, told)
+        entries = related_lines(JOB, lines)
+        self.assertEqual([line.time for line in entries], ["1", "2", "3", "4", "6"])
+        waits, over = causes(JOB, entries)
         self.assertIn("w1 did not answer at 2", waits)
         self.assertIn("10.7 s at most", waits)
         self.assertIn("run 1 counted as over on w1: replaced", over)
 
-    def test_what_a_job_waited_for_is_told_with_its_end(self) -> None:
+    def test_a_wait_is_described_with_its_reason_and_end(self) -> None:
         reason = WaitReason.QUARANTINE
         waits = {
             "job": JOB,
@@ -128,18 +128,18 @@
         self.assertIn("for 3.0 s beside a free pool", stood)
         self.assertTrue(stood.endswith(reason.ends))
 
-    def test_a_leader_that_stood_still_itself_is_told_of(self) -> None:
+    def test_a_late_check_of_the_leader_is_described(self) -> None:
         for late_s in (0.4, 6.3):
             line = LogLine(event="stands_still", job=JOB, reason="reserved", late_s=late_s)
             [stood] = causes(JOB, related_lines(JOB, [line]))
             self.assertEqual("the leader itself had come to nothing" in stood, late_s > 1.0)
 
-    def test_a_reason_of_another_release_is_told_as_it_is(self) -> None:
+    def test_an_unknown_reason_of_another_release_is_printed_as_it_is(self) -> None:
         lines = [LogLine(time="2", event="waits", job=JOB, reason="tides", ends="the ebb")]
         [waited] = causes(JOB, related_lines(JOB, lines))
         self.assertIn("does not know (tides; 0 tasks); ends with the ebb", waited)
 
-    def test_a_line_as_the_leader_writes_it_is_read(self) -> None:
+    def test_a_line_in_the_format_of_the_leader_is_parsed(self) -> None:
         row = {
             "event": "stands_still",
             "job": JOB,
--- a/tests/test_replay.py
+++ b/tests/test_replay.py
@@ -1,3 +1,5 @@
+"""Tests of replays of traces."""
+
 import json
 import tempfile
 import unittest
@@ -53,7 +55,7 @@
 
 
 class ContractTest(ReplayCase):
-    def test_stated_outcomes_that_hold_are_exit_0(self) -> None:
+    def test_exit_code_0_if_all_expected_outcomes_hold(self) -> None:
         lines = [
             submit(0, "a", 32, adjacent="hall", checkpoint=True),
             submit(5, "big", 16, account="depots", **{"class": "urgent"}, adjacent="rack"),
@@ -74,7 +76,7 @@
         self.assertNotIn("decisions_per_s", body)
         self.assertEqual(body["start_delay_s"]["urgent"], {"mean": 0.0, "p50": 0.0, "p99": 0.0})
 
-    def test_an_outcome_that_fails_is_exit_1_and_named(self) -> None:
+    def test_exit_code_1_and_the_name_of_a_failed_outcome(self) -> None:
         lines = [submit(0, "a"), expect(50, "finished", account="replays", request="a")]
         result = self.replay(lines, "--json")
         self.assertEqual(result.exit_code, 1)
@@ -91,7 +93,7 @@
         other = self.replay(lines, "--json", "--stable", config=config)
         self.assertEqual(one.output, other.output)
 
-    def test_unusable_input_names_file_line_and_field(self) -> None:
+    def test_invalid_input_names_file_line_and_field(self) -> None:
         good = submit(0, "a")
         for lines, place in (
             ([good, '{"t": 1, "event": "submit", "colour": "red"}'], "t.jsonl:2"),
@@ -113,7 +115,7 @@
                 self.assertEqual(result.exit_code, 2, result.output)
                 self.assertIn(place, result.output)
 
-    def test_an_unusable_configuration_names_its_key(self) -> None:
+    def test_an_invalid_configuration_names_its_key(self) -> None:
         for config, place in (
             (CONFIG.replace('"workers": 2', '"workers": 0', 1), "racks[0].workers"),
             (CONFIG.replace('"weights"', '"wights"'), "wights"),
@@ -172,7 +174,7 @@
         ]
         self.assertEqual(self.replay(lines).exit_code, 0)
 
-    def test_baselines_start_gangs_whole_and_break_what_only_guarantees_give(self) -> None:
+    def test_baselines_start_whole_gangs_but_do_not_keep_guarantees(self) -> None:
         lines = [
             submit(0, "fill", 32, adjacent="hall"),
             submit(1, "big", 16, account="depots", adjacent="rack"),
@@ -196,7 +198,7 @@
 
 
 class TracesTest(unittest.TestCase):
-    def test_every_made_trace_holds_and_a_baseline_does_not(self) -> None:
+    def test_the_outcomes_of_every_generated_trace_hold(self) -> None:
         for name in RECIPES:
             with self.subTest(trace=name):
                 events = make(name, 2, 0.25)
@@ -206,7 +208,7 @@
                 self.assertEqual(result.expectations.failed, [])
                 self.assertGreater(result.expectations.held, 50)
 
-    def test_the_stated_outcomes_fail_under_a_wrong_policy(self) -> None:
+    def test_the_expected_outcomes_fail_under_a_baseline(self) -> None:
         failed = 0
         for name in RECIPES:
             trace = Trace(list(enumerate(make(name, 1, 1.0), 1)))
--- a/tests/test_restarted.py
+++ b/tests/test_restarted.py
@@ -1,18 +1,16 @@
-"""Workers that start again under the id that they had, knowing nothing of before.
-
-Seen: a gang that had ended as done was started again, on the same worker, three times; and the
-worker had been told that it may forget those ends. How: the worker had told its leader of nine ends
-and started again under its id. Its ends were counted from 1 again. The leader, for which it was the
-same worker, passed over all ends up to number 9 as heard long ago, told the worker to forget them,
-and took runs that a report lists neither as running nor as ended for such as never began. Cause:
-what is kept of a worker outlived the life that it was kept of. Proved by the leader's log
-(``run_absent`` right after ends that only the platform saw, on workers that had started again and
-on no others) and by the first test here, which is clean where the worker does not start again.
-
-Seen on another deployment, on the same day of workers that start again: accepted jobs whose second
-step did not begin at the end of a day though most of the workers stood idle. The platform had seen
-all of their first step end; the leader had passed over some of those ends and ran the tasks again.
-The second test here fails as that record tells.
+"""Workers that restart under the same id and have lost their state.
+
+The failure: a gang that had ended as done was started again on the same worker, three times. The
+worker had reported nine ends and then restarted under its id, so that it counted its ends from 1
+again. The leader took it for the same incarnation. It skipped all ends up to number 9 as already
+received, acknowledged them to the worker, and took runs that a report lists neither as running nor
+as ended as never begun. The cause was state of a worker that was kept beyond its incarnation. The
+leader's log showed it (``run_absent`` right after ends that only the platform saw, only on workers
+that had restarted), and the first test here, which passes if the worker does not restart.
+
+The same fault left the second step of accepted jobs unstarted at the end of a day although most
+workers were idle: the leader had skipped some ends of the first step and ran those tasks again. The
+second test guards against that.
 """
 
 from __future__ import annotations
@@ -31,20 +29,20 @@
 FIRST = "00000000000000aa"
 SECOND = "00000000000000bb"
 ENDS_BEFORE = 8
-"""More than the life after it has."""
+"""The number of ends of the first incarnation; more than the next one has."""
 STEP_WORK_S = 2.5
 SOON_S = 0.5
-"""What may follow from an end has begun by then."""
+"""Time within which the work that follows an end has started."""
 LATE_S = 5.0
-"""So late a worker carries an order out."""
-HEARD_S = 2.0
-"""Within this a leader has heard of a worker's record."""
+"""The delay with which a worker carries out an order."""
+RECORD_DELAY_S = 2.0
+"""Time within which a leader has received a worker's record."""
 
 
 class RestartCase(PoolTest):
-    """Workers that may tell when they were born, and start again under their id."""
+    """Workers that may report their start time and restart under the same id."""
 
-    def played(
+    def play_one_rack(
         self,
         body: Callable[[PoolCluster], Awaitable[None]],
         *,
@@ -55,24 +53,24 @@
         """Run a coroutine against a small deployment of one rack."""
         self.play(body, entries=entries, racks=1, workers=workers, births=births)
 
-    async def late_start(self, cluster: PoolCluster) -> FloorWorker:
-        """A worker that has left the start of a task unanswered, and will carry it out late."""
-        await asyncio.sleep(HEARD_S)
+    async def unanswered_start(self, cluster: PoolCluster) -> FloorWorker:
+        """Return a worker that left the start of a task unanswered and will carry it out late."""
+        await asyncio.sleep(RECORD_DELAY_S)
         for worker in list(cluster.floor.workers.values()):
             worker.late_orders, worker.late_s = 1, LATE_S
         await cluster.submit(SECOND, job(1, work_s=2 * LATE_S, accelerators=8))
         await asyncio.sleep(0.2)
         return next(each for each in cluster.floor.workers.values() if not each.late_orders)
 
-    async def rested(self, cluster: PoolCluster) -> FloorWorker:
-        """A worker that has told of some ends, and has nothing to do."""
+    async def idle_worker(self, cluster: PoolCluster) -> FloorWorker:
+        """Return an idle worker that has reported some ends."""
         await cluster.submit(FIRST, job(ENDS_BEFORE, work_s=0.5))
         await cluster.until_state(FIRST, JobState.COMPLETED)
-        await asyncio.sleep(HEARD_S)
+        await asyncio.sleep(RECORD_DELAY_S)
         return cluster.floor.present(cluster.floor.history[0].worker)
 
-    async def at_work(self, cluster: PoolCluster, *, work_s: float = 3.0) -> FloorWorker:
-        """The worker of a task that has begun."""
+    async def busy_worker(self, cluster: PoolCluster, *, work_s: float = 3.0) -> FloorWorker:
+        """Return the worker of a task that has begun."""
         await cluster.submit(SECOND, job(1, work_s=work_s))
         await cluster.until(lambda: cluster.floor.starts_of(SECOND) == 1)
         await asyncio.sleep(0.2)
@@ -80,22 +78,22 @@
 
 
 class EndsTest(RestartCase):
-    def test_the_ends_of_another_life_are_heard(self) -> None:
+    def test_ends_of_the_next_incarnation_are_recorded(self) -> None:
         async def body(cluster: PoolCluster) -> None:
-            worker = await self.rested(cluster)
+            worker = await self.idle_worker(cluster)
             cluster.floor.restart(worker)
-            await asyncio.sleep(HEARD_S)
+            await asyncio.sleep(RECORD_DELAY_S)
             await cluster.submit(SECOND, job(4, work_s=2.5, gang=True))
             await cluster.until_state(SECOND, JobState.COMPLETED)
             self.assertEqual(cluster.floor.starts_of(SECOND), 4)
 
-        self.played(body)
+        self.play_one_rack(body)
 
-    def test_a_step_begins_once_the_one_before_has_ended_on_another_life(self) -> None:
+    def test_a_step_begins_once_the_previous_one_has_ended_on_the_next_incarnation(self) -> None:
         async def body(cluster: PoolCluster) -> None:
-            worker = await self.rested(cluster)
+            worker = await self.idle_worker(cluster)
             cluster.floor.restart(worker)
-            await asyncio.sleep(HEARD_S)
+            await asyncio.sleep(RECORD_DELAY_S)
             first = job(4, work_s=STEP_WORK_S)
             second = msgspec.structs.replace(first.steps[0], after=(0,))
             steps = (first.steps[0], second)
@@ -107,22 +105,22 @@
             again = [run for run in cluster.floor.history if run.number > 1]
             self.assertEqual([str(run.task) for run in again], [])
 
-        self.played(body)
+        self.play_one_rack(body)
 
-    def test_a_task_is_done_once_where_no_worker_starts_again(self) -> None:
+    def test_a_task_runs_once_if_no_worker_restarts(self) -> None:
         async def body(cluster: PoolCluster) -> None:
-            await self.rested(cluster)
+            await self.idle_worker(cluster)
             await cluster.submit(SECOND, job(4, work_s=2.5, gang=True))
             await cluster.until_state(SECOND, JobState.COMPLETED)
             self.assertEqual(cluster.floor.starts_of(SECOND), 4)
 
-        self.played(body)
+        self.play_one_rack(body)
 
     def test_a_start_right_after_the_restart_is_counted_once(self) -> None:
-        """Nobody has heard of the new life yet when it is given work."""
+        """The new incarnation gets work before any leader has received its record."""
 
         async def body(cluster: PoolCluster) -> None:
-            worker = await self.rested(cluster)
+            worker = await self.idle_worker(cluster)
             cluster.floor.restart(worker, recorded=False)
             await cluster.submit(SECOND, job(4, work_s=0.5))
             await asyncio.sleep(1.0)
@@ -130,32 +128,32 @@
             await cluster.until_state(SECOND, JobState.COMPLETED)
             self.assertEqual(cluster.floor.ends_of(SECOND, EndKind.DONE), 4)
 
-        self.played(body)
+        self.play_one_rack(body)
 
-    def test_a_life_that_lives_on_is_heard_whatever_its_record_tells(self) -> None:
-        """Another writer names a birth that never was, and the worker writes its own again."""
+    def test_ends_of_a_live_incarnation_count_whatever_its_record_says(self) -> None:
+        """Another writer records a wrong start time, and the worker writes its own again."""
 
         async def body(cluster: PoolCluster) -> None:
-            worker = await self.at_work(cluster)
+            worker = await self.busy_worker(cluster)
             born, worker.born = worker.born, worker.born + 1
             cluster.floor.record(worker)
             worker.born = born
-            await asyncio.sleep(HEARD_S)
+            await asyncio.sleep(RECORD_DELAY_S)
             cluster.floor.record(worker)
             await cluster.until_state(SECOND, JobState.COMPLETED)
             self.assertEqual(cluster.floor.starts_of(SECOND), 1)
 
-        self.played(body)
+        self.play_one_rack(body)
 
 
 class ForeignRecordTest(RestartCase):
-    """Another writer changes what a worker's record tells of its birth; the worker runs on."""
+    """Another writer changes the start time in a worker's record; the worker keeps running."""
 
-    def at_work_through(self, *, births: bool, born: int) -> None:
-        """Work goes on, and more is done, through a record that tells of another birth."""
+    def check_work_with_record(self, *, births: bool, born: int) -> None:
+        """Old and new work completes although a record shows another start time."""
 
         async def body(cluster: PoolCluster) -> None:
-            worker = await self.at_work(cluster, work_s=4.0)
+            worker = await self.busy_worker(cluster, work_s=4.0)
             true, worker.born = worker.born, born
             cluster.floor.record(worker)
             worker.born = true
@@ -167,22 +165,23 @@
             self.assertEqual(cluster.floor.starts_of(SECOND), 1)
             self.assertEqual(cluster.floor.starts_of(FIRST), 3)
 
-        self.played(body, births=births)
+        self.play_one_rack(body, births=births)
 
-    def test_a_birth_where_the_worker_tells_none(self) -> None:
-        self.at_work_through(births=False, born=1_700)
+    def test_a_start_time_where_the_worker_reports_none(self) -> None:
+        self.check_work_with_record(births=False, born=1_700)
 
-    def test_no_birth_where_the_worker_tells_one(self) -> None:
-        self.at_work_through(births=True, born=0)
+    def test_no_start_time_where_the_worker_reports_one(self) -> None:
+        self.check_work_with_record(births=True, born=0)
 
-    def test_a_birth_that_a_new_leader_reads_where_the_worker_tells_none(self) -> None:
-        """Seen in a soak: its work counted as the false life's, and its own ends as nobody's.
+    def test_a_start_time_that_a_new_leader_reads_where_the_worker_reports_none(self) -> None:
+        """Work of the worker must not count as that of the incarnation in the false record.
 
-        The leader of then acknowledged them without a record, and the next one ran the work again.
+        In a soak test it did, and the worker's own ends matched no run. The leader acknowledged
+        them without a record, and the next leader ran the work again.
         """
 
         async def body(cluster: PoolCluster) -> None:
-            worker = await self.at_work(cluster, work_s=3.0)
+            worker = await self.busy_worker(cluster, work_s=3.0)
             worker.born = 1_700
             cluster.floor.record(worker)
             worker.born = 0
@@ -190,97 +189,97 @@
             await cluster.until(lambda: cluster.leader is not None)
             await asyncio.sleep(0.5)
             cluster.floor.record(worker)
-            await asyncio.sleep(HEARD_S)
+            await asyncio.sleep(RECORD_DELAY_S)
             await cluster.kill(cluster.leader_name)
             await cluster.until(lambda: cluster.leader is not None)
             await cluster.until_state(SECOND, JobState.COMPLETED)
             self.assertEqual(cluster.floor.starts_of(SECOND), 1)
 
-        self.played(body, entries=4, births=False)
+        self.play_one_rack(body, entries=4, births=False)
 
-    def test_another_birth(self) -> None:
-        self.at_work_through(births=True, born=1_700)
+    def test_another_start_time(self) -> None:
+        self.check_work_with_record(births=True, born=1_700)
 
 
 class WorkTest(RestartCase):
-    def test_what_a_life_ran_begins_again_once(self) -> None:
+    def test_runs_of_an_ended_incarnation_restart_once(self) -> None:
         async def body(cluster: PoolCluster) -> None:
-            worker = await self.at_work(cluster)
+            worker = await self.busy_worker(cluster)
             cluster.floor.restart(worker)
             await cluster.until_state(SECOND, JobState.COMPLETED)
             self.assertEqual(cluster.floor.starts_of(SECOND), 2)
 
-        self.played(body)
+        self.play_one_rack(body)
 
-    def test_it_begins_again_once_where_the_worker_restarts_again_and_again(self) -> None:
+    def test_runs_end_as_done_once_if_the_worker_restarts_repeatedly(self) -> None:
         async def body(cluster: PoolCluster) -> None:
-            await self.rested(cluster)
-            worker = await self.at_work(cluster)
+            await self.idle_worker(cluster)
+            worker = await self.busy_worker(cluster)
             for _ in range(3):
                 worker = cluster.floor.restart(worker)
                 await asyncio.sleep(1.3)
             await cluster.until_state(SECOND, JobState.COMPLETED)
             self.assertEqual(cluster.floor.ends_of(SECOND, EndKind.DONE), 1)
 
-        self.played(body)
+        self.play_one_rack(body)
 
-    def test_an_order_that_one_life_left_unanswered_is_refused_by_the_next(self) -> None:
-        """The task is at work elsewhere by the time that the worker would carry the order out."""
+    def test_an_unanswered_order_to_one_incarnation_is_refused_by_the_next(self) -> None:
+        """The task already runs elsewhere when the worker would carry out the order."""
 
         async def body(cluster: PoolCluster) -> None:
-            late = await self.late_start(cluster)
+            late = await self.unanswered_start(cluster)
             cluster.floor.restart(late)
             await cluster.until(lambda: cluster.floor.starts_of(SECOND) == 1)
             await cluster.until_state(SECOND, JobState.COMPLETED)
             self.assertEqual(cluster.floor.starts_of(SECOND), 1)
 
-        self.played(body, workers=2)
+        self.play_one_rack(body, workers=2)
 
-    def test_an_order_of_an_earlier_leader_is_refused_by_the_next_life(self) -> None:
+    def test_an_order_of_an_earlier_leader_is_refused_by_the_next_incarnation(self) -> None:
         async def body(cluster: PoolCluster) -> None:
-            late = await self.late_start(cluster)
+            late = await self.unanswered_start(cluster)
             await cluster.kill(cluster.leader_name)
             cluster.floor.lapse(late)
-            life = cluster.floor.restart(late, recorded=False)
+            incarnation = cluster.floor.restart(late, recorded=False)
             for worker in list(cluster.floor.workers.values()):
                 worker.late_orders = 0
             await cluster.until(lambda: cluster.floor.starts_of(SECOND) == 1)
-            cluster.floor.record(life)
+            cluster.floor.record(incarnation)
             await cluster.until_state(SECOND, JobState.COMPLETED)
             self.assertEqual(cluster.floor.starts_of(SECOND), 1)
 
-        self.played(body, workers=2, entries=3)
+        self.play_one_rack(body, workers=2, entries=3)
 
-    def test_a_record_that_was_gone_meanwhile_is_another_lifes(self) -> None:
+    def test_a_record_that_was_gone_belongs_to_another_incarnation(self) -> None:
         async def body(cluster: PoolCluster) -> None:
-            late = await self.late_start(cluster)
+            late = await self.unanswered_start(cluster)
             cluster.floor.lapse(late)
-            life = cluster.floor.restart(late, recorded=False)
-            await asyncio.sleep(HEARD_S)
-            cluster.floor.record(life)
+            incarnation = cluster.floor.restart(late, recorded=False)
+            await asyncio.sleep(RECORD_DELAY_S)
+            cluster.floor.record(incarnation)
             await cluster.until(lambda: cluster.floor.starts_of(SECOND) == 1)
             await cluster.until_state(SECOND, JobState.COMPLETED)
             self.assertEqual(cluster.floor.starts_of(SECOND), 1)
 
-        self.played(body, workers=2)
+        self.play_one_rack(body, workers=2)
 
-    def test_a_new_leader_knows_which_life_was_given_the_work(self) -> None:
+    def test_a_new_leader_knows_which_incarnation_got_the_work(self) -> None:
         async def body(cluster: PoolCluster) -> None:
-            await self.rested(cluster)
-            worker = await self.at_work(cluster)
+            await self.idle_worker(cluster)
+            worker = await self.busy_worker(cluster)
             await cluster.kill(cluster.leader_name)
             cluster.floor.restart(worker)
             await cluster.until(lambda: cluster.leader is not None)
             await cluster.until_state(SECOND, JobState.COMPLETED)
             self.assertEqual(cluster.floor.starts_of(SECOND), 2)
 
-        self.played(body, entries=3)
+        self.play_one_rack(body, entries=3)
 
-    def test_a_life_that_nobody_hears_of_again_holds_its_work_until_the_lease(self) -> None:
-        """The worker is cut off; a record names another life, and only its own word would count."""
+    def test_an_unreachable_incarnation_holds_its_work_until_the_lease_expires(self) -> None:
+        """A record names another incarnation, but only that one's own answer would prove it."""
 
         async def body(cluster: PoolCluster) -> None:
-            worker = await self.at_work(cluster, work_s=60.0)
+            worker = await self.busy_worker(cluster, work_s=60.0)
             worker.unreachable = True
             born, worker.born = worker.born, worker.born + 1
             cluster.floor.record(worker)
@@ -290,4 +289,4 @@
             self.assertEqual(cluster.floor.starts_of(SECOND), 1)
             await cluster.until(lambda: cluster.floor.starts_of(SECOND) == 2)
 
-        self.played(body)
+        self.play_one_rack(body)
--- a/tests/test_second_run.py
+++ b/tests/test_second_run.py
@@ -1,6 +1,7 @@
-"""Ways in which a task could run twice at once: a leader takes a run for over that goes on.
+"""Faults by which a task could run twice at once: a leader counts a run as over that continues.
 
-The floor tells: a start of a task that runs on another worker that is up is a broken promise.
+The simulated floor detects this: it is a violation to start a task that still runs on another
+worker that is up.
 """
 
 from __future__ import annotations
@@ -47,20 +48,20 @@
 B = "00000000000000bb"
 NOTICE_S = 2.0
 LAPSE_HEARTBEATS = 3.0
-"""A worker's record lapses so many of its heartbeats after it was last written."""
+"""A worker's record expires this many of its heartbeats after it was last written."""
 SLOW = 0.98
-"""Workers' clocks may run 2 % slow."""
+"""The rate of a worker's clock, which may run 2 % slow."""
 
 
 @dataclass
 class InjectedFaults:
-    """Faults that the stand-ins do not have.
+    """Faults that the stand-ins do not support.
 
-    :param paused: VMs that stand still, and what ends that: calls under way then are over their
-        time, and what they would have done next is done.
-    :param cut: pairs of a VM and a worker between which nothing passes.
-    :param resets: workers that end each new call at once.
-    :param on_start: told of each start before it leaves; ``True`` where its request gets lost.
+    :param paused: paused VMs, each with the event that resumes it. Calls that were under way then
+        time out, and the VM continues with what follows them.
+    :param cut: pairs of a VM and a worker that can't reach each other.
+    :param resets: workers that reset each new call at once.
+    :param on_start: called before each start is sent; ``True`` if the request is to be lost.
     """
 
     paused: dict[str, asyncio.Event] = field(default_factory=dict)
@@ -69,15 +70,15 @@
     on_start: Callable[[str, StartOrder], bool] | None = None
 
     def pause(self, vm: str) -> None:
-        """Have a VM stand still."""
+        """Pause a VM."""
         self.paused[vm] = asyncio.Event()
 
     def resume(self, vm: str) -> None:
-        """Let a VM go on."""
+        """Resume a VM."""
         self.paused.pop(vm).set()
 
     async def wait_while_paused(self, vm: str) -> bool:
-        """Wait while a VM stands still; whether it did."""
+        """Wait while a VM is paused; whether it was."""
         event = self.paused.get(vm)
         if event is None:
             return False
@@ -86,7 +87,7 @@
 
 
 class FaultyOrders:
-    """One VM's way to one worker, through all of this trouble."""
+    """Calls from one VM to one worker, with injected faults."""
 
     def __init__(self, injected_faults: InjectedFaults, vm: str, inner: FloorOrders) -> None:
         self._injected_faults = injected_faults
@@ -109,7 +110,7 @@
         )
 
     async def pace(self, task: str, run: int, percent: int, fence: int, timeout_s: float) -> None:
-        """Let a run work at a share of its speed."""
+        """Set the speed of a run in percent."""
         await self._call_with_faults(
             timeout_s, lambda: self._inner.pace(task, run, percent, fence, timeout_s)
         )
@@ -117,13 +118,13 @@
     async def hold(
         self, fence: int, deadline_ms: int | None, seen: int, wait_s: float, timeout_s: float
     ) -> WorkerReport:
-        """Renew the lease, acknowledge ends, and look."""
+        """Renew the lease, acknowledge ends and poll the worker."""
         return await self._call_with_faults(
             timeout_s, lambda: self._inner.hold(fence, deadline_ms, seen, wait_s, timeout_s)
         )
 
     def close(self) -> None:
-        """Nothing is kept open."""
+        """Do nothing, since no connection is kept."""
 
     async def _call_with_faults(self, timeout_s: float, call: Callable[[], Awaitable[T]]) -> T:
         await self._injected_faults.wait_while_paused(self._vm)
@@ -132,10 +133,10 @@
             raise WorkerUnreachable("reset")
         if (self._vm, worker_id) in self._injected_faults.cut:
             await asyncio.sleep(timeout_s)
-            raise WorkerUnreachable("silence")
+            raise WorkerUnreachable("no answer")
         answer = await call()
         if await self._injected_faults.wait_while_paused(self._vm):
-            raise WorkerUnreachable("over its time")
+            raise WorkerUnreachable("timed out")
         if (self._vm, worker_id) in self._injected_faults.cut:
             await asyncio.sleep(timeout_s)
             raise WorkerUnreachable("the answer is lost")
@@ -143,32 +144,32 @@
 
 
 class PausableStoreView(StoreView):
-    """A VM's way to the store; the VM may stand still."""
+    """A VM's view of the store; the VM may be paused."""
 
     injected_faults: InjectedFaults
     vm: str = ""
 
     async def get(self, key: str) -> Item:
-        """A key."""
+        """Read a key."""
         return await self._call_with_faults(lambda: StoreView.get(self, key))
 
     async def list(self, prefix: str) -> Listing:
-        """All keys under a prefix."""
+        """List all keys under a prefix."""
         return await self._call_with_faults(lambda: StoreView.list(self, prefix))
 
     async def watch(self, prefix: str, after: int, wait_s: float) -> Listing:
-        """Changes after a revision."""
+        """Wait for changes after a revision."""
         return await self._call_with_faults(lambda: StoreView.watch(self, prefix, after, wait_s))
 
     async def transact(self, transaction: Transaction) -> Committed | Conflict:
-        """Make changes all together."""
+        """Commit a transaction."""
         try:
             return await self._call_with_faults(lambda: StoreView.transact(self, transaction))
         except StoreUnavailable as error:
             raise WriteInDoubt(str(error)) from error
 
     async def grant_lease(self, ttl_s: float) -> tuple[int, float]:
-        """A new lease."""
+        """Grant a new lease."""
         return await self._call_with_faults(lambda: StoreView.grant_lease(self, ttl_s))
 
     async def renew_lease(self, lease: int) -> None:
@@ -179,12 +180,12 @@
         await self.injected_faults.wait_while_paused(self.vm)
         answer = await call()
         if await self.injected_faults.wait_while_paused(self.vm):
-            raise StoreUnavailable("over its time")
+            raise StoreUnavailable("timed out")
         return answer
 
 
 class FaultyCluster(PoolCluster):
-    """A small deployment with more trouble than the stand-ins have."""
+    """A small deployment with faults that the stand-ins do not support."""
 
     injected_faults: InjectedFaults
 
@@ -194,21 +195,21 @@
         return FaultyOrders(self.injected_faults, name, inner)
 
     def others(self, vm: str) -> list[str]:
-        """All VMs but one."""
+        """Return all VMs but one."""
         return [name for name in self.members if name != vm]
 
     def isolate_except(self, vm: str, worker: FloorWorker) -> None:
-        """No VM but one reaches a worker."""
+        """Cut a worker off from all VMs but one."""
         self.injected_faults.cut |= {(name, worker.worker_id) for name in self.others(vm)}
 
     def worker_of(self, job_id: str) -> FloorWorker:
-        """Where the latest run of a job began."""
+        """Return the worker on which the latest run of a job began."""
         runs = [each for each in self.floor.history if each.task.job_id == job_id]
         return self.floor.workers[runs[-1].worker]
 
 
 class SecondRunCase(unittest.TestCase):
-    """Plays a small deployment through trouble; no task may run twice at once."""
+    """Runs a small deployment with faults; no task may run twice at once."""
 
     def play(
         self,
@@ -243,15 +244,15 @@
 
 
 class PausedLeaderTest(SecondRunCase):
-    def test_a_leader_that_thaws_renews_nothing_that_its_successor_counts_as_over(self) -> None:
-        """Nothing checked how old the term is when a lease is renewed; now the leader does.
+    def test_a_resumed_leader_renews_no_lease_that_its_successor_counts_as_over(self) -> None:
+        """A leader checks the age of its term before it renews a worker's lease.
 
-        One worker is reached by the leader alone. The leader renews its lease and stands still for
-        9.8 s. The others elect a new one after 1 s, which does not reach the worker and counts
+        One worker is reachable by the leader alone. The leader renews its lease and is paused for
+        9.8 s. The others elect a new leader after 1 s. It does not reach the worker and waits for
         1 s, the 4.5 s for which a leader without the store renews, and the longest lease: 16.2 s.
-        The old leader goes on before the worker's lease of 10 s is over, and renews it within 3 ms,
-        sooner than the store tells that its term is over. The run then lasted until 19.8 s, the new
-        leader started the next one at 17 to 18 s.
+        The old leader resumes before the worker's lease of 10 s is over and renews it within 3 ms,
+        before it learns from the store that its term is over. Without the check the run lasted
+        until 19.8 s, and the new leader started the next one at 17 to 18 s.
         """
 
         async def body(cluster: FaultyCluster) -> None:
@@ -270,14 +271,14 @@
 
         self.play(body)
 
-    def test_a_leader_that_thaws_starts_nothing_that_its_successor_counts_as_over(self) -> None:
-        """Nothing checked how old the term is when a start is sent again; now the leader does.
+    def test_a_resumed_leader_starts_no_run_that_its_successor_counts_as_over(self) -> None:
+        """A leader checks the age of its term before it sends a start again.
 
-        One worker is reached by the leader alone. A start is in the store, its first order gets
-        lost, and the leader stands still for 25 s. The next leader does not reach the worker,
-        counts every lease as over after 17 s and starts the task elsewhere. The old one goes on,
-        finds the order over its time and sends it again, at once; the worker has seen no later
-        fencing token, and the order brings a lease of 10 s from now.
+        One worker is reachable by the leader alone. A start is in the store, its first order is
+        lost, and the leader is paused for 25 s. The next leader does not reach the worker, counts
+        every lease as over after 17 s and starts the task elsewhere. The old leader resumes, finds
+        that the order timed out and, without the check, sends it again at once. The worker has seen
+        no later fencing token, and the order brings a lease of 10 s from then on.
         """
 
         async def body(cluster: FaultyCluster) -> None:
@@ -306,15 +307,15 @@
 
 class UnlistedLeaderTest(SecondRunCase):
     def test_a_leader_that_is_not_listed_counts_as_one_that_may_renew(self) -> None:
-        """Only VMs that are listed now are asked whether they renew.
-
-        The store was silent for 12 s and its leases ran out, those of the members' entries among
-        them. Once it was back somebody led within 0.2 s; an entry was written anew only when its VM
-        next renewed it, up to 3 s later. Before that the leader started a task on a worker which
-        only it reached, and was cut off from the store. It renewed for 4.5 s after its lease; the
-        next leader asked all VMs that it knew, heard that nobody renewed, and counted one lease
-        from then. Now a VM leads only once it is listed. The next leader may have just started: it
-        knows of no entry that went before.
+        """A VM leads only once it is listed, since only listed VMs are asked whether they renew.
+
+        The store is unresponsive for 12 s and its leases expire, including those of the members'
+        records. Once it is back, a VM leads within 0.2 s. A member's record is written again only
+        when its VM next renews it, up to 3 s later. Before that, the leader started a task on a
+        worker that only it could reach, and was then cut off from the store. It renewed for 4.5 s
+        after its lease. The next leader asked all VMs that it knew, learned that none renewed, and
+        waited for one lease from then on. It may have just started, so that it knows of no earlier
+        record: the test clears this knowledge.
         """
 
         async def body(cluster: FaultyCluster) -> None:
@@ -344,12 +345,12 @@
         lost: Callable[[FaultyCluster, FloorWorker], None],
         record_lasts_s: float = LAPSE_HEARTBEATS * HEARTBEAT_S,
     ) -> None:
-        """A worker that is late to leave, and cut off from the store, is not heard for a moment.
+        """A worker that leaves late and is cut off from the store is unreachable for a moment.
 
-        Its last heartbeat to the store is its notice; its record lapses three heartbeats later.
+        Its notice is its last heartbeat to the store; its record expires three heartbeats later.
 
-        :param lost: what keeps it from being heard.
-        :param record_lasts_s: from its notice on.
+        :param lost: makes the worker unreachable.
+        :param record_lasts_s: time from its notice until its record is gone, in seconds.
         """
 
         async def body(cluster: FaultyCluster) -> None:
@@ -371,15 +372,15 @@
         self.play(body)
 
     def test_a_worker_that_resets_calls_has_not_left(self) -> None:
-        """Looks that are reset, or answered with an error, take no time and prove nothing.
+        """Polls that are reset, or answered with an error, take no time and prove nothing.
 
-        The time since the worker's last answer told whether it had removed its record; now the
-        record's age does.
+        Whether a worker removed its record follows from the record's age. It once followed from the
+        time since the worker's last answer.
 
-        A worker announces its end in 2 s and serves on for longer, as it may; the stop of its run
-        is not answered. It is cut off from the store alone, so its record lapses while it answers
-        the VMs: it looked as if it had removed it. Then it resets each call for a moment. Its
-        run counted as over at once and started elsewhere, while it went on.
+        A worker announces its end in 2 s and keeps serving for longer, as it may; the stop of its
+        run is not answered. It is cut off from the store alone, so its record expires while it
+        answers the VMs, as if it had removed the record. Then it resets each call for a moment.
+        With the old rule its run counted as over at once and started elsewhere, while it continued.
         """
 
         def lost(cluster: FaultyCluster, worker: FloorWorker) -> None:
@@ -387,21 +388,21 @@
 
         self.check_leaving_worker(lost)
 
-    def test_a_worker_out_of_reach_for_a_second_has_not_left(self) -> None:
-        """The same where the path to it is lost for 1.5 s."""
+    def test_a_worker_unreachable_for_a_second_has_not_left(self) -> None:
+        """The same holds if the network path to the worker is lost for 1.5 s."""
 
         def lost(cluster: FaultyCluster, worker: FloorWorker) -> None:
             cluster.isolate_except("", worker)
 
         self.check_leaving_worker(lost)
 
-    def test_a_worker_that_removed_its_record_may_serve_on(self) -> None:
-        """A worker's record tells where to find it, not that it has ended.
+    def test_a_worker_that_removed_its_record_may_keep_serving(self) -> None:
+        """A missing record does not prove that a worker has ended.
 
-        Workers serve on for seconds after the end that they announced, and some remove their record
-        before they end. One that had done both counted as gone once three looks of 0.3 s were lost:
-        its run started elsewhere while it went on. No moment of silence tells such a worker from
-        one that has ended; what ran there is over with its lease.
+        Workers keep serving for seconds after the end that they announced, and some remove their
+        record before they end. One that had done both counted as gone once three polls of 0.3 s
+        were lost, and its run started elsewhere while it continued. No period without an answer
+        distinguishes such a worker from one that has ended, so its runs are over with its lease.
         """
 
         def lost(cluster: FaultyCluster, worker: FloorWorker) -> None:
@@ -411,16 +412,18 @@
 
 
 class SlowClockTest(SecondRunCase):
-    def test_a_late_start_after_a_long_rest_lasts_no_longer_than_it_is_counted(self) -> None:
-        """A lease is counted from its order; a clock read long ago let it last longer.
+    def test_a_late_start_after_a_long_idle_time_lasts_no_longer_than_its_counted_lease(
+        self,
+    ) -> None:
+        """Deadlines use the earliest time that the worker's clock may show.
 
-        Deadlines now go by the earliest that the clock may say.
+        A lease is counted from its order, but with a clock reading of long ago it lasted longer.
 
-        Workers' clocks run 2 % slow. A worker had nothing to do for 300 s and was not looked at, so
-        the leader takes its clock to be 6 s further than it is. A start is not answered and carried
-        out 5 s later; it lasts for the longest lease from then, 15.2 s from its order, since the
-        worker's own limit counts from when it comes and the deadline lies 16 s ahead. The worker is
-        out of reach; the leader counts 10.7 s from its last try, and starts the task elsewhere.
+        Workers' clocks run 2 % slow. A worker is idle for 300 s and not polled, so the leader
+        assumes its clock to be 6 s ahead of what it is. A start is not answered and carried out 5 s
+        later. It lasts for the longest lease from then on, 15.2 s from its order: the worker's own
+        limit counts from the order's arrival, and the deadline is 16 s ahead. The worker is
+        unreachable; the leader waits 10.7 s from its last attempt and starts the task elsewhere.
         """
 
         def clock_ms(floor: Floor, worker: FloorWorker) -> int:
@@ -453,13 +456,13 @@
             self.play(body, workers=1)
 
 
-class ForgottenJobTest(SecondRunCase):
-    def test_a_job_of_many_times_is_forgotten_whole_or_not_at_all(self) -> None:
-        """Its records are removed in parts; the job itself went with the last, now with the first.
+class RemovedJobTest(SecondRunCase):
+    def test_a_job_with_many_occurrences_is_removed_whole_or_not_at_all(self) -> None:
+        """Records of a job are removed in parts, so the job's own record goes with the first part.
 
-        A job of 40 times is completed and due to be forgotten. The leader removes the records of
-        the first 31 times and dies before the second part. The next one finds the job, and no
-        progress of these times: it runs them again.
+        It once went with the last. A job with 40 occurrences is completed and due for removal. The
+        leader removes the records of the first 31 occurrences and dies before the second part. The
+        next leader found the job but no progress of these occurrences, and ran them again.
         """
 
         async def body(cluster: FaultyCluster) -> None:
@@ -489,12 +492,12 @@
 
 
 class FullReportTest(SessionCase):
-    def test_a_report_with_as_many_ends_as_fit_tells_nothing_of_others(self) -> None:
-        """A worker lists 500 ends at once; such a report is no longer taken for whole.
+    def test_a_full_report_of_ends_proves_nothing_about_other_runs(self) -> None:
+        """A worker lists at most 500 ends at once, so such a report does not count as complete.
 
-        The store is slow, so no end is acknowledged. A run ends done after 500 others: it is
-        neither among the running nor among the ends that fit. It counts as never begun and starts
-        again, and its end is taken note of later.
+        The store is slow, so no end is acknowledged. A run ends as done after 500 others: it is
+        neither among the running runs nor among the ends that fit. With the report taken as
+        complete, the run counted as never begun and started again; its end was recorded later.
         """
 
         async def body(scene: Scene) -> None:
--- a/tests/test_standstills_command.py
+++ b/tests/test_standstills_command.py
@@ -1,4 +1,4 @@
-"""Jobs that stood still, from log lines."""
+"""Tests of the command ``standstills``: stalled jobs, from log lines."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 def pool(until_s: float = 100.0, workers: str = "abcd") -> list[LogLine]:
-    """Lines that name workers from the beginning to some time; a short run on each."""
+    """Create lines that name workers from time 0 to ``until_s``, with a short run on each."""
     found = [accepted(0.0, f"{len(workers)}x8acc/8000cpu/8000mb 60ms", job=OTHER)]
     for index, worker in enumerate(workers):
         task = name(OTHER, index=index)
@@ -65,10 +65,10 @@
 
 
 class FindStallsTest(unittest.TestCase):
-    def test_a_job_that_starts_soon_is_none(self) -> None:
+    def test_a_job_that_starts_soon_is_not_stalled(self) -> None:
         self.assertEqual(spans(accepted(1.0), start(1.0 + STALL_S - 0.1), end(9.0)), [])
 
-    def test_a_job_that_stood_before_its_first_start(self) -> None:
+    def test_a_stall_before_the_first_start(self) -> None:
         other = [accepted(2.0, job=WIDE), start(2.1, "b", task=name(WIDE))]
         found = read(accepted(1.0), *other, start(6.0), end(9.0)).stalls
         self.assertEqual([(each.job_id, each.other_starts) for each in found], [(JOB, 1)])
@@ -76,14 +76,14 @@
         self.assertEqual((found[0].usage.used, found[0].usage.total), (1, 32))
         self.assertEqual(found[0].last_event, "accepted")
 
-    def test_a_job_that_stood_after_a_run_that_failed(self) -> None:
+    def test_a_stall_after_a_failed_run(self) -> None:
         again = [start(9.0, run=2), end(9.5, run=2)]
         found = read(accepted(1.0), start(1.0), end(2.0, "failed"), *again).stalls
         self.assertEqual(
             [(each.since_s, each.last_event) for each in found], [(2.0, "ended failed")]
         )
 
-    def test_what_broke_a_gang_is_told_and_not_that_it_broke(self) -> None:
+    def test_the_last_event_is_the_failure_that_broke_a_gang(self) -> None:
         gang = accepted(1.0, "2x1acc/1000cpu/1000mb 60ms gang")
         starts = [start(1.0), start(1.0, task=name(index=1))]
         for ends in (
@@ -100,7 +100,7 @@
             got = spans(accepted(1.0), start(1.0), over, start(9.0, run=2), end(9.5, run=2))
             self.assertEqual(got, [(JOB, 2.0, 9.0)], event)
 
-    def test_a_job_that_is_over_stands_no_more(self) -> None:
+    def test_a_job_that_is_over_is_not_stalled(self) -> None:
         for closing in (
             line(2.0, "cancelled", job=JOB),
             line(2.0, "job", job=JOB, state="completed"),
@@ -109,7 +109,7 @@
         ):
             self.assertEqual(spans(accepted(1.0), closing), [], closing.event)
 
-    def test_a_job_all_of_whose_tasks_are_done_waits_for_nothing(self) -> None:
+    def test_a_job_whose_tasks_are_all_done_is_not_stalled(self) -> None:
         self.assertEqual(spans(accepted(1.0), start(1.0), end(2.0)), [])
         two = accepted(1.0, "2x1acc/1000cpu/1000mb 60ms gang")
         second = start(1.0, task=name(index=1))
@@ -127,7 +127,7 @@
         got = spans(accepted(1.0, SMALL, SMALL), start(1.0), end(2.0))
         self.assertEqual(got, [(JOB, 2.0, 100.0)])
 
-    def test_a_pool_that_is_half_held_is_none(self) -> None:
+    def test_no_stall_while_half_of_the_pool_is_held(self) -> None:
         wide = accepted(0.5, "2x8acc/8000cpu/8000mb 60ms", job=WIDE)
         tasks = [name(WIDE, index=index) for index in range(2)]
         held = [start(0.6, worker, task=task) for worker, task in zip("ab", tasks, strict=True)]
@@ -135,7 +135,7 @@
         got = spans(wide, *held, accepted(1.0), *over)
         self.assertEqual(got, [(JOB, 20.0, 100.0)])
 
-    def test_room_for_less_than_twice_is_none(self) -> None:
+    def test_no_stall_without_free_capacity_for_twice_the_job(self) -> None:
         for step, stands in (
             ("16x1acc/1000cpu/1000mb 60ms gang", True),
             ("17x1acc/1000cpu/1000mb 60ms gang", False),
@@ -146,11 +146,11 @@
         ):
             self.assertEqual(bool(spans(accepted(1.0, step))), stands, step)
 
-    def test_workers_that_no_line_names_any_more_are_no_room(self) -> None:
+    def test_workers_that_no_later_line_names_have_no_free_capacity(self) -> None:
         self.assertEqual(spans(accepted(1.0), line(90.0, "job", job="x"), pool_until_s=0.5), [])
         self.assertEqual(len(spans(accepted(1.0), pool_until_s=0.5 + 1.0 + STALL_S)), 1)
 
-    def test_workers_stay_where_no_line_tells_of_one_that_went(self) -> None:
+    def test_workers_stay_present_if_no_line_reports_a_lost_one(self) -> None:
         lines = [each for each in pool() if each.event != "lease_wait"]
         lines += [accepted(1.0), line(90.0, "job", job="x")]
         self.assertEqual(len(find_stalls(lines).stalls), 1)
@@ -168,19 +168,19 @@
         self.assertEqual(read(accepted(1.0), end(2.0, "failed")).missing_starts, 1)
         self.assertEqual(read(accepted(1.0), start(1.0), end(2.0)).missing_starts, 0)
 
-    def test_an_end_that_is_heard_by_a_second_leader_counts_once(self) -> None:
+    def test_an_end_that_a_second_leader_logs_counts_once(self) -> None:
         found = read(accepted(1.0), start(1.0), end(2.0, "failed"), end(2.5, "failed"))
         self.assertEqual(found.missing_starts, 0)
         self.assertEqual([each.since_s for each in found.stalls], [2.0])
 
-    def test_what_is_taken_of_a_worker(self) -> None:
+    def test_estimated_capacity_of_a_worker(self) -> None:
         self.assertEqual(read().worker_capacity, Resources(8000, 8000, 8))
         self.assertEqual(find_stalls(pool(), accelerators=4).worker_capacity, Resources(0, 0, 4))
         self.assertEqual(
             find_stalls(pool(), accelerators=16).worker_capacity, Resources(8000, 8000, 16)
         )
 
-    def test_ends_that_nobody_tells_free_their_room_with_the_next_run_or_the_job(self) -> None:
+    def test_unlogged_ends_count_with_the_next_run_or_the_end_of_the_job(self) -> None:
         wide = accepted(0.5, "3x8acc/8000cpu/8000mb 60ms", job=WIDE)
         tasks = [name(WIDE, index=index) for index in range(3)]
         lost = [start(0.6, worker, task=task) for worker, task in zip("abc", tasks, strict=True)]
@@ -192,13 +192,13 @@
         over = [end(30.0, run=2, task=task) for task in tasks[:2]]
         self.assertEqual(spans(*waits, *again, *over), [(JOB, 30.0, 100.0)])
 
-    def test_a_worker_that_seems_to_hold_more_than_it_has_does_not_count_for_all(self) -> None:
+    def test_a_worker_that_seems_to_hold_too_much_does_not_raise_the_estimate(self) -> None:
         wide = accepted(0.5, "3x2acc/9000cpu/1000mb 60ms", job=WIDE)
         starts = [start(0.6, "a", task=name(WIDE, index=index)) for index in range(3)]
         self.assertEqual(read(wide, *starts).worker_capacity, Resources(8000, 8000, 8))
 
-    def test_what_leaders_told_stands_beside(self) -> None:
-        told = [
+    def test_reports_of_leaders_are_shown(self) -> None:
+        reported = [
             line(
                 4.0,
                 "stands_still",
@@ -211,7 +211,7 @@
             line(5.0, "stands_still", vm="v1", job=JOB, reason="quarantine", stood_s=4.0),
             line(50.0, "stands_still", vm="v2", job=OTHER, reason="gang", stood_s=3.0),
         ]
-        found = read(accepted(1.0), *told, start(6.0), end(9.0))
+        found = read(accepted(1.0), *reported, start(6.0), end(9.0))
         self.assertEqual([each.reasons for each in found.stalls], [("quarantine",)])
         text = "\n".join(describe(found))
         for part in (
@@ -224,7 +224,7 @@
         ):
             self.assertIn(part, text)
 
-    def test_no_lines_tell_nothing(self) -> None:
+    def test_no_lines_yield_no_stalls(self) -> None:
         self.assertEqual(find_stalls([]).stalls, ())
 
 
@@ -256,6 +256,6 @@
         self.assertIn("0 of 8 accelerators held", result.output)
         self.assertIn("0 of 16 accelerators held", more.output)
 
-    def test_a_day_without_standstills(self) -> None:
+    def test_a_day_without_stalls(self) -> None:
         found = StallReport((), 0, 0, Resources(), 2, ())
         self.assertIn("2 runs ended whose start is not in the logs", "\n".join(describe(found)))
--- a/tests/test_why.py
+++ b/tests/test_why.py
@@ -1,4 +1,4 @@
-"""Why jobs were late or not done, from log lines."""
+"""Tests of the command ``why``: causes of missed objectives and costs of stops, from log lines."""
 
 from __future__ import annotations
 
@@ -47,24 +47,24 @@
     return line(at_s, "job", job=JOB, state="completed")
 
 
-class LossesTest(unittest.TestCase):
+class MissedObjectivesTest(unittest.TestCase):
     def only(self, *lines: LogLine) -> MissedObjective:
         found = find_missed_objectives(lines)
         self.assertEqual(len(found), 1, found)
         return found[0]
 
-    def test_a_job_in_time_is_no_loss(self) -> None:
+    def test_a_job_within_its_objective_is_not_listed(self) -> None:
         self.assertEqual(
             find_missed_objectives([accepted(0), start(0.1), end(2.1), completed(2.2)]), []
         )
 
-    def test_lateness_counts_from_the_first_try_by_the_job_s_own_work(self) -> None:
+    def test_lateness_counts_from_the_first_submission_relative_to_the_jobs_own_work(self) -> None:
         refusal = line(0.0, "not_written", job=JOB)
         loss = self.only(refusal, accepted(3.0), start(3.0), end(5.0), completed(5.0))
         self.assertIs(loss.cause, Cause.STORE)
         self.assertAlmostEqual(loss.late_s or 0.0, 5.0 - (1.5 * 2.0 + 0.25))
 
-    def test_waiting_for_room_for_stops_and_for_a_leader(self) -> None:
+    def test_waiting_for_capacity_for_stops_and_for_a_leader(self) -> None:
         tail = (start(4.0), end(5.0), completed(5.0))
         self.assertIs(self.only(accepted(0.0), *tail).cause, Cause.CAPACITY)
         stop = line(0.1, "stop", task=f"{OTHER}.0.0.0", cause=JOB, reason="preempted")
@@ -72,7 +72,7 @@
         gap = (line(0.0, "deposed"), line(3.9, "scheduling"))
         self.assertIs(self.only(accepted(0.0), *gap, *tail).cause, Cause.LEADER)
 
-    def test_what_is_heard_late_means_no_time_without_a_leader(self) -> None:
+    def test_late_lines_about_earlier_leaders_count_as_no_time_without_a_leader(self) -> None:
         led = (line(0.0, "deposed", fence=0), line(0.05, "scheduling", fence=7))
         tail = (start(4.0), end(5.0), completed(5.0), line(5.5, "scheduling", fence=9))
         for late in (
@@ -85,7 +85,7 @@
         lost = line(0.2, "deposed", fence=7)
         self.assertIs(self.only(*led, accepted(0.1), lost, *tail).cause, Cause.LEADER)
 
-    def test_runs_that_did_not_end_well(self) -> None:
+    def test_runs_that_did_not_succeed(self) -> None:
         tail = (start(4.0, 2), end(5.0, 2), completed(5.0))
         for cause, lines in (
             (Cause.FAILED, [end(3.9, how="failed")]),
@@ -105,14 +105,14 @@
                 loss = self.only(accepted(0.0), start(0.0), *lines, *tail)
                 self.assertIs(loss.cause, cause)
 
-    def test_work_that_was_saved_counts_as_work(self) -> None:
+    def test_saved_work_counts_as_work(self) -> None:
         first = accepted(0.0)
         runs = (start(0.0), end(4.0, how="stopped"), start(4.1, 2), end(5.1, 2), completed(5.1))
         self.assertEqual(len(find_missed_objectives([first, *runs])), 1)
         first.steps = ("1x1acc/1cpu/1mb 1ms saves",)
         self.assertEqual(find_missed_objectives([first, *runs]), [])
 
-    def test_an_end_that_is_shown_late(self) -> None:
+    def test_an_end_that_is_published_late(self) -> None:
         loss = self.only(accepted(0.0), start(0.0), end(1.0), completed(4.0))
         self.assertIs(loss.cause, Cause.LATE_END)
 
@@ -131,7 +131,7 @@
 
 
 class SizesTest(unittest.TestCase):
-    def test_work_counts_beside_a_part_that_is_the_same_for_all(self) -> None:
+    def test_size_has_a_fixed_part_and_a_part_that_grows_with_work(self) -> None:
         small, large = accepted(0.0), accepted(0.0, OTHER)
         small.steps = ("1x1acc/0cpu/1mb 1000ms",)
         large.steps = ("3x1acc/0cpu/1mb 1000ms gang",)
@@ -139,7 +139,7 @@
         self.assertAlmostEqual(found[JOB], 0.3 + 0.7 * 0.5)
         self.assertAlmostEqual(found[OTHER], 0.3 + 0.7 * 1.5)
 
-    def test_a_job_without_shapes_counts_as_one(self) -> None:
+    def test_a_job_without_steps_has_size_one(self) -> None:
         self.assertEqual(job_sizes([accepted(0.0)]), {JOB: 1.0})
 
     def test_worth_in_time_and_late(self) -> None:
@@ -150,7 +150,7 @@
         late.late_s = None
         self.assertAlmostEqual(worth[0].lost_worth(late), 8.0)
 
-    def test_worth_that_cannot_be_read_is_told(self) -> None:
+    def test_invalid_worth_is_rejected(self) -> None:
         for text in ("0", "x=1", "0=one", "0=1,two"):
             with self.subTest(text=text), self.assertRaises(click.BadParameter):
                 worth_by_priority([text])
@@ -166,7 +166,7 @@
         first.steps = (" ".join(["1x2acc/4000cpu/1mb 9000ms", *marks]),)
         return first
 
-    def test_work_thrown_away_by_reason_and_by_who_asked(self) -> None:
+    def test_lost_work_by_reason_and_by_preemptor(self) -> None:
         again = (start(5.0, 2), self.stop(6.0, 2, reason="worker_leaves"))
         found = stop_costs([self.job(), start(0.0), self.stop(3.0), *again])
         self.assertEqual(found.starts, 2)
@@ -174,11 +174,11 @@
         self.assertAlmostEqual(found.reasons["worker_leaves"].lost_core_s, 1.0 * 20.0)
         self.assertAlmostEqual(found.preemptors[OTHER].lost_core_s, 60.0)
 
-    def test_saved_work_is_not_thrown_away(self) -> None:
+    def test_saved_work_is_not_lost(self) -> None:
         found = stop_costs([self.job("saves"), start(0.0), self.stop(9.0)])
         self.assertAlmostEqual(found.reasons["preempted"].lost_core_s, SAVE_INTERVAL_S * 20.0)
 
-    def test_whether_room_was_used_by_whom_it_was_made_for(self) -> None:
+    def test_whether_freed_workers_were_used_by_the_preemptor(self) -> None:
         made = [self.job(), start(0.0), self.stop(3.0)]
         self.assertEqual([asker.job_id for asker in stop_costs(made).unused], [OTHER])
         there = line(3.5, "start", task=f"{OTHER}.0.0.0", run=1, worker="w1")
@@ -187,7 +187,7 @@
         self.assertEqual(found.unused, [])
         self.assertAlmostEqual(found.preemptors[OTHER].time_to_use_s or 0.0, 0.5)
 
-    def test_tasks_preempted_twice_and_jobs_that_asked_twice(self) -> None:
+    def test_tasks_and_preemptors_that_occur_twice(self) -> None:
         made = [self.job(), start(0.0), self.stop(3.0), start(4.0, 2), self.stop(5.0, 2)]
         text = "\n".join(describe(stop_costs(made)))
         self.assertIn("2 stops of 2 starts", text)
