--- a/src/saddlestack/cli/explain.py
+++ b/src/saddlestack/cli/explain.py
@@ -22,7 +22,7 @@
 LEASE_WAIT = "lease_wait"
 STALLED = "stands_still"
 LATE_CHECK_S = 1.0
-"""A check that is later than this shows that the leader itself had been paused."""
+"""Seconds; a check that is this late or later shows that the leader itself had been paused."""
 WAITS = "waits"
 RUN_ENDS = frozenset({"ended", "run_over", "run_absent"})
 
@@ -80,12 +80,12 @@
         if line.event == EVACUATION:
             found.append(_describe_evacuation(line))
         elif line.event == LEASE_WAIT:
-            what = f"may go on unseen for {line.left_s:.1f} s at most"
+            what = f"may continue unobserved for {line.left_s:.1f} s at most"
             found.append(f"{line.worker} did not answer at {line.time}: what runs there {what}")
         if not _is_about(line, job_id):
             continue
         if line.event == "not_written":
-            what = "not known whether taken" if line.doubt else "refused"
+            what = "not known whether it was accepted" if line.doubt else "refused"
             found.append(f"{line.vm} could not reach the store ({line.reason}): {what}")
         elif line.event == "stop" and line.reason == "preempted":
             found.append(f"{line.task} run {line.run} gave its room to job {line.cause}")
@@ -100,7 +100,7 @@
         elif line.event == "start_refused":
             found.append(f"{line.worker} refused {line.task} run {line.run}: {line.reason}")
         elif line.event == "run_absent":
-            found.append(f"{line.worker} does not know {line.task} run {line.run}")
+            found.append(f"{line.worker} has no record of {line.task} run {line.run}")
         elif line.event == "run_over":
             proof = f"{line.proof}, {line.age_s:.1f} s before"
             found.append(f"{line.task} run {line.run} counted as over on {line.worker}: {proof}")
--- a/tests/test_why.py
+++ b/tests/test_why.py
@@ -60,9 +60,9 @@
 
     def test_lateness_counts_from_the_first_submission_relative_to_the_jobs_own_work(self) -> None:
         refusal = line(0.0, "not_written", job=JOB)
-        loss = self.only(refusal, accepted(3.0), start(3.0), end(5.0), completed(5.0))
-        self.assertIs(loss.cause, Cause.STORE)
-        self.assertAlmostEqual(loss.late_s or 0.0, 5.0 - (1.5 * 2.0 + 0.25))
+        missed = self.only(refusal, accepted(3.0), start(3.0), end(5.0), completed(5.0))
+        self.assertIs(missed.cause, Cause.STORE)
+        self.assertAlmostEqual(missed.late_s or 0.0, 5.0 - (1.5 * 2.0 + 0.25))
 
     def test_waiting_for_capacity_for_stops_and_for_a_leader(self) -> None:
         tail = (start(4.0), end(5.0), completed(5.0))
@@ -102,8 +102,8 @@
             (Cause.RESTARTED, [end(3.9, how="broken")]),
         ):
             with self.subTest(cause=cause):
-                loss = self.only(accepted(0.0), start(0.0), *lines, *tail)
-                self.assertIs(loss.cause, cause)
+                missed = self.only(accepted(0.0), start(0.0), *lines, *tail)
+                self.assertIs(missed.cause, cause)
 
     def test_saved_work_counts_as_work(self) -> None:
         first = accepted(0.0)
@@ -113,8 +113,8 @@
         self.assertEqual(find_missed_objectives([first, *runs]), [])
 
     def test_an_end_that_is_published_late(self) -> None:
-        loss = self.only(accepted(0.0), start(0.0), end(1.0), completed(4.0))
-        self.assertIs(loss.cause, Cause.LATE_END)
+        missed = self.only(accepted(0.0), start(0.0), end(1.0), completed(4.0))
+        self.assertIs(missed.cause, Cause.LATE_END)
 
     def test_jobs_that_are_not_done(self) -> None:
         failed = line(2.0, "job", job=JOB, state="failed")
