--- a/src/saddlestack/soak/__init__.py
+++ b/src/saddlestack/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak: real processes, faults from outside, promises checked while it runs."""
+"""A randomized soak test: real processes, injected faults and checks of the invariants."""
--- a/src/saddlestack/soak/assessment.py
+++ b/src/saddlestack/soak/assessment.py
@@ -1,4 +1,4 @@
-"""Puts a soak's report together: what clients, workers and the store saw."""
+"""Assembles the report of a soak from what clients, workers and the store recorded."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
     check_invariants,
 )
 from saddlestack.soak.load import Load, SubmittedJob
-from saddlestack.soak.logsearch import lines_of, orders_of
+from saddlestack.soak.logsearch import lines_of, ordered_starts_of
 from saddlestack.soak.meters import Meters
 from saddlestack.soak.platform import SoakPlatform, Term
 from saddlestack.soak.processes import EntryProcess, Program
@@ -49,20 +49,20 @@
 
 T = TypeVar("T", Fault, Term)
 
-BUSIEST = 5
-"""VMs whose load is told."""
-EXPLAINED = 20
-"""Broken promises whose log lines are looked up."""
-MOST_ORDERS = 10_000
-"""Log lines of a job that stood still in which its starts are looked for."""
+MAX_VMS_REPORTED = 5
+"""The number of VMs whose load is reported."""
+MAX_WITH_LINES = 20
+"""The number of violations that are reported with log lines."""
+MAX_START_LINES = 10_000
+"""The number of a stalled job's log lines that are searched for ordered starts."""
 
 
 @dataclass(slots=True)
 class Observations:
-    """Everything that saw something of a soak.
+    """All sources of a soak's measurements.
 
-    :param began_s: its start, on the clock of the event loop.
-    :param began_at: its start, in wall time since 1970.
+    :param began_s: the start of the soak, on the clock of the event loop.
+    :param began_at: the start of the soak, in seconds since the Unix epoch.
     """
 
     shape: SoakShape
@@ -75,8 +75,8 @@
     began_at: float = field(default_factory=time.time)
 
     @property
-    def took_s(self) -> float:
-        """How long it has taken so far."""
+    def elapsed_s(self) -> float:
+        """The time since the start of the soak."""
         return asyncio.get_running_loop().time() - self.began_s
 
 
@@ -87,12 +87,12 @@
     program: Program,
     entries: Sequence[EntryProcess],
 ) -> SoakReport:
-    """Judge, and tell what was measured."""
-    book = RunHistory.of(observations.hosts.records)
-    faults = [*observations.faults, *crashes_by_tasks(book)]
-    stall = _standstills(observations, book, entries, faults)
-    broken = _judge(observations, entries, faults) + _broken_standstills(stall)
-    broken.sort(key=lambda each: each.at_s)
+    """Check all invariants and report the violations and measurements."""
+    run_history = RunHistory.of(observations.hosts.records)
+    faults = [*observations.faults, *crashes_by_tasks(run_history)]
+    stalls = _classify_stalls(observations, run_history, entries, faults)
+    violations = _find_violations(observations, entries, faults) + _unexplained_stalls(stalls)
+    violations.sort(key=lambda each: each.at_s)
     shape = observations.shape
     return SoakReport(
         shape=shape.name,
@@ -101,25 +101,25 @@
         program=str(program.src),
         started_at=time.strftime("%Y-%m-%d %H:%M:%S", time.localtime(observations.began_at))
         + f",{int(observations.began_at % 1 * 1000):03d}",
-        took_s=observations.took_s,
+        took_s=observations.elapsed_s,
         vms=shape.vms,
         workers=shape.workers,
-        kinds=[_kind(kind, observations.load.jobs, book) for kind in shape.kinds],
-        busiest=_busiest(observations),
+        kinds=[_kind_report(kind, observations.load.jobs, run_history) for kind in shape.kinds],
+        busiest=_busiest_vms(observations),
         memory_mb=observations.meters.memory_mb,
-        stand_ins=_stand_ins(observations),
+        stand_ins=_stand_in_reports(observations),
         faults=[_since_start(fault, observations.began_s) for fault in observations.faults],
         terms=[
             _since_start(term, observations.began_s) for term in observations.platform.terms.terms
         ],
-        broken=_explained(broken, observations, entries),
-        troubled=_troubles(observations),
-        standstills=[_standstill(each, observations.began_s) for each in stall],
+        broken=_violation_reports(violations, observations, entries),
+        troubled=_harness_problems(observations),
+        standstills=[_stall_report(each, observations.began_s) for each in stalls],
     )
 
 
-def _troubles(observations: Observations) -> list[str]:
-    """What was wrong with the stand-ins themselves."""
+def _harness_problems(observations: Observations) -> list[str]:
+    """Find faults of the stand-ins themselves."""
     found = []
     if not observations.hosts.alive:
         found.append("a process that plays workers has ended")
@@ -128,23 +128,25 @@
     return found
 
 
-def crashes_by_tasks(book: RunHistory) -> list[Fault]:
-    """The crashes of workers that tasks caused: to all that ran there they are faults as any."""
-    incarnations = sorted(book.incarnations.values(), key=lambda incarnation: incarnation.began_s)
+def crashes_by_tasks(run_history: RunHistory) -> list[Fault]:
+    """Return the worker crashes that tasks caused, as faults for everything that ran there."""
+    incarnations = sorted(
+        run_history.incarnations.values(), key=lambda incarnation: incarnation.began_s
+    )
     found = []
     for incarnation in incarnations:
         if not incarnation.crashed_by:
             continue
         later = (each.began_s for each in incarnations if each.machine == incarnation.machine)
-        back_s = next(
+        restarted_s = next(
             (began_s for began_s in later if began_s > incarnation.ended_s), incarnation.ended_s
         )
         found.append(
             Fault(
                 FaultKind.WORKER_CRASH,
-                back_s - incarnation.ended_s,
+                restarted_s - incarnation.ended_s,
                 incarnation.ended_s,
-                back_s,
+                restarted_s,
                 incarnation.machine,
                 f"by {incarnation.crashed_by}",
             )
@@ -152,7 +154,7 @@
     return found
 
 
-def _judge(
+def _find_violations(
     observations: Observations, entries: Sequence[EntryProcess], faults: Sequence[Fault]
 ) -> list[Violation]:
     terms = observations.platform.terms
@@ -160,7 +162,7 @@
     disturbances = Disturbances(faults, halls)
     return check_invariants(
         observations.hosts.records,
-        [_client_job(told) for told in observations.load.jobs],
+        [_client_job(job) for job in observations.load.jobs],
         InvariantTimes(drain_s=observations.shape.times.drain_s),
         lambda fence, at_s: disturbances.is_undisturbed(terms.vm_of(fence), at_s),
         is_fault_free=disturbances.is_fault_free,
@@ -168,56 +170,61 @@
     )
 
 
-def _standstills(
+def _classify_stalls(
     observations: Observations,
-    book: RunHistory,
+    run_history: RunHistory,
     entries: Sequence[EntryProcess],
     faults: Sequence[Fault],
 ) -> list[ClassifiedStall]:
-    """All jobs that stood still, with what explains each."""
+    """Find all stalls and their causes."""
     shape = observations.shape
     worker = shape.worker
     epoch_s = observations.began_s - observations.began_at
-    works = [_accepted_work(told) for told in observations.load.jobs if told.accepted_s is not None]
-    room = Resources(worker.cpu, worker.memory_mb, worker.accelerators)
-    requests = {told.job_id: told.request for told in observations.load.jobs}
+    accepted_requests = [
+        _accepted_request(job) for job in observations.load.jobs if job.accepted_s is not None
+    ]
+    capacity = Resources(worker.cpu, worker.memory_mb, worker.accelerators)
+    requests = {job.job_id: job.request for job in observations.load.jobs}
     history = SoakHistory(
-        book, works, requests, room, epoch_s, observations.began_s + observations.took_s
+        run_history,
+        accepted_requests,
+        requests,
+        capacity,
+        epoch_s,
+        observations.began_s + observations.elapsed_s,
     )
     found = find_stalls(history)
-    orders = orders_of(
-        [entry.log for entry in entries], {each.job_id for each in found}, epoch_s, MOST_ORDERS
+    ordered_starts = ordered_starts_of(
+        [entry.log for entry in entries], {each.job_id for each in found}, epoch_s, MAX_START_LINES
     )
     halls = {entry.name: entry.site.hall for entry in entries}
-    excuses = StallClassifier(
+    classifier = StallClassifier(
         history, faults, observations.platform.terms.terms, halls, shape.times
     )
-    return [excuses.classify(each, orders.get(each.job_id, [])) for each in found]
+    return [classifier.classify(each, ordered_starts.get(each.job_id, [])) for each in found]
 
 
-def _accepted_work(told: SubmittedJob) -> AcceptedRequest:
-    assert told.accepted_s is not None
-    return AcceptedRequest(
-        told.job_id, told.request, told.accepted_s, told.kind.attempts, told.closed_s
-    )
+def _accepted_request(job: SubmittedJob) -> AcceptedRequest:
+    assert job.accepted_s is not None
+    return AcceptedRequest(job.job_id, job.request, job.accepted_s, job.kind.attempts, job.closed_s)
 
 
-def _broken_standstills(stall: Sequence[ClassifiedStall]) -> list[Violation]:
+def _unexplained_stalls(stalls: Sequence[ClassifiedStall]) -> list[Violation]:
     found = []
-    for each in stall:
-        if each.excuses:
+    for each in stalls:
+        if each.causes:
             continue
-        what = each.stall
+        stall = each.stall
         detail = (
-            f"for {what.until_s - what.since_s:.1f} s, {what.pool.used} of {what.pool.total} "
-            f"accelerators in use, {what.beside} runs of others began"
+            f"for {stall.until_s - stall.since_s:.1f} s, {stall.pool.used} of {stall.pool.total} "
+            f"accelerators in use, {stall.beside} runs of others began"
         )
-        found.append(Violation(Invariant.STANDS_STILL, what.since_s, what.job_id, (), detail))
+        found.append(Violation(Invariant.STALL, stall.since_s, stall.job_id, (), detail))
     return found
 
 
-def _standstill(judged: ClassifiedStall, start_s: float) -> StandstillReport:
-    stall = judged.stall
+def _stall_report(classified: ClassifiedStall, start_s: float) -> StandstillReport:
+    stall = classified.stall
     return StandstillReport(
         job_id=stall.job_id,
         since_s=stall.since_s - start_s,
@@ -225,137 +232,137 @@
         used=stall.pool.used,
         total=stall.pool.total,
         beside=stall.beside,
-        excuses=[excuse.value for excuse in judged.excuses],
+        excuses=[cause.value for cause in classified.causes],
     )
 
 
-def _client_job(told: SubmittedJob) -> ClientJob:
+def _client_job(job: SubmittedJob) -> ClientJob:
     return ClientJob(
-        job_id=told.job_id,
-        request=told.request,
-        accepted=told.accepted_s is not None,
-        refused=told.refused,
-        cancel_sent=told.cancel_sent,
-        cancelled_s=told.cancelled_s,
-        state=told.state,
-        attempts=told.kind.attempts,
-        account=told.account,
-        urgent=told.kind.priority == 0,
-        submitted_s=told.submitted_s,
-        accepted_s=told.accepted_s,
+        job_id=job.job_id,
+        request=job.request,
+        accepted=job.accepted_s is not None,
+        refused=job.refused,
+        cancel_sent=job.cancel_sent,
+        cancelled_s=job.cancelled_s,
+        state=job.state,
+        attempts=job.kind.attempts,
+        account=job.account,
+        urgent=job.kind.priority == 0,
+        submitted_s=job.submitted_s,
+        accepted_s=job.accepted_s,
     )
 
 
-def _explained(
-    broken: list[Violation], observations: Observations, entries: Sequence[EntryProcess]
+def _violation_reports(
+    violations: list[Violation], observations: Observations, entries: Sequence[EntryProcess]
 ) -> list[BrokenReport]:
-    jobs = {each.job_id for each in broken[:EXPLAINED]}
+    jobs = {each.job_id for each in violations[:MAX_WITH_LINES]}
     lines = lines_of([entry.log for entry in entries], jobs, MAX_LINES)
     start_s = observations.began_s
     vm_of = observations.platform.terms.vm_of
     return [
         BrokenReport(
-            promise=each.promise.value,
+            promise=each.invariant.value,
             at_s=each.at_s - start_s if each.at_s < math.inf else -1.0,
             job_id=each.job_id,
             text=each.text(vm_of, start_s),
             lines=lines.pop(each.job_id, []),
         )
-        for each in broken
+        for each in violations
     ]
 
 
-def _kind(kind: JobKind, jobs: Sequence[SubmittedJob], book: RunHistory) -> KindReport:
-    mine = [told for told in jobs if told.kind is kind]
-    accepted = [told for told in mine if told.accepted_s is not None]
+def _kind_report(
+    kind: JobKind, jobs: Sequence[SubmittedJob], run_history: RunHistory
+) -> KindReport:
+    jobs_of_kind = [job for job in jobs if job.kind is kind]
+    accepted = [job for job in jobs_of_kind if job.accepted_s is not None]
     runs: dict[str, list[RunRecord]] = defaultdict(list)
-    for run in book.runs:
+    for run in run_history.runs:
         runs[run.task.job_id].append(run)
-    completed = [told for told in accepted if told.state is JobState.COMPLETED]
+    completed = [job for job in accepted if job.state is JobState.COMPLETED]
     return KindReport(
         name=kind.name,
-        jobs=len(mine),
+        jobs=len(jobs_of_kind),
         accepted=len(accepted),
-        refused=sum(told.refused for told in mine),
+        refused=sum(job.refused for job in jobs_of_kind),
         completed=len(completed),
-        failed=sum(told.state is JobState.FAILED for told in accepted),
-        cancelled=sum(told.state is JobState.CANCELLED for told in accepted),
-        unfinished=sum(not told.over for told in accepted),
-        tasks=sum(told.request.steps[0].count for told in accepted),
-        runs=sum(len(runs[told.job_id]) for told in mine),
-        acceptance=TimeSummary.of(
-            [(told.accepted_s or 0.0) - told.submitted_s for told in accepted]
-        ),
+        failed=sum(job.state is JobState.FAILED for job in accepted),
+        cancelled=sum(job.state is JobState.CANCELLED for job in accepted),
+        unfinished=sum(not job.over for job in accepted),
+        tasks=sum(job.request.steps[0].count for job in accepted),
+        runs=sum(len(runs[job.job_id]) for job in jobs_of_kind),
+        acceptance=TimeSummary.of([(job.accepted_s or 0.0) - job.submitted_s for job in accepted]),
         begins=TimeSummary.of(
             [
-                first - told.submitted_s
-                for told in accepted
-                if (first := _first_work_s(runs[told.job_id])) < math.inf
+                first - job.submitted_s
+                for job in accepted
+                if (first := _first_work_s(runs[job.job_id])) < math.inf
             ]
         ),
-        in_time=sum(_is_in_time(told, runs[told.job_id]) for told in completed)
+        in_time=sum(_is_in_time(job, runs[job.job_id]) for job in completed)
         / max(1, len(completed)),
     )
 
 
 def _first_work_s(runs: Sequence[RunRecord]) -> float:
-    """When a first task worked: members of a gang begin when all are there."""
+    """When the first task began to work; members of a gang begin once all are present."""
     begins = [run.work_began_s if run.gang else run.began_s for run in runs]
     return min((each for each in begins if each is not None), default=math.inf)
 
 
-def _is_in_time(told: SubmittedJob, runs: Sequence[RunRecord]) -> bool:
+def _is_in_time(job: SubmittedJob, runs: Sequence[RunRecord]) -> bool:
     ends = [run.ended_s for run in runs if run.how is EndKind.DONE]
     if not ends:
         return False
-    work_s = msgspec.json.decode(told.request.payload, type=TaskPlan).work_s
-    return max(ends) - told.submitted_s <= objective_s(told.kind, work_s)
+    work_s = msgspec.json.decode(job.request.payload, type=TaskPlan).work_s
+    return max(ends) - job.submitted_s <= objective_s(job.kind, work_s)
 
 
-def _busiest(observations: Observations) -> list[VmReport]:
-    took_s = observations.took_s
+def _busiest_vms(observations: Observations) -> list[VmReport]:
+    elapsed_s = observations.elapsed_s
     found = [
         VmReport(
             name,
-            use.processor_s / took_s,
+            use.processor_s / elapsed_s,
             use.highest,
             use.highest_s - observations.began_s,
             use.memory_mb,
         )
         for name, use in observations.meters.uses.items()
     ]
-    return sorted(found, key=lambda vm: vm.highest, reverse=True)[:BUSIEST]
+    return sorted(found, key=lambda vm: vm.highest, reverse=True)[:MAX_VMS_REPORTED]
 
 
-def _stand_ins(observations: Observations) -> list[LagReport]:
-    """The load of this process, with the clients, and of those of the store and the workers."""
-    took_s = observations.took_s
+def _stand_in_reports(observations: Observations) -> list[LagReport]:
+    """The load of this process, which runs the clients, and of the store and worker processes."""
+    elapsed_s = observations.elapsed_s
     meters = observations.meters
     of_store = observations.platform.loads
     found = [
-        LagReport("clients", TimeSummary.of(meters.lags_s), meters.own_processor_s / took_s),
+        LagReport("clients", TimeSummary.of(meters.lags_s), meters.own_processor_s / elapsed_s),
         LagReport(
             "store",
             TimeSummary.of([load.lag_s for load in of_store]),
-            max((load.processor_s for load in of_store), default=0.0) / took_s,
-            sum(load.calls for load in of_store) / took_s,
+            max((load.processor_s for load in of_store), default=0.0) / elapsed_s,
+            sum(load.calls for load in of_store) / elapsed_s,
         ),
     ]
     loads = observations.hosts.loads
     for host in sorted({load.host for load in loads}):
-        mine = [load for load in loads if load.host == host]
+        jobs_of_kind = [load for load in loads if load.host == host]
         found.append(
             LagReport(
                 f"workers {host}",
-                TimeSummary.of([load.lag_s for load in mine]),
-                max(load.processor_s for load in mine) / took_s,
-                sum(load.calls for load in mine) / took_s,
+                TimeSummary.of([load.lag_s for load in jobs_of_kind]),
+                max(load.processor_s for load in jobs_of_kind) / elapsed_s,
+                sum(load.calls for load in jobs_of_kind) / elapsed_s,
             )
         )
     return found
 
 
 def _since_start(event: T, start_s: float) -> T:
-    """The same with times from the soak's start."""
+    """Return an event with its times relative to the start of the soak."""
     ended_s = None if event.ended_s is None else event.ended_s - start_s
     return msgspec.structs.replace(event, began_s=event.began_s - start_s, ended_s=ended_s)
--- a/src/saddlestack/soak/call_faults.py
+++ b/src/saddlestack/soak/call_faults.py
@@ -1,4 +1,4 @@
-"""Troubles of the way to a worker: what becomes of a call before and after it is carried out."""
+"""Faults of the connections to a worker, which affect calls before and after they are handled."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 )
 
 CallFault = DelayOrders | LoseAnswers | Hang | AnswerErrors
-"""Troubles that befall single calls."""
+"""Faults that affect single calls."""
 
 CALL_KINDS = {
     paths.START: CallKind.START,
@@ -29,52 +29,52 @@
 
 
 @dataclass(slots=True)
-class _Lasting:
+class _ActiveFault:
     command: LastingCommand
     until_s: float
 
 
 @dataclass(slots=True)
 class CallFaults:
-    """The troubles of one machine's way, each until its time is over."""
+    """The active faults of calls to one machine; each ends after its duration."""
 
     rng: random.Random
-    _lasting: list[_Lasting] = field(default_factory=list)
+    _faults: list[_ActiveFault] = field(default_factory=list)
     _cuts_changed: asyncio.Event = field(default_factory=asyncio.Event)
 
     def add(self, command: LastingCommand) -> None:
-        """A trouble begins."""
-        self._lasting.append(_Lasting(command, _now() + command.seconds))
+        """Start a fault."""
+        self._faults.append(_ActiveFault(command, _now() + command.seconds))
 
     def clear(self) -> None:
-        """All troubles are over."""
-        self._lasting.clear()
+        """End all faults."""
+        self._faults.clear()
         changed, self._cuts_changed = self._cuts_changed, asyncio.Event()
         changed.set()
 
     def draw_fault(self, kind: CallKind | None) -> CallFault | None:
-        """What befalls a call, drawn by chance."""
-        for command in self._present():
-            if isinstance(command, CallFault) and self._hits(command, kind):
+        """Draw at random which fault, if any, affects a call."""
+        for command in self._active():
+            if isinstance(command, CallFault) and self._strikes(command, kind):
                 return command
         return None
 
     async def wait_for_request(self, fence: int) -> bool:
-        """Wait while requests are held back; whether this one was."""
-        return await self._wait(fence, CutWay.REQUESTS)
+        """Wait while requests are held back, and return whether this one was."""
+        return await self._wait_while_cut(fence, CutWay.REQUESTS)
 
     async def wait_for_answer(self, fence: int) -> None:
         """Wait while answers are held back."""
-        await self._wait(fence, CutWay.ANSWERS)
+        await self._wait_while_cut(fence, CutWay.ANSWERS)
 
-    def _hits(self, command: CallFault, kind: CallKind | None) -> bool:
+    def _strikes(self, command: CallFault, kind: CallKind | None) -> bool:
         if isinstance(command, DelayOrders | LoseAnswers) and kind not in command.calls:
             return False
         return self.rng.random() < command.share
 
-    async def _wait(self, fence: int, way: CutWay) -> bool:
+    async def _wait_while_cut(self, fence: int, direction: CutWay) -> bool:
         waited = False
-        while (left_s := self._cut_for_s(fence, way)) > 0:
+        while (left_s := self._cut_for_s(fence, direction)) > 0:
             waited = True
             try:
                 async with asyncio.timeout(left_s):
@@ -83,26 +83,26 @@
                 continue
         return waited
 
-    def _cut_for_s(self, fence: int, way: CutWay) -> float:
-        """How much longer calls with a token are cut."""
+    def _cut_for_s(self, fence: int, direction: CutWay) -> float:
+        """The remaining time for which calls with a fencing token are cut."""
         now = _now()
         left = [
-            lasting.until_s - now
-            for lasting in self._lasting
-            if isinstance(lasting.command, CutFromVms) and _cuts(lasting.command, fence, way)
+            fault.until_s - now
+            for fault in self._faults
+            if isinstance(fault.command, CutFromVms) and _cuts(fault.command, fence, direction)
         ]
         return max(left, default=0.0)
 
-    def _present(self) -> list[LastingCommand]:
+    def _active(self) -> list[LastingCommand]:
         now = _now()
-        self._lasting = [lasting for lasting in self._lasting if lasting.until_s > now]
-        return [lasting.command for lasting in self._lasting]
+        self._faults = [fault for fault in self._faults if fault.until_s > now]
+        return [fault.command for fault in self._faults]
 
 
-def _cuts(cut: CutFromVms, fence: int, way: CutWay) -> bool:
+def _cuts(cut: CutFromVms, fence: int, direction: CutWay) -> bool:
     if cut.fences and fence not in cut.fences:
         return False
-    return cut.way in {way, CutWay.BOTH}
+    return cut.way in {direction, CutWay.BOTH}
 
 
 def _now() -> float:
--- a/src/saddlestack/soak/disturbances.py
+++ b/src/saddlestack/soak/disturbances.py
@@ -1,4 +1,4 @@
-"""Which faults were near: promises with a time bound hold where none was."""
+"""Determines which faults were near a time: invariants with time bounds hold if none was."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from saddlestack.soak.shape import FaultKind
 
 RECOVERY_S = 15.0
-"""So long after a fault has ended, things are as before. From the platform's bounds."""
+"""The platform has recovered this long after the end of a fault. Follows from its time bounds."""
 ALL_VMS = frozenset(
     {
         FaultKind.ALL_KILL,
@@ -20,11 +20,11 @@
         FaultKind.RECORDS_LAPSE,
     }
 )
-"""Kinds of faults that disturb every VM."""
+"""Kinds of faults that affect every VM."""
 
 
 class Disturbances:
-    """Knows which faults were near some time.
+    """Determines which faults were near a time.
 
     :param halls: the data hall of each VM.
     """
@@ -34,20 +34,20 @@
         self._halls = halls
 
     def is_undisturbed(self, vm: str, at_s: float) -> bool:
-        """Whether nothing had disturbed a VM for a while."""
-        return not any(self._disturbs(fault, vm) for fault in self._faults if _near(fault, at_s))
+        """Whether no fault that affects a VM was near a time."""
+        return not any(self._affects(fault, vm) for fault in self._faults if _is_near(fault, at_s))
 
     def is_fault_free(self, at_s: float) -> bool:
-        """Whether no fault at all was near."""
-        return not any(_near(fault, at_s) for fault in self._faults)
+        """Whether no fault at all was near a time."""
+        return not any(_is_near(fault, at_s) for fault in self._faults)
 
-    def _disturbs(self, fault: Fault, vm: str) -> bool:
+    def _affects(self, fault: Fault, vm: str) -> bool:
         if fault.kind in ALL_VMS:
             return True
         return vm in fault.on.split() or fault.on == self._halls.get(vm)
 
 
-def _near(fault: Fault, at_s: float) -> bool:
-    """Whether a fault was there within the time that a recovery takes."""
+def _is_near(fault: Fault, at_s: float) -> bool:
+    """Whether a fault lasted at a time, or had ended less than the recovery time before."""
     ended_s = math.inf if fault.ended_s is None else fault.ended_s
     return fault.began_s <= at_s <= ended_s + RECOVERY_S
--- a/src/saddlestack/soak/ends.py
+++ b/src/saddlestack/soak/ends.py
@@ -1,4 +1,4 @@
-"""The ends of runs that a worker lists until they are acknowledged."""
+"""The ends of runs that a worker reports until they are acknowledged."""
 
 from __future__ import annotations
 
@@ -11,14 +11,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedEnd:
-    """An end, and when it came."""
+    """The end of a run.
+
+    :param row: the row that reports list.
+    :param at_s: when the run ended.
+    """
 
     row: EndedTask
     at_s: float
 
 
 class EndList:
-    """Ends in the order of their numbers, which rise through one life of a worker."""
+    """Ends in the order of their numbers, which increase through one incarnation of a worker."""
 
     def __init__(self) -> None:
         self._listed: list[ListedEnd] = []
@@ -26,23 +30,23 @@
         self._changed = asyncio.Event()
 
     def add(self, task: str, run: int, how: EndKind, saved: str, at_s: float) -> None:
-        """A run has ended."""
+        """Add the end of a run and wake all waiters."""
         self._count += 1
         self._listed.append(ListedEnd(EndedTask(self._count, task, run, how, saved), at_s))
         self.wake()
 
     def acknowledge(self, seen: int) -> list[ListedEnd]:
-        """Ends up to a number are acknowledged: those that were listed still."""
-        known = [listed for listed in self._listed if listed.row.number <= seen]
+        """Remove all ends up to a number and return those that were still listed."""
+        acknowledged = [listed for listed in self._listed if listed.row.number <= seen]
         self._listed = [listed for listed in self._listed if listed.row.number > seen]
-        return known
+        return acknowledged
 
     def rows(self) -> tuple[EndedTask, ...]:
-        """The ends that one answer tells."""
+        """The ends that one report contains."""
         return tuple(listed.row for listed in self._listed[:ENDS_AT_ONCE])
 
     async def wait(self, seconds: float) -> None:
-        """Wait for an end, if none is listed, or until woken."""
+        """Wait until an end is listed, :meth:`wake` is called, or the time has passed."""
         if self._listed or not seconds:
             return
         try:
@@ -52,6 +56,6 @@
             return
 
     def wake(self) -> None:
-        """Whoever waits goes on."""
+        """Wake all waiters."""
         changed, self._changed = self._changed, asyncio.Event()
         changed.set()
--- a/src/saddlestack/soak/faults.py
+++ b/src/saddlestack/soak/faults.py
@@ -1,4 +1,4 @@
-"""The faults of a soak: drawn by weight from a seed, played beside each other, noted in time."""
+"""Injects the faults of a soak: drawn by weight from a seed, run concurrently and recorded."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 class Fault(msgspec.Struct):
-    """One fault that was played. Times are those of the event loop.
+    """A fault that was injected. Times are those of the event loop.
 
-    :param seconds: for how long it lasts, where it lasts.
-    :param on: what it befell.
-    :param detail: what it did there.
+    :param seconds: its duration, if the kind of fault lasts.
+    :param on: the VMs, workers or data hall that it struck.
+    :param detail: a description of what it did there.
     """
 
     kind: FaultKind
@@ -28,30 +28,31 @@
 
 
 FaultAction = Callable[[Fault, random.Random], Awaitable[None]]
-"""Plays a fault from its beginning to its end; all chance comes from its generator."""
+"""Injects a fault from beginning to end; all randomness comes from the given generator."""
 
 
 class FaultInjector:
-    """Draws faults and plays them.
+    """Draws faults and injects them.
 
-    :ivar played: every fault so far, in the order of their beginnings.
+    :param actions: injects the faults of each kind.
+    :ivar injected: all faults so far, in the order of their beginnings.
     """
 
     def __init__(
-        self, mix: FaultMix, plays: Mapping[FaultKind, FaultAction], rng: random.Random
+        self, mix: FaultMix, actions: Mapping[FaultKind, FaultAction], rng: random.Random
     ) -> None:
-        self._plays = plays
+        self._actions = actions
         self._rng = rng
         self._pause_s = mix.pause_s
         self._lasting_s = mix.lasting_s
         self._first_s = mix.first_s
         self._kinds = [kind for kind, weight in mix.weights.items() if weight]
         self._weights = [mix.weights[kind] for kind in self._kinds]
-        self._under_way: set[asyncio.Task[None]] = set()
-        self.played: list[Fault] = []
+        self._running: set[asyncio.Task[None]] = set()
+        self.injected: list[Fault] = []
 
     async def run(self, seconds: float) -> None:
-        """Begin faults for some time, and wait for the last ones to end."""
+        """Start faults for some time, then wait for the last ones to end."""
         if not self._kinds:
             await asyncio.sleep(seconds)
             return
@@ -59,31 +60,31 @@
         until = loop.time() + seconds
         await asyncio.sleep(min(self._first_s, seconds))
         while loop.time() < until:
-            self._begin()
+            self._start_fault()
             await asyncio.sleep(self._rng.uniform(*self._pause_s))
-        await asyncio.gather(*self._under_way)
+        await asyncio.gather(*self._running)
 
     async def stop(self) -> None:
-        """Give up what is under way."""
-        for task in self._under_way:
+        """Cancel all running faults."""
+        for task in self._running:
             task.cancel()
-        await asyncio.gather(*self._under_way, return_exceptions=True)
+        await asyncio.gather(*self._running, return_exceptions=True)
 
-    def _begin(self) -> None:
+    def _start_fault(self) -> None:
         kind = self._rng.choices(self._kinds, self._weights)[0]
         fault = Fault(kind, self._rng.uniform(*self._lasting_s))
         rng = random.Random(self._rng.getrandbits(64))
-        task = asyncio.get_running_loop().create_task(self._play(fault, rng))
-        self._under_way.add(task)
-        task.add_done_callback(self._under_way.discard)
+        task = asyncio.get_running_loop().create_task(self._run_action(fault, rng))
+        self._running.add(task)
+        task.add_done_callback(self._running.discard)
 
-    async def _play(self, fault: Fault, rng: random.Random) -> None:
-        """Play a fault; a process that another fault ends meanwhile is no failure."""
+    async def _run_action(self, fault: Fault, rng: random.Random) -> None:
+        """Inject a fault; a process that another fault ends meanwhile is not an error."""
         loop = asyncio.get_running_loop()
         fault.began_s = loop.time()
-        self.played.append(fault)
+        self.injected.append(fault)
         try:
-            await self._plays[fault.kind](fault, rng)
+            await self._actions[fault.kind](fault, rng)
         except ProcessLookupError:
             fault.detail += " (its process had ended)"
         finally:
--- a/src/saddlestack/soak/gangs.py
+++ b/src/saddlestack/soak/gangs.py
@@ -1,8 +1,9 @@
 """Gangs whose members run in several host processes.
 
-Hosts tell which members are present, and when one ends. The hub tells the hosts of a gang when it
-is whole, at which rate it works, and how it ended. One run of each task counts: another one, or one
-that comes when the gang is whole, waits in vain. A gang works as fast as its slowest member.
+Hosts report which members are present and when one ends. The hub notifies the hosts of a gang when
+it is complete, at which rate it works and how it ended. Only the first run of each task counts: any
+other one, or one that arrives once the gang is complete, waits until it times out. A gang works as
+fast as its slowest member.
 """
 
 from __future__ import annotations
@@ -40,9 +41,11 @@
 class _Gang:
     """One run of a gang.
 
-    :param far_x: it takes so many times as long on more than one rack.
-    :param members: those that are present, by task.
-    :param whole_s: when it became whole; ``None`` before.
+    :param failures: the first so many runs of the gang fail.
+    :param restore_s: the time to restore a checkpoint before the gang works.
+    :param far_x: the factor by which it is slower on more than one rack.
+    :param members: the present members, by task.
+    :param whole_s: when the gang became complete; ``None`` before.
     :param timer: fires when all work is done.
     """
 
@@ -69,8 +72,8 @@
             found.setdefault(member.host, set()).add((member.worker, task))
         return {host: frozenset(members) for host, members in found.items()}
 
-    def holds(self, worker: str, task: str) -> bool:
-        """Whether a worker's run of a task is the one that counts."""
+    def has_member(self, worker: str, task: str) -> bool:
+        """Whether a worker's run of a task is a member."""
         member = self.members.get(task)
         return member is not None and member.worker == worker
 
@@ -80,7 +83,7 @@
 
 
 class GangHub:
-    """Knows all gangs that wait or work.
+    """Coordinates all gangs that wait or work.
 
     :param send: sends a message to a host.
     """
@@ -90,22 +93,22 @@
         self._gangs: dict[GangKey, _Gang] = {}
 
     def receive(self, host: int, message: GangMessage) -> None:
-        """Note what a host tells of a member."""
+        """Process a host's message about a member."""
         key = (message.step, message.run)
         if isinstance(message, MemberPresent):
-            self._present(host, key, message)
+            self._add_member(host, key, message)
             return
         gang = self._gangs.get(key)
-        if gang is None or not gang.holds(message.worker, message.task):
+        if gang is None or not gang.has_member(message.worker, message.task):
             return
         if isinstance(message, MemberPaced):
             gang.members[message.task].rate = message.rate
             if gang.whole_s is not None:
-                self._move(key, gang, gang.whole_s, _now())
+                self._set_progress(key, gang, gang.whole_s, _now())
         else:
-            self._gone(key, gang, message)
+            self._remove_member(key, gang, message)
 
-    def _present(self, host: int, key: GangKey, message: MemberPresent) -> None:
+    def _add_member(self, host: int, key: GangKey, message: MemberPresent) -> None:
         gang = self._gangs.get(key)
         if gang is None:
             progress = Progress(message.work_s, message.done_s)
@@ -116,10 +119,10 @@
         gang.members[message.task] = _Member(host, message.worker, message.rate, message.rack)
         if len(gang.members) == gang.size:
             gang.whole_s = _now()
-            self._move(key, gang, gang.whole_s, gang.whole_s + gang.restore_s)
+            self._set_progress(key, gang, gang.whole_s, gang.whole_s + gang.restore_s)
 
-    def _move(self, key: GangKey, gang: _Gang, whole_s: float, at_s: float) -> None:
-        """Go on at the rate of the members, and tell their hosts."""
+    def _set_progress(self, key: GangKey, gang: _Gang, whole_s: float, at_s: float) -> None:
+        """Update the rate from the members and notify their hosts."""
         gang.progress.set_rate(gang.rate, at_s)
         gang.cancel_timer()
         ends_s = gang.progress.ends_s
@@ -133,7 +136,7 @@
             )
             self._send(host, moved)
 
-    def _gone(self, key: GangKey, gang: _Gang, message: MemberGone) -> None:
+    def _remove_member(self, key: GangKey, gang: _Gang, message: MemberGone) -> None:
         del gang.members[message.task]
         if gang.whole_s is not None:
             self._end(key, gang, EndKind.BROKEN)
--- a/src/saddlestack/soak/invariants.py
+++ b/src/saddlestack/soak/invariants.py
@@ -1,4 +1,4 @@
-"""The judge of a soak: which promises did not hold, from what workers and clients saw alone."""
+"""Checks the invariants of a soak by what workers and clients recorded, and nothing else."""
 
 from __future__ import annotations
 
@@ -17,39 +17,40 @@
 from saddlestack.work import FINAL_STATES, JobRequest, JobState, TaskName
 
 CANCEL_S = 4.0
-"""Nothing of a job starts so long after its cancel was acknowledged. From the platform's bounds."""
+"""No task of a job starts later than this after its cancel was acknowledged. Follows from the
+platform's time bounds."""
 RECLAIM_S = 3.4
-"""An urgent job for which its account owns enough has begun so long after its acceptance. From the
-platform's bounds."""
+"""An urgent job within its account's guarantee has begun within this time after its acceptance.
+Follows from the platform's time bounds."""
 HUB_LAG_S = 2.0
-"""The hub of gangs hears so late at most that a member has ended: on a crowded machine its event
-loop was up to 1.6 s late. A member that ended by less before its gang was whole was present."""
+"""Maximum delay until the gang hub learns that a member has ended: on a crowded machine its event
+loop was up to 1.6 s late. A member that ended less than this before its gang was complete counts as
+present."""
 
 IsUndisturbed = Callable[[int, float], bool]
-"""Whether the VM that held a fencing token was undisturbed up to some time."""
+"""Whether the VM that held a fencing token was undisturbed up to a time."""
 VmOf = Callable[[int], str]
 """The VM that held a fencing token."""
 
-
 CAPACITY_LAG_S = 4.0
-"""A room that has shrunk counts from then on: a heartbeat, and what VMs may take to hear of it."""
+"""A reduced capacity counts after this time: a heartbeat, plus the time until VMs receive it."""
 CRASHES = 3
-"""Once so many workers have crashed under a task that crashes them..."""
-MAX_MORE_STARTS = 3
-"""...it is not started so often more."""
+"""Crashes of workers by one task after which its further starts are limited."""
+EXTRA_STARTS_LIMIT = 3
+"""A task with :data:`CRASHES` crashes must be started fewer times than this afterwards."""
 MIN_CRASHES_TO_FAIL = 2
-"""A task may be given up once so many workers have crashed under it."""
+"""A job may fail once this many workers have crashed while they ran one of its tasks."""
 
 
 class Invariant(enum.StrEnum):
-    """A promise that did not hold."""
+    """The invariants that are checked; the values describe their violations."""
 
     ONE_RUN = "two runs at once"
     ONCE_DONE = "a start after an end that was noted"
     WHOLE_GANG = "a gang worked without all of its members"
-    GANG_TOGETHER = "a member of a gang waited in vain"
+    GANG_ASSEMBLED = "a member of a gang waited in vain"
     DRAIN = "a start on a worker that had announced its end"
-    ROOM = "more than a worker's accelerators"
+    CAPACITY = "more than a worker's accelerators"
     REFUSED = "a refused job ran"
     CANCELLED = "a start after a cancel"
     RECLAIM = "an urgent job waited for what its account owns"
@@ -57,8 +58,8 @@
     ATTEMPTS = "a start after all attempts had failed"
     CRASHES = "a task that crashes its workers was started three times more after three crashes"
     UNKNOWN = "a start of what no client handed in"
-    KEPT = "an accepted job is not over"
-    STANDS_STILL = "a job stood still beside a free pool"
+    FINISHED = "an accepted job is not over"
+    STALL = "a job stood still beside a free pool"
     COMPLETED = "a job is shown as completed and is not done"
     FAILED = "a job is shown as failed without cause"
     NOT_CANCELLED = "a job is shown as cancelled that nobody cancelled"
@@ -66,18 +67,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientJob:
-    """What a client knows of its job.
+    """A job as its client knows it. Times are on the monotonic clock.
 
-    :param accepted: one of its tries was answered with success.
-    :param refused: all of its tries were refused.
-    :param cancel_sent: the client asked for its cancelling...
-    :param cancelled_s: ...and this is when that was acknowledged, on the monotonic clock.
-    :param state: what it was told last, after the soak had settled.
+    :param accepted: one of its submissions succeeded.
+    :param refused: all of its submissions were refused.
+    :param cancel_sent: the client sent a cancel.
+    :param cancelled_s: when the cancel was acknowledged.
+    :param state: the last state that the client received, after the soak had settled.
     :param attempts: failed runs after which a task fails the job.
-    :param account: of its client...
-    :param urgent: ...which owns accelerators for jobs of this kind.
-    :param submitted_s: when the client sent it first...
-    :param accepted_s: ...and when that was answered with success.
+    :param account: the client account that submitted it.
+    :param urgent: the account's guarantee covers jobs of this kind.
+    :param submitted_s: when the client first submitted it.
+    :param accepted_s: when a submission succeeded.
     """
 
     job_id: str
@@ -96,7 +97,12 @@
 
 @dataclass(frozen=True, slots=True)
 class InvariantTimes:
-    """Times that promises speak of, in seconds."""
+    """Time bounds of the invariants, in seconds.
+
+    :param drain_s: a draining worker may get starts for so long after it announced its end.
+    :param cancel_s: see :data:`CANCEL_S`.
+    :param reclaim_s: see :data:`RECLAIM_S`.
+    """
 
     drain_s: float
     cancel_s: float = CANCEL_S
@@ -105,25 +111,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A promise that did not hold.
+    """A violation of an invariant.
 
+    :param at_s: when it happened; infinite for a wrong outcome of a job.
     :param runs: the runs that show it.
-    :param detail: what else there is to say.
+    :param detail: further details for the report.
     """
 
-    promise: Invariant
+    invariant: Invariant
     at_s: float
     job_id: str
     runs: tuple[RunRecord, ...] = ()
     detail: str = ""
 
     def text(self, vm_of: VmOf, start_s: float) -> str:
-        """A line that tells of it: both runs, who ordered each, and what became of them.
+        """Describe the violation in one line: its runs, which VM ordered each, and how they ended.
 
-        :param start_s: when the soak began; all times are told from then on.
+        :param start_s: when the soak began; all times are relative to it.
         """
-        runs = " while ".join(f"[{_told(run, vm_of, start_s)}]" for run in self.runs)
-        parts = [f"{_time(self.at_s, start_s)} {self.promise.value}:", self.job_id, runs]
+        runs = " while ".join(f"[{_describe(run, vm_of, start_s)}]" for run in self.runs)
+        parts = [f"{_time(self.at_s, start_s)} {self.invariant.value}:", self.job_id, runs]
         return " ".join(part for part in (*parts, self.detail) if part)
 
 
@@ -136,11 +143,11 @@
     is_fault_free: Callable[[float], bool] = lambda at_s: False,
     guaranteed: Mapping[str, int] | None = None,
 ) -> list[Violation]:
-    """All promises that did not hold, in the order of time.
+    """Find all violations, in order of time.
 
-    :param is_undisturbed: promises with a time bound hold for orders of VMs in touch only.
-    :param is_fault_free: whether no fault was near some time: a gang's members then meet.
-    :param guaranteed: accelerators that each client account owns.
+    :param is_undisturbed: invariants with a time bound hold only for orders of undisturbed VMs.
+    :param is_fault_free: whether no fault was near a time: a gang's members then assemble.
+    :param guaranteed: the accelerators that each client account is guaranteed.
     """
     return InvariantChecker(
         RunHistory.of(records), jobs, times, is_undisturbed, is_fault_free, guaranteed or {}
@@ -148,65 +155,69 @@
 
 
 class InvariantChecker:
-    """Looks at the account of all runs, and at what clients were told."""
+    """Checks the history of all runs and the states that clients received."""
 
     def __init__(
         self,
-        book: RunHistory,
+        history: RunHistory,
         jobs: Sequence[ClientJob],
         times: InvariantTimes,
         is_undisturbed: IsUndisturbed,
         is_fault_free: Callable[[float], bool],
         guaranteed: Mapping[str, int],
     ) -> None:
-        self._book = book
+        self._history = history
         self._guaranteed = guaranteed
-        self._runs = book.runs
-        self._tasks = book.by_task()
-        self._steps = book.by_step()
+        self._runs = history.runs
+        self._tasks = history.by_task()
+        self._steps = history.by_step()
         self._jobs = {job.job_id: job for job in jobs}
         self._times = times
-        self._in_touch = is_undisturbed
-        self._calm = is_fault_free
-        self._done = _done_tasks(book.runs)
+        self._is_undisturbed = is_undisturbed
+        self._is_fault_free = is_fault_free
+        self._done = _done_tasks(history.runs)
 
     def check_invariants(self) -> list[Violation]:
-        """All promises that did not hold."""
+        """Find all violations, in order of time."""
         found = itertools.chain(
-            self._two_runs(),
+            self._concurrent_runs(),
             self._starts_after_done(),
-            self._gangs(),
-            self._draining(),
-            self._room(),
-            self._starts(),
-            self._attempts(),
-            self._crashes(),
-            self._reclaims(),
-            self._outcomes(),
+            self._gang_violations(),
+            self._late_starts_on_draining(),
+            self._overcommits(),
+            self._invalid_starts(),
+            self._starts_after_failure(),
+            self._starts_after_crashes(),
+            self._missed_reclaims(),
+            self._wrong_outcomes(),
         )
-        return sorted(found, key=lambda broken: broken.at_s)
+        return sorted(found, key=lambda violation: violation.at_s)
 
     # Runs of one task
 
-    def _two_runs(self) -> Iterator[Violation]:
-        """Runs on workers that are up; whether a VM reaches them does not matter."""
+    def _concurrent_runs(self) -> Iterator[Violation]:
+        """Find runs of one task at once on live workers, whether or not VMs can reach those."""
         for task, runs in self._tasks.items():
             if self._is_speculative(task):
                 continue
             for first, second in itertools.combinations(runs, 2):
                 if second.began_s < first.effective_end_s:
-                    yield _broken(Invariant.ONE_RUN, second, first)
+                    yield _violation(Invariant.ONE_RUN, second, first)
 
     def _starts_after_done(self) -> Iterator[Violation]:
-        """An end counts that was noted then or later; of a gang, one member's is for all."""
+        """Find starts of done tasks.
+
+        An end counts even if it was acknowledged after the start. For a gang, the end of one member
+        counts for all.
+        """
         for runs in self._steps.values():
             ends = [run for run in runs if run.is_done and run.is_acknowledged]
             for run in runs if ends else ():
                 if self._is_speculative(run.task):
                     continue
-                done = _first_done(ends, run, shared=bool(run.gang))
+                done = _first_done_end(ends, run, shared=bool(run.gang))
                 if done is not None and run.began_s > done.ended_s:
-                    yield _broken(Invariant.ONCE_DONE, run, done)
+                    yield _violation(Invariant.ONCE_DONE, run, done)
 
     def _is_speculative(self, task: TaskName) -> bool:
         job = self._jobs.get(task.job_id)
@@ -214,77 +225,77 @@
 
     # Gangs
 
-    def _gangs(self) -> Iterator[Violation]:
+    def _gang_violations(self) -> Iterator[Violation]:
         gangs: dict[tuple[StepKey, int], list[RunRecord]] = defaultdict(list)
         for run in self._runs:
             if run.gang:
                 gangs[(run.step, run.number)].append(run)
         for members in gangs.values():
-            yield from self._gang(members)
+            yield from self._violations_of_gang(members)
 
-    def _gang(self, members: list[RunRecord]) -> Iterator[Violation]:
+    def _violations_of_gang(self, members: list[RunRecord]) -> Iterator[Violation]:
         for run in members:
             if run.work_began_s is not None:
                 present = _present_at(members, run.work_began_s)
                 if present < run.gang:
                     detail = f"{present} of {run.gang} members were present"
-                    yield _broken(Invariant.WHOLE_GANG, run, detail=detail)
-            if run.how is EndKind.ALONE and self._should_have_met(run):
-                yield _broken(Invariant.GANG_TOGETHER, run)
+                    yield _violation(Invariant.WHOLE_GANG, run, detail=detail)
+            if run.how is EndKind.ALONE and self._should_have_assembled(run):
+                yield _violation(Invariant.GANG_ASSEMBLED, run)
 
-    def _should_have_met(self, run: RunRecord) -> bool:
+    def _should_have_assembled(self, run: RunRecord) -> bool:
         job = self._jobs.get(run.task.job_id)
         cancelled = job is not None and job.cancel_sent
-        return not cancelled and not run.late and self._calm(run.ended_s)
+        return not cancelled and not run.late and self._is_fault_free(run.ended_s)
 
     # Workers
 
-    def _draining(self) -> Iterator[Violation]:
+    def _late_starts_on_draining(self) -> Iterator[Violation]:
         for run in self._runs:
             late_s = run.ordered_s - run.incarnation.announced_s - self._times.drain_s
-            if late_s > 0 and not run.late and self._in_touch(run.fence, run.ordered_s):
-                yield _broken(Invariant.DRAIN, run, detail=f"{late_s:.3f} s too late")
+            if late_s > 0 and not run.late and self._is_undisturbed(run.fence, run.ordered_s):
+                yield _violation(Invariant.DRAIN, run, detail=f"{late_s:.3f} s too late")
 
-    def _room(self) -> Iterator[Violation]:
-        """What is being stopped takes room until its end."""
+    def _overcommits(self) -> Iterator[Violation]:
+        """Find overcommitted workers; a run that is being stopped holds capacity until its end."""
         workers: dict[str, list[RunRecord]] = defaultdict(list)
         for run in self._runs:
             workers[run.incarnation.worker].append(run)
         for runs in workers.values():
-            yield from _too_many(runs, self._in_touch)
+            yield from _overcommitted_starts(runs, self._is_undisturbed)
 
-    # Single starts
+    # Starts
 
-    def _starts(self) -> Iterator[Violation]:
+    def _invalid_starts(self) -> Iterator[Violation]:
         for run in self._runs:
             job = self._jobs.get(run.task.job_id)
             if job is None:
-                yield _broken(Invariant.UNKNOWN, run)
+                yield _violation(Invariant.UNKNOWN, run)
                 continue
             if job.refused:
-                yield _broken(Invariant.REFUSED, run)
+                yield _violation(Invariant.REFUSED, run)
             if self._is_after_cancel(run, job):
-                yield _broken(Invariant.CANCELLED, run, detail="after its acknowledgement")
-            if not self._may_begin(run, job):
-                yield _broken(Invariant.ORDER, run)
+                yield _violation(Invariant.CANCELLED, run, detail="after its acknowledgement")
+            if not self._prerequisites_are_done(run, job):
+                yield _violation(Invariant.ORDER, run)
 
     def _is_after_cancel(self, run: RunRecord, job: ClientJob) -> bool:
         if job.cancelled_s is None or run.late:
             return False
         bound_s = job.cancelled_s + self._times.cancel_s
-        return run.ordered_s > bound_s and self._in_touch(run.fence, run.ordered_s)
+        return run.ordered_s > bound_s and self._is_undisturbed(run.fence, run.ordered_s)
 
-    def _may_begin(self, run: RunRecord, job: ClientJob) -> bool:
-        """Whether all tasks of the steps that it needs were done when it began."""
+    def _prerequisites_are_done(self, run: RunRecord, job: ClientJob) -> bool:
+        """Whether all tasks of the steps that a run depends on were done when it began."""
         job_id, occurrence, step = run.step
         for needed in job.request.steps[step].after:
             done = self._done.get((job_id, occurrence, needed), {})
             before = sum(1 for ended_s in done.values() if ended_s <= run.began_s)
-            if before < _least_done(job, needed):
+            if before < _required_ends(job, needed):
                 return False
         return True
 
-    def _attempts(self) -> Iterator[Violation]:
+    def _starts_after_failure(self) -> Iterator[Violation]:
         for task, runs in self._tasks.items():
             job = self._jobs.get(task.job_id)
             if job is None or job.request.steps[task.step].long_running:
@@ -296,12 +307,12 @@
                 continue
             for run in runs:
                 if run.began_s > failed[job.attempts - 1]:
-                    yield _broken(Invariant.ATTEMPTS, run, detail=f"{len(failed)} failed")
+                    yield _violation(Invariant.ATTEMPTS, run, detail=f"{len(failed)} failed")
 
-    def _crashes(self) -> Iterator[Violation]:
-        """A task that crashes its workers is started few times more."""
+    def _starts_after_crashes(self) -> Iterator[Violation]:
+        """Find tasks that were started too often after they had crashed their workers."""
         crashed: dict[str, list[float]] = defaultdict(list)
-        for incarnation in self._book.incarnations.values():
+        for incarnation in self._history.incarnations.values():
             if incarnation.crashed_by:
                 crashed[incarnation.crashed_by].append(incarnation.ended_s)
         for task, times in crashed.items():
@@ -310,24 +321,26 @@
             third_s = sorted(times)[CRASHES - 1]
             runs = self._tasks.get(TaskName.parse(task), [])
             later = [run for run in runs if run.began_s > third_s and not run.late]
-            for run in later[MAX_MORE_STARTS - 1 :]:
-                yield _broken(Invariant.CRASHES, run, detail=f"{len(times)} crashes")
+            for run in later[EXTRA_STARTS_LIMIT - 1 :]:
+                yield _violation(Invariant.CRASHES, run, detail=f"{len(times)} crashes")
 
-    def _may_be_given_up(self, job: ClientJob) -> bool:
-        """Whether two workers, or more, have crashed under a task of a job."""
+    def _may_fail_by_crashes(self, job: ClientJob) -> bool:
+        """Whether enough workers have crashed under one task of a job for the job to fail."""
         for task, runs in self._tasks.items():
             if task.job_id != job.job_id:
                 continue
-            if sum(1 for run in runs if _is_lost(run)) >= MIN_CRASHES_TO_FAIL:
+            if sum(1 for run in runs if _lost_in_crash(run)) >= MIN_CRASHES_TO_FAIL:
                 return True
         return False
 
     # Guarantees
 
-    def _reclaims(self) -> Iterator[Violation]:
+    def _missed_reclaims(self) -> Iterator[Violation]:
         urgent = [_urgent(job) for job in self._jobs.values() if job.urgent]
         reclaim_s = self._times.reclaim_s
-        for missed in missed_reclaims(self._book, urgent, self._guaranteed, reclaim_s, self._calm):
+        for missed in missed_reclaims(
+            self._history, urgent, self._guaranteed, reclaim_s, self._is_fault_free
+        ):
             job = missed.job
             detail = (
                 f"{missed.begun} of {job.request.steps[0].count} tasks had begun, {job.account}"
@@ -335,38 +348,41 @@
             )
             yield Violation(Invariant.RECLAIM, missed.bound_s, job.job_id, (), detail)
 
-    # What clients were told
+    # Outcomes of jobs
 
-    def _outcomes(self) -> Iterator[Violation]:
+    def _wrong_outcomes(self) -> Iterator[Violation]:
         for job in self._jobs.values():
             if job.accepted:
-                promise, detail = self._outcome(job)
-                if promise is not None:
-                    yield Violation(promise, math.inf, job.job_id, (), detail)
+                invariant, detail = self._check_outcome(job)
+                if invariant is not None:
+                    yield Violation(invariant, math.inf, job.job_id, (), detail)
 
-    def _outcome(self, job: ClientJob) -> tuple[Invariant | None, str]:
-        """Which promise about an accepted job's state is broken, and how."""
+    def _check_outcome(self, job: ClientJob) -> tuple[Invariant | None, str]:
+        """Return the invariant that the state of an accepted job violates, if any, and how."""
         if job.state is JobState.COMPLETED:
-            missing = self._undone(job)
+            missing = self._count_undone(job)
             return (Invariant.COMPLETED, f"{missing} tasks are not done") if missing else (None, "")
         if job.state is JobState.FAILED:
-            allowed = self._has_failed(job) or self._may_be_given_up(job)
+            allowed = self._has_failed(job) or self._may_fail_by_crashes(job)
             return (None, "") if allowed else (Invariant.FAILED, "")
         if job.state is JobState.CANCELLED:
             return (None, "") if job.cancel_sent else (Invariant.NOT_CANCELLED, "")
         state = "unknown" if job.state is None else job.state.value
-        return Invariant.KEPT, f"its state is {state}, {self._undone(job)} tasks are not done"
+        return (
+            Invariant.FINISHED,
+            f"its state is {state}, {self._count_undone(job)} tasks are not done",
+        )
 
-    def _undone(self, job: ClientJob) -> int:
+    def _count_undone(self, job: ClientJob) -> int:
         missing = 0
         for number, step in enumerate(job.request.steps):
             done = self._done.get((job.job_id, 0, number), {})
-            if len(done) < _least_done(job, number):
+            if len(done) < _required_ends(job, number):
                 missing += step.count - len(done)
         return missing
 
     def _has_failed(self, job: ClientJob) -> bool:
-        """Whether a task, or a gang, has failed as often as it may."""
+        """Whether a task or a gang of a job has used up its attempts."""
         failed: dict[object, int] = defaultdict(int)
         for number, step in enumerate(job.request.steps):
             for run in self._steps.get((job.job_id, 0, number), []):
@@ -375,7 +391,7 @@
         return max(failed.values(), default=0) >= job.attempts
 
 
-def _is_lost(run: RunRecord) -> bool:
+def _lost_in_crash(run: RunRecord) -> bool:
     """Whether a run was lost with a worker that crashed."""
     return run.incarnation.crashed and run.incarnation.ended_s < run.ended_s
 
@@ -393,7 +409,7 @@
 
 
 def _done_tasks(runs: Iterable[RunRecord]) -> dict[StepKey, dict[int, float]]:
-    """When the tasks of each step were done first."""
+    """The first time at which each task of each step was done."""
     found: dict[StepKey, dict[int, float]] = defaultdict(dict)
     for run in runs:
         if run.is_done:
@@ -402,19 +418,19 @@
     return found
 
 
-def _least_done(job: ClientJob, step: int) -> int:
-    """Ends as done that make a step done: of a gang, one stands for all."""
+def _required_ends(job: ClientJob, step: int) -> int:
+    """Done tasks that make a step done: for a gang, one stands for all."""
     return 1 if job.request.steps[step].gang else job.request.steps[step].count
 
 
-def _first_done(ends: list[RunRecord], run: RunRecord, *, shared: bool) -> RunRecord | None:
-    """The first end as done that ends a run's task too."""
+def _first_done_end(ends: list[RunRecord], run: RunRecord, *, shared: bool) -> RunRecord | None:
+    """The first run that completed the task of a run, or its whole gang if shared."""
     mine = [end for end in ends if shared or end.task == run.task]
     return min(mine, key=lambda end: end.ended_s, default=None)
 
 
 def _present_at(members: list[RunRecord], at_s: float) -> int:
-    """Tasks of a gang that were present at some time."""
+    """The number of tasks of a gang that were present at a time."""
     return len(
         {
             member.task
@@ -424,33 +440,36 @@
     )
 
 
-def _too_many(runs: list[RunRecord], is_undisturbed: IsUndisturbed) -> Iterator[Violation]:
-    """Starts that take a worker past its room.
+def _overcommitted_starts(
+    runs: list[RunRecord], is_undisturbed: IsUndisturbed
+) -> Iterator[Violation]:
+    """Find starts that exceed a worker's capacity.
 
-    Where that has shrunk, orders count of VMs in touch that were not carried out late.
+    On a worker whose capacity has changed, only orders of undisturbed VMs that were not carried out
+    late count.
     """
-    taken = 0
+    used = 0
     ends: list[tuple[float, int]] = []
     for run in sorted(runs, key=lambda run: run.began_s):
         while ends and ends[0][0] <= run.began_s:
-            taken -= heapq.heappop(ends)[1]
-        taken += run.accelerators
+            used -= heapq.heappop(ends)[1]
+        used += run.accelerators
         heapq.heappush(ends, (run.effective_end_s, run.accelerators))
-        room = run.incarnation.max_accelerators_at(run.ordered_s, CAPACITY_LAG_S)
-        judged = not run.incarnation.resized or (
+        capacity = run.incarnation.max_accelerators_at(run.ordered_s, CAPACITY_LAG_S)
+        is_checked = not run.incarnation.resized or (
             not run.late and is_undisturbed(run.fence, run.ordered_s)
         )
-        if taken > room and judged:
-            detail = f"{taken} of {room} accelerators are taken"
-            yield _broken(Invariant.ROOM, run, detail=detail)
+        if used > capacity and is_checked:
+            detail = f"{used} of {capacity} accelerators are taken"
+            yield _violation(Invariant.CAPACITY, run, detail=detail)
 
 
-def _broken(promise: Invariant, *runs: RunRecord, detail: str = "") -> Violation:
-    return Violation(promise, runs[0].began_s, runs[0].task.job_id, runs, detail)
+def _violation(invariant: Invariant, *runs: RunRecord, detail: str = "") -> Violation:
+    return Violation(invariant, runs[0].began_s, runs[0].task.job_id, runs, detail)
 
 
-def _told(run: RunRecord, vm_of: VmOf, start_s: float) -> str:
-    """One run, from its order to the acknowledgement of its end."""
+def _describe(run: RunRecord, vm_of: VmOf, start_s: float) -> str:
+    """Describe a run, from its order to the acknowledgement of its end."""
     incarnation = run.incarnation
     how = "running" if run.how is None else run.how.value
     if run.how is None and incarnation.ended_s < math.inf:
@@ -459,16 +478,16 @@
             if incarnation.crashed
             else "with its worker, which left"
         )
-    noted = "no" if run.acknowledged_s is None else _time(run.acknowledged_s, start_s)
-    if run.lapsed:
-        noted += " after the lease had lapsed"
+    acknowledged = "no" if run.acknowledged_s is None else _time(run.acknowledged_s, start_s)
+    if run.lease_expired:
+        acknowledged += " after the lease had lapsed"
     return (
         f"{run.task} run {run.number} on {incarnation.worker}"
         f" ({incarnation.hall}, {incarnation.rack})"
         f" from {vm_of(run.fence)}, order {_time(run.ordered_s, start_s)}"
         f" late {str(run.late).lower()}, start {_time(run.began_s, start_s)}"
         f" stop {_stop(run, vm_of, start_s)}"
-        f" end {_time(run.effective_end_s, start_s)} {how} noted {noted}"
+        f" end {_time(run.effective_end_s, start_s)} {how} noted {acknowledged}"
     )
 
 
--- a/src/saddlestack/soak/lease.py
+++ b/src/saddlestack/soak/lease.py
@@ -1,4 +1,4 @@
-"""The lease that a worker grants to all that runs there, on its own steady clock."""
+"""The lease that a worker grants to all of its runs, on its own monotonic clock."""
 
 from __future__ import annotations
 
@@ -8,75 +8,75 @@
 from collections.abc import Callable
 
 SLOWEST_CLOCK = 0.98
-"""A worker's clock runs true, or up to 2 % slow."""
+"""The lowest rate of a worker's clock: it is exact or up to 2 % slow."""
 CLOCK_STARTS_MS = (100_000, 900_000)
-"""A worker's clock starts at any value; these are told apart from each other and from ours."""
+"""The range of start values of workers' clocks; they differ from each other and from ours."""
 
 
 class WorkerClock:
-    """A worker's clock, which starts anywhere and may run slow."""
+    """A worker's monotonic clock, which starts at a random value and may run slow."""
 
     def __init__(self, rng: random.Random) -> None:
-        self._born_s = _now()
+        self._started_s = _now()
         self._start_ms = rng.randrange(*CLOCK_STARTS_MS)
         self._rate = rng.uniform(SLOWEST_CLOCK, 1.0)
 
     def ms(self) -> float:
-        """What it says."""
-        return self._start_ms + (_now() - self._born_s) * 1000 * self._rate
+        """The reading of the clock, in milliseconds."""
+        return self._start_ms + (_now() - self._started_s) * 1000 * self._rate
 
     def remaining_s(self, ms: float) -> float:
-        """True time until it says so."""
+        """The real time until the clock reads a value."""
         return (ms - self.ms()) / 1000 / self._rate
 
 
 class Lease:
-    """Until when all that runs at a worker may run.
+    """The time until which all runs of a worker may continue.
 
-    :param longest_s: no lease is longer.
-    :param on_expiry: called when the lease is over, and whenever it is asked for afterwards.
-    :ivar expired_s: when it was seen to be over last.
+    :param longest_s: the maximum length of the lease.
+    :param on_expiry: called when the lease expires, and on each check afterwards.
+    :ivar expired_s: when a check last found the lease expired.
     """
 
     def __init__(self, clock: WorkerClock, longest_s: float, on_expiry: Callable[[], None]) -> None:
         self._clock = clock
         self._longest_ms = longest_s * 1000
-        self._on_lapse = on_expiry
+        self._on_expiry = on_expiry
         self._until_ms = 0.0
         self._timer: asyncio.TimerHandle | None = None
         self.expired_s = -math.inf
 
     def extend(self, deadline_ms: int) -> None:
-        """Let it last until then; it is never shortened."""
+        """Extend the lease to a deadline on the worker's clock; it is never shortened."""
         until_ms = min(float(deadline_ms), self._clock.ms() + self._longest_ms)
         if until_ms <= self._until_ms:
             return
         self._until_ms = until_ms
         if self._timer is None:
-            self._watch()
+            self._start_timer()
 
     def check(self) -> bool:
-        """Whether it is over; a timer may be late."""
+        """Check whether the lease has expired, because its timer may be late."""
         if self._clock.ms() < self._until_ms:
             return False
         self.expired_s = _now()
-        self._on_lapse()
+        self._on_expiry()
         return True
 
     def cancel(self) -> None:
-        """Watch it no more."""
+        """Cancel the timer."""
         if self._timer is not None:
             self._timer.cancel()
 
-    def _watch(self) -> None:
-        """Look again when it is over, as far as is known now."""
+    def _start_timer(self) -> None:
+        """Schedule a check for the currently known expiry."""
         left_s = self._clock.remaining_s(self._until_ms)
-        self._timer = asyncio.get_running_loop().call_later(left_s, self._due)
+        self._timer = asyncio.get_running_loop().call_later(left_s, self._on_timer)
 
-    def _due(self) -> None:
+    def _on_timer(self) -> None:
         self._timer = None
         if not self.check():
-            self._watch()
+            self._start_timer()
 
 
 def _now() -> float:
--- a/src/saddlestack/soak/logsearch.py
+++ b/src/saddlestack/soak/logsearch.py
@@ -1,4 +1,4 @@
-"""Finds the log lines of a soak's VMs that name jobs, and the starts that they ordered."""
+"""Searches the logs of a soak's VMs for lines that name jobs and for ordered starts."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 def lines_of(logs: Sequence[Path], jobs: Collection[str], most: int) -> dict[str, list[str]]:
-    """The lines that name each job, in the order of their times.
+    """Find the lines that name each job, in order of time.
 
-    :param jobs: ids.
-    :param most: lines that are kept of a job, the first ones.
+    :param jobs: the ids of the jobs.
+    :param most: the maximum number of lines per job; the first ones are kept.
     """
     if not jobs:
         return {}
@@ -32,34 +32,35 @@
     return {job_id: sorted(lines)[:most] for job_id, lines in found.items()}
 
 
-class _OrderLine(msgspec.Struct):
+class _StartLine(msgspec.Struct):
     time: str
     event: str = ""
     task: str = ""
     worker: str = ""
 
 
-def orders_of(
+def ordered_starts_of(
     logs: Sequence[Path], jobs: Collection[str], epoch_s: float, most: int
 ) -> dict[str, list[OrderedStart]]:
-    """The starts that VMs ordered of each job, as their lines `start` tell.
+    """Find the starts that VMs ordered for each job, from the log lines of the event ``start``.
 
-    :param epoch_s: 1970 on the monotonic clock.
+    :param epoch_s: the Unix epoch on the monotonic clock.
+    :param most: the maximum number of lines per job that are searched.
     """
     found: dict[str, list[OrderedStart]] = defaultdict(list)
     for job_id, lines in lines_of(logs, jobs, most).items():
         for text in lines:
-            line = _order_line(text)
+            line = _parse_start(text)
             if line is not None and line.task.startswith(f"{job_id}."):
                 at_s = datetime.strptime(line.time, TIME_FORMAT).timestamp() + epoch_s
                 found[job_id].append(OrderedStart(at_s, line.worker))
     return found
 
 
-def _order_line(text: str) -> _OrderLine | None:
-    """A line of an ordered start; a process that was killed may have cut its last one short."""
+def _parse_start(text: str) -> _StartLine | None:
+    """Parse a line; ``None`` for other events and for a last line that a kill truncated."""
     try:
-        line = msgspec.json.decode(text, type=_OrderLine)
+        line = msgspec.json.decode(text, type=_StartLine)
     except (msgspec.DecodeError, UnicodeDecodeError):
         return None
     return line if line.event == "start" else None
--- a/src/saddlestack/soak/progress.py
+++ b/src/saddlestack/soak/progress.py
@@ -1,4 +1,4 @@
-"""How much of its work a run has done."""
+"""The progress of a run."""
 
 from __future__ import annotations
 
@@ -8,10 +8,11 @@
 
 @dataclass(slots=True)
 class Progress:
-    """Seconds of work, done at a rate that changes.
+    """Seconds of work that are done at a variable rate.
 
-    :param work_s: all of it.
-    :param done_s: done at ``since_s``, from when on it goes on at ``rate``.
+    :param work_s: the total work.
+    :param done_s: the work done at ``since_s``.
+    :param rate: the rate since then; 0 while the run is paused.
     """
 
     work_s: float
@@ -20,19 +21,19 @@
     since_s: float = 0.0
 
     def at(self, now: float) -> float:
-        """Seconds of work done by now."""
+        """The seconds of work done at a time."""
         worked = max(0.0, now - self.since_s) * self.rate
         return min(self.work_s, self.done_s + worked)
 
     def set_rate(self, rate: float, since_s: float) -> None:
-        """Work at another rate from some moment on."""
+        """Change the rate from a time on."""
         self.done_s = self.at(since_s)
         self.rate = rate
         self.since_s = max(self.since_s, since_s)
 
     @property
     def ends_s(self) -> float:
-        """When all work is done; infinite while it stands still."""
+        """When all work will be done; infinite at rate 0."""
         if not self.rate:
             return math.inf
         return self.since_s + (self.work_s - self.done_s) / self.rate
--- a/src/saddlestack/soak/report.py
+++ b/src/saddlestack/soak/report.py
@@ -1,4 +1,4 @@
-"""The report of a soak: JSON for machines, lines for readers."""
+"""The report of a soak, as JSON and as text."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from saddlestack.soak.shape import JobKind
 
 MAX_LAG_S = 0.25
-"""Stand-ins that are later than this do not keep time: a VM then counts the store as lost."""
+"""The maximum lag of stand-ins: with more, a VM considers the store unavailable."""
 MAX_LINES = 400
-"""Log lines that are kept of one broken promise."""
+"""The number of log lines that are kept of one violation."""
 
 
 class TimeSummary(msgspec.Struct, frozen=True):
-    """A spread of times, in seconds."""
+    """Count, median, 99th percentile and maximum of some times, in seconds."""
 
     count: int = 0
     median_s: float = 0.0
@@ -29,7 +29,7 @@
 
     @classmethod
     def of(cls, times: Sequence[float]) -> TimeSummary:
-        """The spread of some times."""
+        """Summarize some times."""
         if not times:
             return cls()
         return cls(len(times), quantile(times, 0.5), quantile(times, 0.99), max(times))
@@ -39,11 +39,11 @@
 
 
 class KindReport(msgspec.Struct):
-    """What became of the jobs of one kind.
+    """The outcomes of the jobs of one kind.
 
-    :param tasks: of all jobs that were accepted.
-    :param acceptance: from the first try to the success.
-    :param begins: from the first try to the moment when a first task works.
+    :param tasks: the number of tasks of all accepted jobs.
+    :param acceptance: from the first submission to the acceptance.
+    :param begins: from the first submission until the first task works.
     :param in_time: the share of completed jobs that met their objective.
     """
 
@@ -63,10 +63,11 @@
 
 
 class VmReport(msgspec.Struct):
-    """What one VM used.
+    """The resource usage of one VM.
 
-    :param mean: of one processor, over the whole soak.
-    :param highest: of one processor, in the busiest second.
+    :param mean: the share of one processor, over the whole soak.
+    :param highest: the share of one processor in the busiest second.
+    :param highest_s: when that second was.
     """
 
     name: str
@@ -77,7 +78,7 @@
 
 
 class LagReport(msgspec.Struct):
-    """How late a stand-in's event loop was, and what it used of one processor."""
+    """The event loop lag of a stand-in and its share of one processor."""
 
     name: str
     lag: TimeSummary
@@ -86,9 +87,9 @@
 
 
 class BrokenReport(msgspec.Struct):
-    """A promise that did not hold.
+    """A violation of an invariant.
 
-    :param text: one line: what, when, and both runs.
+    :param text: a one-line description with the time and the runs.
     :param lines: log lines of VMs that name the job.
     """
 
@@ -100,12 +101,12 @@
 
 
 class StandstillReport(msgspec.Struct):
-    """A job that stood still beside a free pool for too long.
+    """A job that stalled beside a free pool.
 
-    :param used: accelerators that were held when it had stood for too long...
-    :param total: ...of so many.
-    :param beside: runs of other jobs that began meanwhile, before the moment in which it went on.
-    :param excuses: what explains it; empty where nothing does.
+    :param used: accelerators in use when the job began to count as stalled.
+    :param total: all accelerators of the pool at that time.
+    :param beside: runs of other jobs that began meanwhile, before the job continued.
+    :param excuses: the causes of the stall; empty if nothing explains it.
     """
 
     job_id: str
@@ -117,20 +118,21 @@
     excuses: list[str]
 
     def __str__(self) -> str:
-        why = "; ".join(self.excuses) or "nothing explains it"
+        causes = "; ".join(self.excuses) or "nothing explains it"
         return (
             f"{self.since_s:9.3f} to {self.until_s:9.3f}  {self.job_id}: {self.used} of "
-            f"{self.total} accelerators in use, {self.beside} runs of others began: {why}"
+            f"{self.total} accelerators in use, {self.beside} runs of others began: {causes}"
         )
 
 
 class SoakReport(msgspec.Struct):
-    """All that came of one soak. Times are seconds from its start.
+    """The results of a soak. Times are seconds from its start.
 
-    :param started_at: wall time of the start, as the logs spell it.
-    :param troubled: what went wrong with the soak itself: its verdict counts for nothing.
-    :param standstills: all jobs that stood still, broken promises and explained ones.
-    :param logs: the folder with all logs, where it was kept.
+    :param started_at: wall time of the start, in the format of the logs.
+    :param broken: all violations of invariants.
+    :param troubled: faults of the soak itself, which make its result invalid.
+    :param standstills: all stalls, explained or not.
+    :param logs: the folder with all logs, if it was kept.
     """
 
     shape: str
@@ -154,36 +156,36 @@
 
     @property
     def good(self) -> bool:
-        """Whether every promise held, and the soak itself was sound."""
+        """Whether every invariant held and the soak itself had no faults."""
         return not self.broken and not self.troubled
 
     @property
     def late(self) -> list[str]:
-        """Stand-ins that did not keep time: the machine bore more than it can, or they do."""
+        """Stand-ins that exceeded the maximum lag: the machine or the stand-in was overloaded."""
         return [each.name for each in self.stand_ins if each.lag.longest_s > MAX_LAG_S]
 
     @property
     def accepted(self) -> int:
-        """Jobs that were accepted."""
+        """The number of accepted jobs."""
         return sum(kind.accepted for kind in self.kinds)
 
     @property
     def explained(self) -> int:
-        """Jobs that stood still by a fault near them."""
-        return sum(bool(stood.excuses) for stood in self.standstills)
+        """The number of stalls that a fault explains."""
+        return sum(bool(stall.excuses) for stall in self.standstills)
 
     @property
     def unfinished(self) -> int:
-        """Accepted jobs that were not over in the end."""
+        """The number of accepted jobs that were not over at the end."""
         return sum(kind.unfinished for kind in self.kinds)
 
     def write(self, path: Path) -> None:
-        """Write the report as JSON, and as text beside it."""
+        """Write the report as JSON, and as text to a file beside it."""
         path.write_bytes(msgspec.json.format(msgspec.json.encode(self)))
         path.with_suffix(".txt").write_text("\n".join(self.lines()) + "\n", encoding="utf-8")
 
     def summary(self) -> str:
-        """One line."""
+        """Summarize the soak in one line."""
         jobs = sum(kind.jobs for kind in self.kinds)
         return (
             f"seed {self.seed}: {jobs} jobs, {self.accepted} accepted, {len(self.faults)} faults, "
@@ -194,7 +196,7 @@
         )
 
     def lines(self) -> Iterator[str]:
-        """The report for readers."""
+        """Return the lines of the text report."""
         yield f"{self.shape}, {self.summary()}"
         yield (
             f"{self.vms} VMs, {self.workers} workers, {self.seconds:g} s of faults, "
@@ -213,7 +215,7 @@
         for fault in self.faults:
             ended = "on" if fault.ended_s is None else f"{fault.ended_s:.3f}"
             yield f"  {fault.began_s:9.3f} to {ended:>9}  {fault.kind} {fault.on}: {fault.detail}"
-        yield from self._standstill_lines()
+        yield from self._stall_lines()
         yield ""
         yield f"Broken promises: {len(self.broken)}"
         for broken in self.broken:
@@ -235,16 +237,16 @@
                 f"{kind.in_time:.1%} of the completed in time"
             )
 
-    def _standstill_lines(self) -> Iterator[str]:
-        beside = sum(bool(stood.beside) for stood in self.standstills)
-        by_excuse = Counter(excuse for stood in self.standstills for excuse in stood.excuses)
+    def _stall_lines(self) -> Iterator[str]:
+        beside = sum(bool(stall.beside) for stall in self.standstills)
+        by_cause = Counter(cause for stall in self.standstills for cause in stall.excuses)
         yield ""
         yield (
             f"Jobs that stood still: {len(self.standstills)}, of which a fault near explains "
             f"{self.explained} (more than one may); beside {beside} of them others began to run"
         )
-        yield from (f"  {count:4}  {excuse}" for excuse, count in by_excuse.most_common())
-        yield from (f"  {stood}" for stood in self.standstills)
+        yield from (f"  {count:4}  {cause}" for cause, count in by_cause.most_common())
+        yield from (f"  {stall}" for stall in self.standstills)
 
     def _load_lines(self) -> Iterator[str]:
         yield ""
@@ -264,11 +266,11 @@
 
 
 def objective_s(kind: JobKind, work_s: float) -> float:
-    """A job of a kind is in time where it is done within this."""
+    """Return the time within which a job of a kind has to be done to meet its objective."""
     return kind.stretch * work_s + kind.target_s
 
 
 def quantile(values: Sequence[float], share: float) -> float:
-    """The smallest value that a share of all does not exceed."""
+    """Return the smallest value that at least a share of all values does not exceed."""
     ordered = sorted(values)
     return ordered[max(0, math.ceil(share * len(ordered)) - 1)]
--- a/src/saddlestack/soak/rewriting.py
+++ b/src/saddlestack/soak/rewriting.py
@@ -1,4 +1,4 @@
-"""Workers' records as another writer leaves them, until the worker writes its own again."""
+"""Workers' records as another writer overwrites them, until the worker's next heartbeat."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 UNREADABLE = b"\xff\xfe"
 OTHER_ADDRESS = "127.0.0.1:9"
-"""A port at which nobody serves."""
+"""A port without a listener."""
 
 
 def rewritten(entry: WorkerBody, how: Rewriting) -> bytes:
-    """A worker's record after another writer."""
+    """Encode a worker's record as another writer leaves it."""
     if how is Rewriting.UNREADABLE:
         return UNREADABLE
     return msgspec.json.encode(_changed(entry, how))
--- a/src/saddlestack/soak/run.py
+++ b/src/saddlestack/soak/run.py
@@ -1,4 +1,4 @@
-"""One soak: processes, load and faults from one seed, and its report."""
+"""Runs a soak: processes, load and faults from one seed, and its report."""
 
 from __future__ import annotations
 
@@ -26,19 +26,19 @@
 from saddlestack.soak.worker_faults import WorkerFaults
 from saddlestack.standins.ports import LOOPBACK
 
-READY_S = 60.0
+READY_TIMEOUT_S = 60.0
 FIRST_NETWORK = 130
 NETWORKS = 100
 
 
 @dataclass(frozen=True, slots=True)
 class SoakPlan:
-    """What is run.
+    """What to run.
 
-    :param seconds: for how long faults come; none come where it is 0.
-    :param calm_s: load without faults before that, beside the shape's own.
+    :param seconds: for how long faults are injected; 0 for no faults.
+    :param calm_s: load without faults before that, in addition to the shape's ``lead_s``.
     :param program: the sources that entry VMs run.
-    :param keep_logs: the logs are kept also where no promise broke.
+    :param keep_logs: keep the logs even if no invariant was violated.
     """
 
     shape: SoakShape
@@ -50,7 +50,7 @@
 
 
 class Soak:
-    """Runs a plan. All chance comes from its seed."""
+    """Runs a plan. All randomness comes from its seed."""
 
     def __init__(self, plan: SoakPlan, folder: Path) -> None:
         rng = random.Random(plan.seed)
@@ -65,17 +65,17 @@
         self._hosts: WorkerHosts | None = None
 
     async def run(self) -> SoakReport:
-        """Start everything, play faults, let it settle, and judge."""
+        """Start all processes, inject faults, let the jobs settle and assess the soak."""
         await self._platform.start()
         try:
-            return await self._played()
+            return await self._run_load()
         finally:
             await asyncio.gather(*(entry.end() for entry in self._entries))
             if self._hosts is not None:
                 await self._hosts.stop()
             await self._platform.stop()
 
-    async def _played(self) -> SoakReport:
+    async def _run_load(self) -> SoakReport:
         hosts = self._hosts = await self._start_hosts()
         await self._start_entries()
         observations = Observations(
@@ -85,12 +85,12 @@
             self._new_load(),
             Meters(self._entries),
         )
-        measuring = asyncio.get_running_loop().create_task(observations.meters.run())
+        metering = asyncio.get_running_loop().create_task(observations.meters.run())
         try:
-            await self._load(hosts, observations)
+            await self._run_clients(hosts, observations)
         finally:
-            measuring.cancel()
-            await asyncio.gather(measuring, return_exceptions=True)
+            metering.cancel()
+            await asyncio.gather(metering, return_exceptions=True)
             observations.load.close()
         plan = self._plan
         return assess(observations, plan.seed, plan.seconds, plan.program, self._entries)
@@ -99,42 +99,42 @@
         failing_rng = random.Random(f"{self._plan.seed} failing jobs")
         return Load(self._plan.shape, self._entries, self._load_rng, failing_rng)
 
-    async def _load(self, hosts: WorkerHosts, observations: Observations) -> None:
-        """Play load and faults, and let the jobs that were accepted end."""
+    async def _run_clients(self, hosts: WorkerHosts, observations: Observations) -> None:
+        """Run clients and faults, then wait for the accepted jobs to end."""
         shape = self._plan.shape
         clients = asyncio.get_running_loop().create_task(observations.load.run())
         await asyncio.sleep(shape.lead_s + self._plan.calm_s)
         if self._plan.seconds:
-            await self._play_faults(hosts, observations)
+            await self._inject_faults(hosts, observations)
         clients.cancel()
         await asyncio.gather(clients, return_exceptions=True)
         await observations.load.settle(shape.settle_s)
 
-    async def _play_faults(self, hosts: WorkerHosts, observations: Observations) -> None:
+    async def _inject_faults(self, hosts: WorkerHosts, observations: Observations) -> None:
         workers: dict[str, list[str]] = {}
         for machine in hosts.machines:
             workers.setdefault(machine.hall, []).append(machine.address)
         shape = self._plan.shape
-        of_vms = VmFaults(self._entries, self._platform, workers)
-        of_store = StoreFaults(self._platform)
-        of_workers = WorkerFaults(hosts, shape.times)
-        plays = of_vms.plays | of_store.plays | of_workers.plays
-        players = [FaultInjector(shape.faults, plays, self._fault_rng)]
+        vm_faults = VmFaults(self._entries, self._platform, workers)
+        store_faults = StoreFaults(self._platform)
+        worker_faults = WorkerFaults(hosts, shape.times)
+        actions = vm_faults.plays | store_faults.plays | worker_faults.plays
+        injectors = [FaultInjector(shape.faults, actions, self._fault_rng)]
         for number, mix in enumerate(shape.more_faults):
             rng = random.Random(f"{self._plan.seed} more faults {number}")
-            players.append(FaultInjector(mix, plays, rng))
+            injectors.append(FaultInjector(mix, actions, rng))
         try:
-            await asyncio.gather(*(player.run(self._plan.seconds) for player in players))
+            await asyncio.gather(*(injector.run(self._plan.seconds) for injector in injectors))
         finally:
-            for player in players:
-                await player.stop()
+            for injector in injectors:
+                await injector.stop()
             observations.faults = sorted(
-                (fault for player in players for fault in player.played),
+                (fault for injector in injectors for fault in injector.injected),
                 key=lambda fault: fault.began_s,
             )
-            of_vms.heal()
-            of_store.heal()
-            await of_workers.heal()
+            vm_faults.heal()
+            store_faults.heal()
+            await worker_faults.heal()
 
     async def _start_hosts(self) -> WorkerHosts:
         address = f"{LOOPBACK}:{self._platform.records_port}"
@@ -150,34 +150,34 @@
             entry.write_settings()
             self._entries.append(entry)
         await asyncio.gather(*(entry.start() for entry in self._entries))
-        async with asyncio.timeout(READY_S):
+        async with asyncio.timeout(READY_TIMEOUT_S):
             await Readiness(self._entries).until_all_ready()
             while self._platform.terms.current is None:
                 await asyncio.sleep(0.05)
 
 
 def entry_sites(shape: SoakShape) -> list[EntrySite]:
-    """Where the entry VMs of a shape stand, each with a loopback address of its own.
+    """Return the sites of a shape's entry VMs, each with a loopback address of its own.
 
-    Addresses differ by process, so that soaks beside each other do not meet.
+    Addresses depend on the process id, so that concurrent soaks do not collide.
     """
     network = FIRST_NETWORK + os.getpid() % NETWORKS
     return [
         EntrySite(
             name=f"{hall.name}-entry-{number}",
             hall=hall.name,
-            address=f"127.{network}.{place}.{number}",
+            address=f"127.{network}.{hall_number}.{number}",
             strong=number <= hall.strong_vms,
         )
-        for place, hall in enumerate(shape.halls, start=1)
+        for hall_number, hall in enumerate(shape.halls, start=1)
         for number in range(1, hall.vms + 1)
     ]
 
 
 async def run(plan: SoakPlan) -> SoakReport:
-    """Run a plan; the logs are kept where a promise broke.
+    """Run a plan; the logs are kept if an invariant was violated.
 
-    SIGTERM ends the soak like SIGINT: its processes end first.
+    SIGTERM ends the soak like SIGINT: its processes are ended first.
     """
     task = asyncio.current_task()
     assert task is not None
--- a/src/saddlestack/soak/runnable_periods.py
+++ b/src/saddlestack/soak/runnable_periods.py
@@ -1,4 +1,4 @@
-"""When each step of a job is to be run, by what workers and clients saw."""
+"""Computes when each step of a job could run, from what workers and clients recorded."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AcceptedRequest:
-    """A job that was accepted, as its client knows it. Times are of the monotonic clock.
+    """An accepted job as its client knows it. Times are on the monotonic clock.
 
-    :param accepted_s: when its client was told.
+    :param accepted_s: when the client received the acceptance.
     :param attempts: failed runs after which a task fails the job.
-    :param closed_s: when its client was told that it is over, or asked for its cancelling;
-        infinite where neither came.
+    :param closed_s: when the client received a final state or sent a cancel; infinite if neither
+        happened.
     """
 
     job_id: str
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunnablePeriod:
-    """A step of one occurrence of a job, from when it may run to when it needs to no more."""
+    """A step of one occurrence of a job, from when it may run until it no longer has to."""
 
     job_id: str
     step: Step
@@ -40,33 +40,32 @@
 
 
 def runnable_periods(
-    work: AcceptedRequest, runs: Sequence[RunRecord], epoch_s: float
+    accepted: AcceptedRequest, runs: Sequence[RunRecord], epoch_s: float
 ) -> list[RunnablePeriod]:
-    """The turns of all steps of a job.
+    """Return the runnable periods of all steps of a job.
 
-    A run that ended as done counts where a VM has noted that: one that was never noted has to run
-    again.
+    A done run counts only if a VM acknowledged its end; otherwise the task has to run again.
 
     :param runs: all runs of the job.
-    :param epoch_s: 1970 on the monotonic clock.
+    :param epoch_s: the Unix epoch on the monotonic clock.
     """
-    done = _done_s(work.request, runs)
-    effective_end_s = min(work.closed_s, _failed_s(work, runs))
+    done = _done_times(accepted.request, runs)
+    over_s = min(accepted.closed_s, _failure_time(accepted, runs))
     found = []
-    for occurrence in range(work.request.occurrences):
-        due_ms = work.request.due_ms(occurrence)
-        due_s = epoch_s + due_ms / 1000 if due_ms else work.accepted_s
-        for number, step in enumerate(work.request.steps):
+    for occurrence in range(accepted.request.occurrences):
+        due_ms = accepted.request.due_ms(occurrence)
+        due_s = epoch_s + due_ms / 1000 if due_ms else accepted.accepted_s
+        for number, step in enumerate(accepted.request.steps):
             needed_s = [done.get((occurrence, each), math.inf) for each in step.after]
-            began_s = max(work.accepted_s, due_s, *needed_s)
-            ended_s = min(effective_end_s, done.get((occurrence, number), math.inf))
+            began_s = max(accepted.accepted_s, due_s, *needed_s)
+            ended_s = min(over_s, done.get((occurrence, number), math.inf))
             if began_s < ended_s:
-                found.append(RunnablePeriod(work.job_id, step, began_s, ended_s))
+                found.append(RunnablePeriod(accepted.job_id, step, began_s, ended_s))
     return found
 
 
-def _done_s(request: JobRequest, runs: Iterable[RunRecord]) -> Mapping[tuple[int, int], float]:
-    """When each step was done: of a gang, one end stands for all."""
+def _done_times(request: JobRequest, runs: Iterable[RunRecord]) -> Mapping[tuple[int, int], float]:
+    """When each step was done; for a gang, one end stands for all."""
     ends: dict[tuple[int, int], dict[int, float]] = defaultdict(dict)
     for run in runs:
         if run.is_done and run.is_acknowledged:
@@ -82,15 +81,15 @@
     return found
 
 
-def _failed_s(work: AcceptedRequest, runs: Iterable[RunRecord]) -> float:
-    """When a task, or a gang, had failed as often as it may."""
+def _failure_time(accepted: AcceptedRequest, runs: Iterable[RunRecord]) -> float:
+    """When a task or a gang had used up its attempts; infinite if none had."""
     failed: dict[object, dict[int, float]] = defaultdict(dict)
     for run in runs:
         if run.how is EndKind.FAILED and run.is_acknowledged:
-            is_gang = work.request.steps[run.task.step].gang
+            is_gang = accepted.request.steps[run.task.step].gang
             ends = failed[run.step if is_gang else run.task]
             ends[run.number] = min(run.ended_s, ends.get(run.number, math.inf))
-    attempts = work.attempts
+    attempts = accepted.attempts
     return min(
         (sorted(ends.values())[attempts - 1] for ends in failed.values() if len(ends) >= attempts),
         default=math.inf,
--- a/src/saddlestack/soak/runs.py
+++ b/src/saddlestack/soak/runs.py
@@ -1,4 +1,4 @@
-"""The account of all runs and lives of workers, put together from what the workers told."""
+"""The history of all runs and worker incarnations, built from the workers' records."""
 
 from __future__ import annotations
 
@@ -25,9 +25,11 @@
 
 @dataclass(slots=True)
 class Incarnation:
-    """One life of a worker.
+    """One incarnation of a worker.
 
-    :param announced_s: when the store had taken the announcement of its end.
+    :param announced_s: when the store had accepted the announcement of its end.
+    :param crashed_by: the task that crashed the worker, if any.
+    :param resized: changes of its accelerators, in order of time.
     """
 
     worker: str
@@ -42,30 +44,32 @@
     crashed_by: str = ""
     resized: list[LifeResized] = field(default_factory=list)
 
-    def max_accelerators_at(self, at_s: float, news_s: float) -> int:
-        """The most accelerators that a leader may believe it to have.
+    def max_accelerators_at(self, at_s: float, max_lag_s: float) -> int:
+        """The maximum number of accelerators that a leader may assume at a time.
 
-        :param news_s: how old its news may be.
+        :param max_lag_s: the maximum age of the leader's information.
         """
         present = self.accelerators
-        believed = present
+        usable = present
         for each in self.resized:
             if each.at_s > at_s:
                 break
             present = each.accelerators
-            known = each.at_s <= at_s - news_s
-            believed = present if known else max(believed, present)
-        return believed
+            known = each.at_s <= at_s - max_lag_s
+            usable = present if known else max(usable, present)
+        return usable
 
 
 @dataclass(slots=True)
 class RunRecord:
     """One run, from its order to the acknowledgement of its end.
 
-    :param fence: the token of its order: who was the leader that gave it.
-    :param work_began_s: when a member of a gang began to work; others work from their beginning.
-    :param how: how it ended; ``None`` where it is present, or ended with its worker.
-    :param lapsed: the worker's lease had lapsed between its end and the acknowledgement.
+    :param fence: the fencing token of its order, which identifies the leader.
+    :param late: the order was carried out late.
+    :param work_began_s: when a member of a gang began to work; other runs work from their start.
+    :param how: how it ended; ``None`` if it still runs or ended with its worker.
+    :param acknowledged_s: when its end was acknowledged; ``None`` if it was not.
+    :param lease_expired: the worker's lease expired between its end and the acknowledgement.
     """
 
     task: TaskName
@@ -82,11 +86,11 @@
     ended_s: float = math.inf
     how: EndKind | None = None
     acknowledged_s: float | None = None
-    lapsed: bool = False
+    lease_expired: bool = False
 
     @property
     def effective_end_s(self) -> float:
-        """When it was over: by itself, or with its worker; infinite while it is present."""
+        """When it ended, by itself or with its worker; infinite while it runs."""
         return min(self.ended_s, self.incarnation.ended_s)
 
     @property
@@ -96,12 +100,12 @@
 
     @property
     def is_acknowledged(self) -> bool:
-        """Whether its end was acknowledged before the worker's lease lapsed."""
-        return self.acknowledged_s is not None and not self.lapsed
+        """Whether its end was acknowledged before the worker's lease expired."""
+        return self.acknowledged_s is not None and not self.lease_expired
 
     @property
     def step(self) -> StepKey:
-        """The step that it is a run of."""
+        """The step of its task: job id, occurrence and step number."""
         return self.task.job_id, self.task.occurrence, self.task.step
 
 
@@ -110,49 +114,49 @@
 
 @dataclass(slots=True)
 class RunHistory:
-    """All runs and lives.
+    """All runs and worker incarnations.
 
-    :ivar runs: in the order of their beginnings at each worker.
+    :ivar runs: all runs, for each worker in the order of their beginnings.
     """
 
     incarnations: dict[str, Incarnation] = field(default_factory=dict)
     runs: list[RunRecord] = field(default_factory=list)
-    _present: dict[tuple[str, str, int], RunRecord] = field(default_factory=dict)
+    _current_runs: dict[tuple[str, str, int], RunRecord] = field(default_factory=dict)
 
     @classmethod
     def of(cls, records: Iterable[Record]) -> RunHistory:
-        """The account that some records make."""
+        """Build the history from records."""
         book = cls()
         for record in records:
             book.add(record)
         return book
 
     def add(self, record: Record) -> None:
-        """Add what a worker told."""
+        """Add a worker's record."""
         if isinstance(record, LifeResized):
             self.incarnations[record.worker].resized.append(record)
         elif isinstance(record, LifeBegan | LifeAnnounced | LifeEnded):
-            self._add_life(record)
+            self._add_incarnation(record)
         elif isinstance(record, RunBegan):
-            self._begin(record)
+            self._begin_run(record)
         else:
-            self._change(self._present[(record.worker, record.task, record.run)], record)
+            self._update_run(self._current_runs[(record.worker, record.task, record.run)], record)
 
     def by_task(self) -> dict[TaskName, list[RunRecord]]:
-        """All runs of each task, in the order of their beginnings."""
+        """Return all runs of each task, in the order of their beginnings."""
         found: dict[TaskName, list[RunRecord]] = defaultdict(list)
         for run in sorted(self.runs, key=lambda run: run.began_s):
             found[run.task].append(run)
         return found
 
     def by_step(self) -> dict[StepKey, list[RunRecord]]:
-        """All runs of each step."""
+        """Return all runs of each step."""
         found: dict[StepKey, list[RunRecord]] = defaultdict(list)
         for run in self.runs:
             found[run.step].append(run)
         return found
 
-    def _add_life(self, record: LifeBegan | LifeAnnounced | LifeEnded) -> None:
+    def _add_incarnation(self, record: LifeBegan | LifeAnnounced | LifeEnded) -> None:
         if isinstance(record, LifeBegan):
             self.incarnations[record.worker] = Incarnation(
                 record.worker,
@@ -169,7 +173,7 @@
             self.incarnations[record.worker].crashed = record.crashed
             self.incarnations[record.worker].crashed_by = record.by
 
-    def _begin(self, record: RunBegan) -> None:
+    def _begin_run(self, record: RunBegan) -> None:
         run = RunRecord(
             TaskName.parse(record.task),
             record.run,
@@ -182,9 +186,11 @@
             record.gang,
         )
         self.runs.append(run)
-        self._present[(record.worker, record.task, record.run)] = run
+        self._current_runs[(record.worker, record.task, record.run)] = run
 
-    def _change(self, run: RunRecord, record: RunWorks | RunStopping | RunEnded | EndNoted) -> None:
+    def _update_run(
+        self, run: RunRecord, record: RunWorks | RunStopping | RunEnded | EndNoted
+    ) -> None:
         if isinstance(record, RunWorks):
             run.work_began_s = record.at_s
         elif isinstance(record, RunStopping):
@@ -194,4 +200,4 @@
             run.how = EndKind(record.how)
         else:
             run.acknowledged_s = record.at_s
-            run.lapsed = record.lapsed
+            run.lease_expired = record.lapsed
--- a/src/saddlestack/soak/shape.py
+++ b/src/saddlestack/soak/shape.py
@@ -1,6 +1,6 @@
-"""The shape of a soak: what is served, at which times, under which load and faults.
+"""The shape of a soak: its deployment, times, load and faults.
 
-Read from JSON with comments; ``deploy/soak/`` holds the shapes that are played.
+Shapes are read from JSON with comments; ``deploy/soak/`` holds those that are used.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class FaultKind(enum.StrEnum):
-    """A kind of fault that a soak plays."""
+    """A kind of fault that a soak injects."""
 
     VM_KILL = "vm_kill"
     VM_STOP = "vm_stop"
@@ -69,9 +69,9 @@
 class Hall(Model, frozen=True):
     """One data hall.
 
-    :param vms: its entry VMs...
-    :param strong_vms: ...and how many of them have a processor and link that can lead well.
-    :param workers: its workers.
+    :param vms: the number of its entry VMs.
+    :param strong_vms: how many of them have a processor and link well suited to a leader.
+    :param workers: the number of its workers.
     """
 
     name: str
@@ -81,12 +81,12 @@
 
 
 class WorkerKind(Model, frozen=True):
-    """What every worker has.
+    """The properties of all workers.
 
-    :param rack: workers a rack.
+    :param rack: the number of workers per rack.
     :param cpu: thousandths of a core.
-    :param births_share: of the workers so many tell when they were born, and start again under
-        the id that they had; each life of the others has an id of its own.
+    :param births_share: the share of workers that report their start time and keep their id when
+        they restart; each incarnation of the others has an id of its own.
     """
 
     rack: int
@@ -100,17 +100,17 @@
     """Times of the platform, in seconds.
 
     :param lease_s: the longest lease that a worker grants.
-    :param stop_s: a stop takes at most so long.
+    :param stop_s: the maximum time to stop a run.
     :param drain_s: from a worker's announcement of its end to that end.
-    :param notice_s: a worker that is taken away at short notice announces it so long before.
-    :param linger_s: a worker serves on after its announced end for at most so long.
-    :param gang_wait_s: a member of a gang waits so long for the others.
-    :param heartbeat_s: between a worker's writes to its record.
-    :param checkpoint_s: work between two checkpoints.
-    :param restore_s: how long it takes to go on from a checkpoint.
+    :param notice_s: the same for a worker that is taken away at short notice.
+    :param linger_s: the maximum time that a worker still serves after its announced end.
+    :param gang_wait_s: how long a member of a gang waits for the others.
+    :param heartbeat_s: the interval of a worker's writes to its record.
+    :param checkpoint_s: the work between two checkpoints.
+    :param restore_s: the time to restore a checkpoint.
     :param grace_s: from SIGTERM to SIGKILL of an entry VM.
-    :param status_s: a job's state is kept so long after its end.
-    :param history_s: the store remembers changes for so long.
+    :param status_s: how long a job's state is kept after its end.
+    :param history_s: how long the store keeps the history of changes.
     """
 
     lease_s: float
@@ -128,9 +128,10 @@
 
 
 class Spread(Model, frozen=True):
-    """A number drawn by chance: log-normal around a mean, and never above the most.
+    """A log-normal distribution with an upper limit.
 
-    :param spread: standard deviation as a share of the mean.
+    :param spread: the standard deviation as a share of the mean.
+    :param most: the limit; higher numbers are reduced to it.
     """
 
     mean: float
@@ -139,23 +140,23 @@
 
 
 class JobKind(Model, frozen=True):
-    """One kind of jobs; its name is its queue's.
+    """One kind of jobs; its name is also the name of its queue.
 
-    :param rate_per_s: jobs a second, of all clients together.
-    :param width: tasks of a job.
-    :param accelerators: a job draws what each of its tasks takes from these.
+    :param rate_per_s: jobs per second of all clients together.
+    :param width: the number of tasks of a job.
+    :param accelerators: the choices for the accelerators of each of a job's tasks.
     :param work_s: seconds of work of a task.
-    :param gang_share: share of jobs whose tasks work only together...
-    :param same_rack_share: ...and of those, on one rack at best.
-    :param checkpoint_share: share of jobs whose tasks save their progress.
-    :param failure_share: share of jobs of whose tasks each fails once.
-    :param broken_share: share of jobs whose tasks fail however often they start.
-    :param crashing_share: share of jobs one of whose tasks crashes each worker that starts it...
-    :param crashes_s: ...so many seconds after its start.
-    :param cancel_share: share of jobs that are cancelled.
+    :param gang_share: the share of jobs whose tasks form a gang.
+    :param same_rack_share: the share of gangs that prefer a single rack.
+    :param checkpoint_share: the share of jobs whose tasks save their progress.
+    :param failure_share: the share of jobs whose tasks each fail once.
+    :param broken_share: the share of jobs whose tasks always fail.
+    :param crashing_share: the share of jobs with a task that crashes each worker that starts it.
+    :param crashes_s: seconds from the start of such a task to the crash.
+    :param cancel_share: the share of jobs that are cancelled.
     :param attempts: failed runs after which a task fails its job.
-    :param stretch: the objective is this many times the work...
-    :param target_s: ...plus this.
+    :param stretch: the objective of a job is this many times its work, plus ``target_s``.
+    :param target_s: the constant part of the objective.
     """
 
     name: str
@@ -182,8 +183,8 @@
 class ClientAccount(Model, frozen=True):
     """A client account.
 
-    :param guaranteed: accelerators that it owns for jobs of priority 0.
-    :param share: its part of all jobs, in proportion to the other accounts'.
+    :param guaranteed: accelerators that it is guaranteed for jobs of priority 0.
+    :param share: its weight among all accounts when a job's account is drawn.
     """
 
     name: str
@@ -192,15 +193,15 @@
 
 
 class FailingJobs(Model, frozen=True):
-    """Jobs that fail by their own fault, in bursts, all of one client account.
+    """Bursts of jobs of one client account that always fail.
 
-    They are drawn as any job of their kind but for what they work, and fail however often they
+    They are drawn like any job of their kind, except for their work, and fail however often they
     start.
 
-    :param account: the client account that hands them in.
+    :param account: the client account that submits them.
     :param kinds: names of kinds; each burst is of one of them.
-    :param pause_s: shortest and longest time from one burst to the next.
-    :param jobs: fewest and most jobs of a burst.
+    :param pause_s: the minimum and maximum time from one burst to the next.
+    :param jobs: the minimum and maximum number of jobs of a burst.
     :param work_s: seconds of work of a task until it fails.
     """
 
@@ -212,12 +213,12 @@
 
 
 class FaultMix(Model, frozen=True):
-    """Which faults come, and how often.
+    """The kinds of faults and their frequencies.
 
-    :param weights: how often a kind comes, in proportion to the others.
-    :param pause_s: shortest and longest time from one fault to the next.
-    :param lasting_s: shortest and longest duration of a fault that lasts.
-    :param first_s: when the first one comes.
+    :param weights: the weight of each kind when a fault is drawn.
+    :param pause_s: the minimum and maximum time from one fault to the next.
+    :param lasting_s: the minimum and maximum duration of a fault that lasts.
+    :param first_s: when the first fault begins.
     """
 
     weights: dict[FaultKind, float]
@@ -227,15 +228,15 @@
 
 
 class SoakShape(Model, frozen=True):
-    """All of a soak but its seed and length.
-
-    :param worker_hosts: processes that the workers are spread over.
-    :param lead_s: load before the first fault.
-    :param settle_s: after the last fault, accepted jobs have so long to end.
-    :param more_faults: mixes that are played beside the faults, each drawn for itself, so that a
-        seed goes on drawing the same faults when one is added.
-    :param failing: bursts of jobs that fail by their own fault, beside all others, drawn for
-        themselves as well; ``None`` for none.
+    """The configuration of a soak, except for its seed and length.
+
+    :param worker_hosts: the number of processes that run the workers.
+    :param lead_s: the time of load before the first fault.
+    :param settle_s: the time that accepted jobs have to end after the last fault.
+    :param more_faults: additional mixes of faults, injected at the same time. Each is drawn
+        independently, so that adding one does not change the other faults of a seed.
+    :param failing: bursts of jobs that always fail, in addition to all others and drawn
+        independently as well; ``None`` for none.
     """
 
     name: str
@@ -253,121 +254,121 @@
 
     @property
     def vms(self) -> int:
-        """Entry VMs of all halls."""
+        """The number of entry VMs of all halls."""
         return sum(hall.vms for hall in self.halls)
 
     @property
     def workers(self) -> int:
-        """Workers of all halls."""
+        """The number of workers of all halls."""
         return sum(hall.workers for hall in self.halls)
 
     @property
     def rate_per_s(self) -> float:
-        """Jobs a second of all kinds."""
+        """Jobs per second of all kinds."""
         return sum(kind.rate_per_s for kind in self.kinds)
 
 
 def load(path: Path) -> SoakShape:
     """Read and check a shape.
 
-    :raises SaddlestackError: with every fault found, each with its line or key path.
+    :raises SaddlestackError: if the shape is invalid, with all errors and their lines or key paths.
     """
     shape = read_json_with_comments(path, SoakShape)
-    faults = list(check(shape))
-    if faults:
-        raise invalid("; ".join(faults), str(path))
+    errors = list(check(shape))
+    if errors:
+        raise invalid("; ".join(errors), str(path))
     return shape
 
 
 def check(shape: SoakShape) -> Iterator[str]:
-    """Every fault of a shape: key path and what was expected."""
-    yield from _size_faults(shape)
-    yield from _time_faults(shape.times)
+    """Find all errors of a shape; each names the key path and what was expected."""
+    yield from _size_errors(shape)
+    yield from _time_errors(shape.times)
     for number, kind in enumerate(shape.kinds):
-        yield from _kind_faults(f"kinds[{number}]", kind, shape.worker)
-    yield from _account_faults(shape)
+        yield from _kind_errors(f"kinds[{number}]", kind, shape.worker)
+    yield from _account_errors(shape)
     for mix in (shape.faults, *shape.more_faults):
-        yield from _mix_faults(mix)
+        yield from _mix_errors(mix)
     if shape.failing is not None:
-        yield from _failing_faults(shape.failing, shape)
+        yield from _failing_errors(shape.failing, shape)
     for key in ("lead_s", "settle_s"):
-        yield from _between(key, getattr(shape, key), 0, 3600)
+        yield from _check_range(key, getattr(shape, key), 0, 3600)
 
 
-def _size_faults(shape: SoakShape) -> Iterator[str]:
-    yield from _distinct("halls", [hall.name for hall in shape.halls])
+def _size_errors(shape: SoakShape) -> Iterator[str]:
+    yield from _check_distinct("halls", [hall.name for hall in shape.halls])
     for number, hall in enumerate(shape.halls):
-        yield from _between(f"halls[{number}].vms", hall.vms, 0, MAX_VMS)
-        yield from _between(f"halls[{number}].strong_vms", hall.strong_vms, 0, hall.vms)
-        yield from _between(f"halls[{number}].workers", hall.workers, 0, MAX_WORKERS)
-    yield from _between("halls: VMs in all", shape.vms, 1, MAX_VMS)
-    yield from _between("halls: workers in all", shape.workers, 1, MAX_WORKERS)
-    yield from _between("worker_hosts", shape.worker_hosts, 1, MAX_WORKER_HOSTS)
+        yield from _check_range(f"halls[{number}].vms", hall.vms, 0, MAX_VMS)
+        yield from _check_range(f"halls[{number}].strong_vms", hall.strong_vms, 0, hall.vms)
+        yield from _check_range(f"halls[{number}].workers", hall.workers, 0, MAX_WORKERS)
+    yield from _check_range("halls: VMs in all", shape.vms, 1, MAX_VMS)
+    yield from _check_range("halls: workers in all", shape.workers, 1, MAX_WORKERS)
+    yield from _check_range("worker_hosts", shape.worker_hosts, 1, MAX_WORKER_HOSTS)
     for key in ("rack", "accelerators", "cpu", "memory_mb"):
-        yield from _between(f"worker.{key}", getattr(shape.worker, key), 1, 10_000_000)
-    yield from _between("worker.births_share", shape.worker.births_share, 0, 1)
+        yield from _check_range(f"worker.{key}", getattr(shape.worker, key), 1, 10_000_000)
+    yield from _check_range("worker.births_share", shape.worker.births_share, 0, 1)
 
 
-def _time_faults(times: ShapeTimes) -> Iterator[str]:
+def _time_errors(times: ShapeTimes) -> Iterator[str]:
     for key in times.__struct_fields__:
-        yield from _between(f"times.{key}", getattr(times, key), 0, 3600)
+        yield from _check_range(f"times.{key}", getattr(times, key), 0, 3600)
     for key in ("lease_s", "heartbeat_s", "checkpoint_s", "grace_s", "status_s", "history_s"):
         if not getattr(times, key):
             yield f"times.{key}: expected more than 0"
 
 
-def _kind_faults(place: str, kind: JobKind, worker: WorkerKind) -> Iterator[str]:
-    yield from _between(f"{place}.priority", kind.priority, 0, MAX_PRIORITY)
-    yield from _between(f"{place}.rate_per_s", kind.rate_per_s, 0, 1000)
-    yield from _spread_faults(f"{place}.width", kind.width, 1)
-    yield from _spread_faults(f"{place}.work_s", kind.work_s, 0.01)
+def _kind_errors(key_path: str, kind: JobKind, worker: WorkerKind) -> Iterator[str]:
+    yield from _check_range(f"{key_path}.priority", kind.priority, 0, MAX_PRIORITY)
+    yield from _check_range(f"{key_path}.rate_per_s", kind.rate_per_s, 0, 1000)
+    yield from _spread_errors(f"{key_path}.width", kind.width, 1)
+    yield from _spread_errors(f"{key_path}.work_s", kind.work_s, 0.01)
     if not kind.accelerators:
-        yield f"{place}.accelerators: expected one choice at least"
+        yield f"{key_path}.accelerators: expected one choice at least"
     for choice in kind.accelerators:
-        yield from _between(f"{place}.accelerators", choice, 1, worker.accelerators)
-    yield from _between(f"{place}.cpu", kind.cpu, 0, worker.cpu)
-    yield from _between(f"{place}.memory_mb", kind.memory_mb, 0, worker.memory_mb)
+        yield from _check_range(f"{key_path}.accelerators", choice, 1, worker.accelerators)
+    yield from _check_range(f"{key_path}.cpu", kind.cpu, 0, worker.cpu)
+    yield from _check_range(f"{key_path}.memory_mb", kind.memory_mb, 0, worker.memory_mb)
     for key in kind.__struct_fields__:
         if key.endswith("_share"):
-            yield from _between(f"{place}.{key}", getattr(kind, key), 0, 1)
-    yield from _between(f"{place}.attempts", kind.attempts, 1, 100)
-    yield from _between(f"{place}.stretch", kind.stretch, 1, 100)
-    yield from _between(f"{place}.target_s", kind.target_s, 0, 3600)
-    yield from _between(f"{place}.crashes_s", kind.crashes_s, 0, 3600)
+            yield from _check_range(f"{key_path}.{key}", getattr(kind, key), 0, 1)
+    yield from _check_range(f"{key_path}.attempts", kind.attempts, 1, 100)
+    yield from _check_range(f"{key_path}.stretch", kind.stretch, 1, 100)
+    yield from _check_range(f"{key_path}.target_s", kind.target_s, 0, 3600)
+    yield from _check_range(f"{key_path}.crashes_s", kind.crashes_s, 0, 3600)
     if kind.crashing_share and not kind.crashes_s:
-        yield f"{place}.crashes_s: expected more than 0 where jobs crash workers"
+        yield f"{key_path}.crashes_s: expected more than 0 where jobs crash workers"
 
 
-def _spread_faults(place: str, spread: Spread, least: float) -> Iterator[str]:
-    yield from _between(f"{place}.mean", spread.mean, least, 10_000)
-    yield from _between(f"{place}.spread", spread.spread, 0, 10)
-    yield from _between(f"{place}.most", spread.most, spread.mean, 10_000)
+def _spread_errors(key_path: str, spread: Spread, least: float) -> Iterator[str]:
+    yield from _check_range(f"{key_path}.mean", spread.mean, least, 10_000)
+    yield from _check_range(f"{key_path}.spread", spread.spread, 0, 10)
+    yield from _check_range(f"{key_path}.most", spread.most, spread.mean, 10_000)
 
 
-def _account_faults(shape: SoakShape) -> Iterator[str]:
-    yield from _distinct("kinds", [kind.name for kind in shape.kinds])
-    yield from _distinct("accounts", [account.name for account in shape.accounts])
+def _account_errors(shape: SoakShape) -> Iterator[str]:
+    yield from _check_distinct("kinds", [kind.name for kind in shape.kinds])
+    yield from _check_distinct("accounts", [account.name for account in shape.accounts])
     for number, account in enumerate(shape.accounts):
-        yield from _between(f"accounts[{number}].share", account.share, 0, 1_000_000)
-        yield from _between(f"accounts[{number}].guaranteed", account.guaranteed, 0, 1_000_000)
+        yield from _check_range(f"accounts[{number}].share", account.share, 0, 1_000_000)
+        yield from _check_range(f"accounts[{number}].guaranteed", account.guaranteed, 0, 1_000_000)
     if not any(account.share for account in shape.accounts):
         yield "accounts: expected one at least with a share above 0"
     guaranteed = sum(account.guaranteed for account in shape.accounts)
     owned = shape.workers * shape.worker.accelerators
-    yield from _between("accounts: guaranteed in all", guaranteed, 0, owned)
+    yield from _check_range("accounts: guaranteed in all", guaranteed, 0, owned)
 
 
-def _mix_faults(mix: FaultMix) -> Iterator[str]:
+def _mix_errors(mix: FaultMix) -> Iterator[str]:
     for kind, weight in mix.weights.items():
-        yield from _between(f"faults.weights.{kind}", weight, 0, 1_000_000)
+        yield from _check_range(f"faults.weights.{kind}", weight, 0, 1_000_000)
     for key in ("pause_s", "lasting_s"):
         least, longest = getattr(mix, key)
         if not 0 < least <= longest:
             yield f"faults.{key}: expected two times above 0, the shorter one first"
-    yield from _between("faults.first_s", mix.first_s, 0, 3600)
+    yield from _check_range("faults.first_s", mix.first_s, 0, 3600)
 
 
-def _failing_faults(failing: FailingJobs, shape: SoakShape) -> Iterator[str]:
+def _failing_errors(failing: FailingJobs, shape: SoakShape) -> Iterator[str]:
     if failing.account not in {account.name for account in shape.accounts}:
         yield "failing.account: expected the name of an account"
     if not failing.kinds or not set(failing.kinds) <= {kind.name for kind in shape.kinds}:
@@ -376,16 +377,16 @@
         least, most = getattr(failing, key)
         if not 0 < least <= most:
             yield f"failing.{key}: expected two numbers above 0, the smaller one first"
-    yield from _spread_faults("failing.work_s", failing.work_s, 0.01)
+    yield from _spread_errors("failing.work_s", failing.work_s, 0.01)
 
 
-def _distinct(place: str, names: list[str]) -> Iterator[str]:
+def _check_distinct(key_path: str, names: list[str]) -> Iterator[str]:
     if not names:
-        yield f"{place}: expected one at least"
+        yield f"{key_path}: expected one at least"
     if len(set(names)) < len(names) or not all(name.strip() for name in names):
-        yield f"{place}: expected names that differ"
+        yield f"{key_path}: expected names that differ"
 
 
-def _between(place: str, value: float, least: float, most: float) -> Iterator[str]:
+def _check_range(key_path: str, value: float, least: float, most: float) -> Iterator[str]:
     if not least <= value <= most:
-        yield f"{place}: expected {least:g} to {most:g}, got {value:g}"
+        yield f"{key_path}: expected {least:g} to {most:g}, got {value:g}"
--- a/src/saddlestack/soak/stalls.py
+++ b/src/saddlestack/soak/stalls.py
@@ -1,7 +1,8 @@
-"""Finds accepted jobs that stood still beside a free pool, by what workers and clients saw.
+"""Finds accepted jobs that stalled beside a free pool, from what workers and clients recorded.
 
-One sweep over the beginnings and ends of lives, runs, turns and troubles in order of time. What
-counts as room enough, and as too long, is told by :mod:`saddlestack.policy.stall`.
+One sweep processes the beginnings and ends of incarnations, runs, runnable periods and excluded
+periods in order of time. :mod:`saddlestack.policy.stall` defines how much free capacity is enough
+and when a job counts as stalled.
 """
 
 from __future__ import annotations
@@ -23,12 +24,12 @@
 from saddlestack.work import JobRequest, Resources
 
 BESIDE_MARGIN_S = 0.5
-"""Runs that begin less than this before a job goes on begin with it, not beside it."""
+"""Runs that begin less than this before the end of a stall begin with the job, not beside it."""
 
 
 @dataclass(frozen=True, slots=True)
 class ExcludedPeriod:
-    """A time in which the room of some machines does not count as free."""
+    """A period in which the free capacity of some machines does not count."""
 
     machines: frozenset[str]
     began_s: float
@@ -37,11 +38,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StallPeriod:
-    """A job that stood still for too long.
+    """A period in which a job was stalled.
 
-    :param until_s: when it went on, or the room was gone.
-    :param pool: what was held of the pool when it had stood for too long.
-    :param beside: runs of other jobs that began meanwhile, before the moment in which it went on.
+    :param since_s: when the job began to wait.
+    :param until_s: when the job continued, or the free capacity was gone.
+    :param pool: the usage of the pool when the job began to count as stalled.
+    :param beside: runs of other jobs that began meanwhile, before the job continued.
     """
 
     job_id: str
@@ -53,39 +55,40 @@
 
 @dataclass(frozen=True, slots=True)
 class SoakHistory:
-    """Everything in which jobs may stand still.
-
-    :param works: jobs that were accepted.
-    :param requests: of all jobs that clients handed in.
-    :param room: processors and memory of each worker; its life tells of its accelerators.
-    :param epoch_s: 1970 on the monotonic clock.
-    :param until_s: when the look ends.
+    """What happened in a soak, as far as stalls depend on it.
+
+    :param run_history: all runs and worker incarnations.
+    :param accepted: the accepted jobs.
+    :param requests: the requests of all submitted jobs, by job id.
+    :param capacity: CPU and memory of each worker; accelerators are those of its incarnation.
+    :param epoch_s: the Unix epoch on the monotonic clock.
+    :param until_s: when the history ends.
     """
 
-    book: RunHistory
-    works: Sequence[AcceptedRequest]
+    run_history: RunHistory
+    accepted: Sequence[AcceptedRequest]
     requests: Mapping[str, JobRequest]
-    room: Resources
+    capacity: Resources
     epoch_s: float
     until_s: float
 
 
 def find_stalls(history: SoakHistory, excluded: Sequence[ExcludedPeriod] = ()) -> list[StallPeriod]:
-    """Jobs that stood still, in the order in which they had stood for too long.
+    """Find all stalls, in the order in which they were detected.
 
-    Workers that have announced their end are no room; they count in the pool until they end.
+    Draining workers have no free capacity, but count in the pool's total until they end.
 
-    :param excluded: machines whose room does not count for some time.
+    :param excluded: periods in which the free capacity of some machines does not count.
     """
-    return _Sweep(history, excluded).found()
+    return _Sweep(history, excluded).find()
 
 
 @dataclass(slots=True)
 class _Worker:
-    """The room of one life of a worker.
+    """The capacity of one incarnation of a worker.
 
-    :param free: what runs leave of its room.
-    :param closed: reasons why that does not count: it leaves, or its machine is in trouble.
+    :param free: the capacity that no run holds.
+    :param closed: the number of reasons why it does not count: draining, or excluded periods.
     """
 
     free: Resources
@@ -94,7 +97,7 @@
 
 @dataclass(slots=True)
 class _Pool:
-    """The workers that live, and what is held of them."""
+    """The live workers and how much of them is in use."""
 
     workers: dict[str, _Worker] = field(default_factory=dict)
     total: int = 0
@@ -104,10 +107,10 @@
     def use(self) -> PoolUsage:
         return PoolUsage(self.used, self.total)
 
-    def has_capacity_for(self, turn: RunnablePeriod) -> bool:
-        """Whether a step that waits fits in twice over."""
+    def has_capacity_for(self, period: RunnablePeriod) -> bool:
+        """Whether the free capacity fits a waiting step twice over."""
         use = self.use
-        step = turn.step
+        step = period.step
         wanted = step.count if step.gang else 1
         copies = 0
         for worker in self.workers.values():
@@ -121,162 +124,164 @@
 
 
 class _Sweep:
-    """Goes through all that happened once, in order of time."""
+    """Processes all events of a history once, in order of time."""
 
     def __init__(self, history: SoakHistory, excluded: Sequence[ExcludedPeriod]) -> None:
-        self._scene = history
-        self._troubles = excluded
+        self._history = history
+        self._excluded = excluded
         self._pool = _Pool()
-        self._watch = StallDetector()
-        self._turns: dict[str, list[RunnablePeriod]] = defaultdict(list)
+        self._detector = StallDetector()
+        self._runnable: dict[str, list[RunnablePeriod]] = defaultdict(list)
         self._running: Counter[str] = Counter()
         self._idle: set[str] = set()
-        self._standing: set[str] = set()
-        self._open: dict[str, StallPeriod] = {}
+        self._stalled: set[str] = set()
+        self._open_stalls: dict[str, StallPeriod] = {}
         self._found: list[StallPeriod] = []
         self._events: list[tuple[float, int, Callable[[], None]]] = []
 
-    def found(self) -> list[StallPeriod]:
-        """All standstills."""
-        self._note_lives()
-        self._note_runs()
-        self._note_turns()
+    def find(self) -> list[StallPeriod]:
+        """Run the sweep and return all stalls."""
+        self._add_incarnations()
+        self._add_runs()
+        self._add_runnable_periods()
         self._events.sort(key=lambda event: event[:2])
         for at_s, changes in _by_time(self._events):
-            self._look(at_s)
+            self._update(at_s)
             for change in changes:
                 change()
-            self._standing = set(self._standing_now())
-            self._look(at_s)
-        self._look(self._scene.until_s)
-        self._close([*self._open], self._scene.until_s)
-        return [self._with_beside(each) for each in self._found]
+            self._stalled = set(self._currently_stalled())
+            self._update(at_s)
+        self._update(self._history.until_s)
+        self._close_stalls([*self._open_stalls], self._history.until_s)
+        return [self._with_runs_beside(each) for each in self._found]
 
     def _at(self, at_s: float, change: Callable[[], None]) -> None:
-        if at_s <= self._scene.until_s:
+        if at_s <= self._history.until_s:
             self._events.append((at_s, len(self._events), change))
 
-    # What happens
+    # Events
 
-    def _note_lives(self) -> None:
+    def _add_incarnations(self) -> None:
         by_machine: dict[str, list[ExcludedPeriod]] = defaultdict(list)
-        for trouble in self._troubles:
-            for machine in trouble.machines:
-                by_machine[machine].append(trouble)
-        for incarnation in self._scene.book.incarnations.values():
-            room = self._scene.room
-            worker = _Worker(Resources(room.cpu, room.memory_mb, incarnation.accelerators))
-            self._at(incarnation.began_s, partial(self._join, incarnation.worker, worker))
-            self._at(incarnation.announced_s, partial(_close_room, worker, 1))
+        for period in self._excluded:
+            for machine in period.machines:
+                by_machine[machine].append(period)
+        for incarnation in self._history.run_history.incarnations.values():
+            capacity = self._history.capacity
+            worker = _Worker(Resources(capacity.cpu, capacity.memory_mb, incarnation.accelerators))
+            self._at(incarnation.began_s, partial(self._add_worker, incarnation.worker, worker))
+            self._at(incarnation.announced_s, partial(_change_closed, worker, 1))
             self._at(
                 incarnation.ended_s,
-                partial(self._leave, incarnation.worker, incarnation.accelerators),
+                partial(self._remove_worker, incarnation.worker, incarnation.accelerators),
             )
-            for trouble in by_machine[incarnation.machine]:
-                self._at(trouble.began_s, partial(_close_room, worker, 1))
-                self._at(trouble.ended_s, partial(_close_room, worker, -1))
+            for period in by_machine[incarnation.machine]:
+                self._at(period.began_s, partial(_change_closed, worker, 1))
+                self._at(period.ended_s, partial(_change_closed, worker, -1))
 
-    def _note_runs(self) -> None:
-        for run in self._scene.book.runs:
-            self._at(run.began_s, partial(self._run, run, 1))
-            self._at(run.effective_end_s, partial(self._run, run, -1))
+    def _add_runs(self) -> None:
+        for run in self._history.run_history.runs:
+            self._at(run.began_s, partial(self._change_run, run, 1))
+            self._at(run.effective_end_s, partial(self._change_run, run, -1))
 
-    def _note_turns(self) -> None:
+    def _add_runnable_periods(self) -> None:
         runs: dict[str, list[RunRecord]] = defaultdict(list)
-        for run in self._scene.book.runs:
+        for run in self._history.run_history.runs:
             runs[run.task.job_id].append(run)
-        for work in self._scene.works:
-            for turn in runnable_periods(work, runs[work.job_id], self._scene.epoch_s):
-                self._at(turn.began_s, partial(self._open_turn, turn))
-                self._at(turn.ended_s, partial(self._close_turn, turn))
+        for work in self._history.accepted:
+            for period in runnable_periods(work, runs[work.job_id], self._history.epoch_s):
+                self._at(period.began_s, partial(self._open_period, period))
+                self._at(period.ended_s, partial(self._close_period, period))
 
     # Changes
 
-    def _join(self, name: str, worker: _Worker) -> None:
+    def _add_worker(self, name: str, worker: _Worker) -> None:
         self._pool.workers[name] = worker
         self._pool.total += worker.free.accelerators
 
-    def _leave(self, name: str, accelerators: int) -> None:
+    def _remove_worker(self, name: str, accelerators: int) -> None:
         del self._pool.workers[name]
         self._pool.total -= accelerators
 
-    def _run(self, run: RunRecord, change: int) -> None:
-        """A run begins, or is over; it may end together with its worker."""
-        needs = self._needs(run)
+    def _change_run(self, run: RunRecord, change: int) -> None:
+        """Begin or end a run; it may end together with its worker."""
+        needs = self._allocation(run)
         worker = self._pool.workers.get(run.incarnation.worker)
         if worker is not None:
             worker.free = worker.free - needs if change > 0 else worker.free + needs
         self._pool.used += change * run.accelerators
         job_id = run.task.job_id
         self._running[job_id] += change
-        self._sort_job(job_id)
+        self._update_idle(job_id)
 
-    def _needs(self, run: RunRecord) -> Resources:
-        request = self._scene.requests.get(run.task.job_id)
+    def _allocation(self, run: RunRecord) -> Resources:
+        request = self._history.requests.get(run.task.job_id)
         if request is None:
             return Resources(0, 0, run.accelerators)
-        room = request.steps[run.task.step].allocation
-        return Resources(room.cpu, room.memory_mb, run.accelerators)
+        capacity = request.steps[run.task.step].allocation
+        return Resources(capacity.cpu, capacity.memory_mb, run.accelerators)
 
-    def _open_turn(self, turn: RunnablePeriod) -> None:
-        self._turns[turn.job_id].append(turn)
-        self._sort_job(turn.job_id)
+    def _open_period(self, period: RunnablePeriod) -> None:
+        self._runnable[period.job_id].append(period)
+        self._update_idle(period.job_id)
 
-    def _close_turn(self, turn: RunnablePeriod) -> None:
-        self._turns[turn.job_id].remove(turn)
-        self._sort_job(turn.job_id)
+    def _close_period(self, period: RunnablePeriod) -> None:
+        self._runnable[period.job_id].remove(period)
+        self._update_idle(period.job_id)
 
-    def _sort_job(self, job_id: str) -> None:
-        """Keep which jobs wait with nothing running."""
-        if self._turns.get(job_id) and not self._running[job_id]:
+    def _update_idle(self, job_id: str) -> None:
+        """Update whether a job waits with no task running."""
+        if self._runnable.get(job_id) and not self._running[job_id]:
             self._idle.add(job_id)
         else:
             self._idle.discard(job_id)
 
-    # Standing still
+    # Stalls
 
-    def _standing_now(self) -> Iterator[str]:
+    def _currently_stalled(self) -> Iterator[str]:
         if not self._pool.use.is_mostly_free:
             return
         for job_id in self._idle:
-            if any(self._pool.has_capacity_for(turn) for turn in self._turns[job_id]):
+            if any(self._pool.has_capacity_for(period) for period in self._runnable[job_id]):
                 yield job_id
 
-    def _look(self, at_s: float) -> None:
-        """Note who has stood for too long by now, and who stands no more."""
-        self._close([job_id for job_id in self._open if job_id not in self._standing], at_s)
-        for each in self._watch.update(self._standing, at_s):
-            self._open[each.job_id] = StallPeriod(
+    def _update(self, at_s: float) -> None:
+        """Record the jobs that are stalled by now, and close the stalls that have ended."""
+        self._close_stalls(
+            [job_id for job_id in self._open_stalls if job_id not in self._stalled], at_s
+        )
+        for each in self._detector.update(self._stalled, at_s):
+            self._open_stalls[each.job_id] = StallPeriod(
                 each.job_id, each.since_s, math.inf, self._pool.use
             )
 
-    def _close(self, jobs: Iterable[str], at_s: float) -> None:
+    def _close_stalls(self, jobs: Iterable[str], at_s: float) -> None:
         for job_id in jobs:
-            self._found.append(replace(self._open.pop(job_id), until_s=at_s))
+            self._found.append(replace(self._open_stalls.pop(job_id), until_s=at_s))
 
-    def _with_beside(self, stall: StallPeriod) -> StallPeriod:
+    def _with_runs_beside(self, stall: StallPeriod) -> StallPeriod:
         before_s = stall.until_s - BESIDE_MARGIN_S
         beside = sum(
             1
-            for run in self._scene.book.runs
+            for run in self._history.run_history.runs
             if stall.since_s < run.began_s < before_s and run.task.job_id != stall.job_id
         )
         return replace(stall, beside=beside)
 
 
-def _close_room(worker: _Worker, change: int) -> None:
+def _change_closed(worker: _Worker, change: int) -> None:
     worker.closed += change
 
 
 def _by_time(
     events: Sequence[tuple[float, int, Callable[[], None]]],
 ) -> Iterator[tuple[float, list[Callable[[], None]]]]:
-    """The changes of each moment, moments in order."""
-    place = 0
-    while place < len(events):
-        at_s = events[place][0]
+    """Group the changes by time, in order."""
+    index = 0
+    while index < len(events):
+        at_s = events[index][0]
         changes = []
-        while place < len(events) and events[place][0] == at_s:
-            changes.append(events[place][2])
-            place += 1
+        while index < len(events) and events[index][0] == at_s:
+            changes.append(events[index][2])
+            index += 1
         yield at_s, changes
--- a/src/saddlestack/soak/stream.py
+++ b/src/saddlestack/soak/stream.py
@@ -1,4 +1,4 @@
-"""A stream of typed messages over TCP: msgpack frames, each behind its length."""
+"""A stream of typed messages over TCP: msgpack frames with a length prefix."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class MessageStream:
-    """Reads messages of one union of types, and writes messages.
+    """Reads messages of one union of types and writes messages of any type.
 
     :param kind: the union of all types that may arrive.
     """
@@ -25,15 +25,15 @@
         self._encoder = msgspec.msgpack.Encoder()
 
     async def read(self) -> Any:
-        """The next message.
+        """Read the next message.
 
-        :raises asyncio.IncompleteReadError: the stream ended.
+        :raises asyncio.IncompleteReadError: if the stream ended.
         """
         (size,) = _LENGTH.unpack(await self._reader.readexactly(_LENGTH.size))
         return self._decoder.decode(await self._reader.readexactly(size))
 
     def write(self, message: msgspec.Struct) -> None:
-        """Queue a message; none where the stream is over."""
+        """Queue a message; it is dropped if the stream is closing."""
         if self._writer.is_closing():
             return
         data = self._encoder.encode(message)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -299,8 +299,8 @@
 
         player = _player(play, seed=3)
         run_virtually(player.run(20.0))
-        self.assertGreater(len(player.played), 5)
-        for fault in player.played:
+        self.assertGreater(len(player.injected), 5)
+        for fault in player.injected:
             assert fault.ended_s is not None
             self.assertAlmostEqual(fault.ended_s - fault.began_s, fault.seconds, places=3)
 
--- a/tests/test_soak_invariants.py
+++ b/tests/test_soak_invariants.py
@@ -45,7 +45,7 @@
         lambda fence, at_s: is_undisturbed,
         is_fault_free=lambda at_s: is_fault_free,
     )
-    return [broken.promise for broken in found]
+    return [broken.invariant for broken in found]
 
 
 class OneRunTest(unittest.TestCase):
@@ -163,7 +163,7 @@
         builder.worker("a")
         builder.begin("a", 1.0, gang=2)
         builder.end("a", 5.0, "alone")
-        self.assertEqual(promises(builder, is_fault_free=True), [Invariant.GANG_TOGETHER])
+        self.assertEqual(promises(builder, is_fault_free=True), [Invariant.GANG_ASSEMBLED])
         self.assertEqual(promises(builder, is_fault_free=False), [])
         self.assertEqual(promises(builder, done_job(cancel_sent=True), is_fault_free=True), [])
 
@@ -194,7 +194,7 @@
         builder.begin("a", 2.0, index=1, room=2)
         builder.end("a", 2.1, "stopped", index=0)
         builder.begin("a", 3.0, index=2, room=2)
-        self.assertEqual(promises(builder), [Invariant.ROOM])
+        self.assertEqual(promises(builder), [Invariant.CAPACITY])
 
 
 class StartTest(unittest.TestCase):
@@ -244,7 +244,7 @@
 
     def test_a_job_that_is_not_over(self) -> None:
         for state in (None, JobState.QUEUED, JobState.RUNNING):
-            self.assertEqual(self.told(state), [Invariant.KEPT])
+            self.assertEqual(self.told(state), [Invariant.FINISHED])
 
     def test_a_job_that_is_shown_as_completed(self) -> None:
         self.assertEqual(self.told(JobState.COMPLETED), [Invariant.COMPLETED])
@@ -276,7 +276,7 @@
             found = check_invariants(
                 [], [job], TIMES, is_fault_free=lambda at_s: True, guaranteed=guaranteed
             )
-            missed = [each for each in found if each.promise is Invariant.RECLAIM]
+            missed = [each for each in found if each.invariant is Invariant.RECLAIM]
             self.assertEqual(len(missed), expected, guaranteed)
 
 
@@ -376,7 +376,7 @@
 
     def test_a_start_over_it_breaks_a_promise_once_the_news_is_old(self) -> None:
         self.assertEqual(promises(self.builder(10.0 + CAPACITY_LAG_S - 0.1)), [])
-        self.assertEqual(promises(self.builder(10.0 + CAPACITY_LAG_S + 0.1)), [Invariant.ROOM])
+        self.assertEqual(promises(self.builder(10.0 + CAPACITY_LAG_S + 0.1)), [Invariant.CAPACITY])
         self.assertEqual(promises(self.builder(30.0), is_undisturbed=False), [])
 
     def test_room_that_has_grown_again_may_be_used(self) -> None:
--- a/tests/test_soak_stalls.py
+++ b/tests/test_soak_stalls.py
@@ -10,13 +10,13 @@
 
 from saddlestack.policy.stall import STALL_S, PoolUsage
 from saddlestack.soak.faults import Fault
-from saddlestack.soak.logsearch import orders_of
+from saddlestack.soak.logsearch import ordered_starts_of
 from saddlestack.soak.platform import Term
 from saddlestack.soak.runnable_periods import AcceptedRequest, runnable_periods
 from saddlestack.soak.runs import RunHistory
 from saddlestack.soak.shape import FaultKind
 from saddlestack.soak.stall_causes import (
-    SLACK_S,
+    RECOVERY_SLACK_S,
     ClassifiedStall,
     OrderedStart,
     Span,
@@ -31,10 +31,10 @@
 
 OTHER = "00000000000000bb"
 ONE = Resources(1000, 1024, 1)
-ROOM = Resources(32_000, 65_536, 8)
+CAPACITY = Resources(32_000, 65_536, 8)
 END_S = 60.0
 LATE_S = 100.0
-REACH_S = TIMES.lease_s + SLACK_S
+REACH_S = TIMES.lease_s + RECOVERY_SLACK_S
 LED = Term(1, "vm-1", -50.0)
 
 
@@ -46,7 +46,7 @@
 def history(builder: RecordBuilder, *works: AcceptedRequest, until_s: float = END_S) -> SoakHistory:
     found = works or (work(),)
     requests = {each.job_id: each.request for each in found}
-    return SoakHistory(RunHistory.of(builder.records), found, requests, ROOM, 0.0, until_s)
+    return SoakHistory(RunHistory.of(builder.records), found, requests, CAPACITY, 0.0, until_s)
 
 
 class StoryTest(unittest.TestCase):
@@ -201,16 +201,16 @@
         self,
         *faults: Fault,
         terms: tuple[Term, ...] = (LED,),
-        orders: tuple[OrderedStart, ...] = (),
+        ordered_starts: tuple[OrderedStart, ...] = (),
         until_s: float = 106.0,
     ) -> ClassifiedStall:
         whole = history(self.builder, work(accepted_s=LATE_S), until_s=until_s)
         (stall,) = find_stalls(whole)
         halls = {"vm-1": "hall-1", "vm-2": "hall-2"}
-        return StallClassifier(whole, faults, terms, halls, TIMES).classify(stall, orders)
+        return StallClassifier(whole, faults, terms, halls, TIMES).classify(stall, ordered_starts)
 
     def test_nothing_explains_a_standstill_in_the_calm(self) -> None:
-        self.assertEqual(self.judged().excuses, ())
+        self.assertEqual(self.judged().causes, ())
 
     def test_what_befell_others_explains_nothing(self) -> None:
         for fault in (
@@ -219,7 +219,7 @@
             Fault(FaultKind.STORE_SHARE_AWAY, 1.0, 99.0, 101.0, on="vm-2 vm-3"),
             Fault(FaultKind.WORKER_CRASH, 1.0, 99.0, 99.0, on="m-d"),
         ):
-            self.assertEqual(self.judged(fault).excuses, (), fault)
+            self.assertEqual(self.judged(fault).causes, (), fault)
 
     def test_a_fault_of_the_leader_explains(self) -> None:
         for fault in (
@@ -227,13 +227,13 @@
             Fault(FaultKind.HALL_KILL, 1.0, 99.0, 101.0, on="hall-1"),
             Fault(FaultKind.STORE_SHARE_AWAY, 1.0, 99.0, 101.0, on="vm-2 vm-1"),
         ):
-            self.assertEqual(self.judged(fault).excuses, (StallCause.LEADER,), fault)
+            self.assertEqual(self.judged(fault).causes, (StallCause.LEADER,), fault)
 
     def test_a_change_of_leader_explains(self) -> None:
         terms = (Term(1, "vm-1", 0.0, 98.0), Term(2, "vm-2", 99.0))
-        self.assertEqual(self.judged(terms=terms).excuses, (StallCause.LEADER,))
+        self.assertEqual(self.judged(terms=terms).causes, (StallCause.LEADER,))
         later = (Term(1, "vm-1", 0.0, 98.0 - REACH_S), Term(2, "vm-2", 99.0 - REACH_S))
-        self.assertEqual(self.judged(terms=later).excuses, ())
+        self.assertEqual(self.judged(terms=later).causes, ())
 
     def test_what_stops_a_leader_explains_nothing_once_others_start(self) -> None:
         stopped = (
@@ -244,61 +244,63 @@
         terms = (Term(1, "vm-1", 0.0, 98.0), Term(2, "vm-2", 99.0))
         self.fill("a", 102.5, 103.0, room=1)
         for fault in stopped:
-            self.assertEqual(len(self.judged(fault).excuses), 1, fault)
-        self.assertEqual(self.judged(terms=terms).excuses, (StallCause.LEADER,))
+            self.assertEqual(len(self.judged(fault).causes), 1, fault)
+        self.assertEqual(self.judged(terms=terms).causes, (StallCause.LEADER,))
         self.fill("b", 100.2, 100.4, room=1)
         for fault in stopped:
-            self.assertEqual(self.judged(fault).excuses, (), fault)
-        self.assertEqual(self.judged(terms=terms).excuses, ())
+            self.assertEqual(self.judged(fault).causes, (), fault)
+        self.assertEqual(self.judged(terms=terms).causes, ())
         cut = Fault(FaultKind.HALL_CUT, 1.0, 99.0, 99.5, on="hall-1")
-        self.assertIn(StallCause.ALL, self.judged(cut).excuses)
+        self.assertIn(StallCause.ALL, self.judged(cut).causes)
 
     def test_a_fault_of_a_former_leader_reaches_no_further_than_its_term(self) -> None:
         terms = (Term(1, "vm-1", 0.0, 95.0), Term(2, "vm-2", 95.1))
         self.fill("a", 95.2, 95.4, room=1)
         frozen = Fault(FaultKind.LEADER_FREEZE, 1.0, 94.0, 104.0, on="vm-1")
-        self.assertEqual(self.judged(frozen, terms=terms).excuses, ())
+        self.assertEqual(self.judged(frozen, terms=terms).causes, ())
 
     def test_a_fault_of_all_explains(self) -> None:
         for kind in (FaultKind.STORE_AWAY, FaultKind.ALL_KILL, FaultKind.HALL_CUT):
-            self.assertEqual(self.judged(Fault(kind, 1.0, 99.0, 101.0)).excuses, (StallCause.ALL,))
+            self.assertEqual(self.judged(Fault(kind, 1.0, 99.0, 101.0)).causes, (StallCause.ALL,))
 
     def test_a_fault_reaches_one_lease_and_some_more(self) -> None:
         ended_s = LATE_S + STALL_S - REACH_S
         near = Fault(FaultKind.STORE_AWAY, 1.0, 80.0, ended_s + 0.1)
-        self.assertEqual(self.judged(near).excuses, (StallCause.ALL,))
+        self.assertEqual(self.judged(near).causes, (StallCause.ALL,))
         far = Fault(FaultKind.STORE_AWAY, 1.0, 80.0, ended_s - 0.1)
-        self.assertEqual(self.judged(far).excuses, ())
+        self.assertEqual(self.judged(far).causes, ())
 
     def test_a_fault_that_came_too_late_explains_nothing(self) -> None:
         late = Fault(FaultKind.STORE_AWAY, 1.0, LATE_S + STALL_S, 105.0)
-        self.assertEqual(self.judged(late).excuses, ())
+        self.assertEqual(self.judged(late).causes, ())
         early = replace_began(late, LATE_S + STALL_S - 0.1)
-        self.assertEqual(self.judged(early).excuses, (StallCause.ALL,))
+        self.assertEqual(self.judged(early).causes, (StallCause.ALL,))
 
     def test_a_fault_of_a_worker_that_it_was_on_explains(self) -> None:
         self.builder.begin("a", 95.0)
         self.builder.end("a", 99.5, "lapsed", acknowledged_s=99.6)
         fault = Fault(FaultKind.WORKER_HANG, 3.0, 98.0, 98.0, on="m-a")
-        self.assertEqual(self.judged(fault).excuses, (StallCause.WORKERS,))
-        self.assertEqual(self.judged(replace_on(fault, "m-b")).excuses, ())
+        self.assertEqual(self.judged(fault).causes, (StallCause.WORKERS,))
+        self.assertEqual(self.judged(replace_on(fault, "m-b")).causes, ())
 
     def test_a_start_that_was_ordered_to_a_worker_in_trouble_explains(self) -> None:
         fault = Fault(FaultKind.WORKER_HANG, 3.0, 98.0, 98.0, on="m-a")
         ordered = OrderedStart(100.1, "a")
-        self.assertEqual(self.judged(fault, orders=(ordered,)).excuses, (StallCause.WORKERS,))
+        self.assertEqual(
+            self.judged(fault, ordered_starts=(ordered,)).causes, (StallCause.WORKERS,)
+        )
         after = OrderedStart(105.9, "a")
-        self.assertEqual(self.judged(fault, orders=(after,)).excuses, ())
+        self.assertEqual(self.judged(fault, ordered_starts=(after,)).causes, ())
 
     def test_room_on_workers_in_trouble_alone_explains(self) -> None:
         fault = Fault(FaultKind.WORKER_LAPSE, 3.0, 98.0, 98.0, on="m-a m-b m-c m-d")
-        self.assertEqual(self.judged(fault).excuses, (StallCause.ROOM,))
+        self.assertEqual(self.judged(fault).causes, (StallCause.EXCLUDED_WORKERS,))
         some = replace_on(fault, "m-a m-b m-c")
-        self.assertEqual(self.judged(some).excuses, ())
+        self.assertEqual(self.judged(some).causes, ())
 
     def test_a_job_that_fails_by_itself_explains_nothing(self) -> None:
         self.fill("abcd", 90.0, 99.9, room=4)
-        self.assertEqual(self.judged().excuses, ())
+        self.assertEqual(self.judged().causes, ())
 
     def test_gaps(self) -> None:
         whole = Span(0.0, 10.0)
@@ -320,7 +322,7 @@
         with tempfile.TemporaryDirectory() as folder:
             log = Path(folder) / "a.log"
             log.write_text("\n".join(lines) + "\n")
-            found = orders_of([log], {"x1"}, epoch_s=10.0, most=10)
+            found = ordered_starts_of([log], {"x1"}, epoch_s=10.0, most=10)
         self.assertEqual([order.worker for order in found["x1"]], ["w1"])
         self.assertAlmostEqual(found["x1"][0].at_s % 60.0, 11.5)
 
--- a/tests/test_worker_gangs.py
+++ b/tests/test_worker_gangs.py
@@ -155,8 +155,8 @@
             attempts=99,
         )
         found = check_invariants(workers.records, [job], InvariantTimes(TIMES.drain_s))
-        self.assertNotIn(Invariant.ROOM, {each.promise for each in found})
-        self.assertNotIn(Invariant.WHOLE_GANG, {each.promise for each in found})
+        self.assertNotIn(Invariant.CAPACITY, {each.invariant for each in found})
+        self.assertNotIn(Invariant.WHOLE_GANG, {each.invariant for each in found})
         for life in workers.lives:
             self.assertEqual(life.machine.accelerators, ACCELERATORS)
 
