--- a/tests/soak_records.py
+++ b/tests/soak_records.py
@@ -1,4 +1,4 @@
-"""What workers of a soak tell, written down for tests of its judges."""
+"""Builds the records of a soak's workers for tests of its checks."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 JOB = "00000000000000aa"
 
 
-def name(index: int = 0, step: int = 0, job: str = JOB) -> str:
-    """A task's name."""
+def task_name(index: int = 0, step: int = 0, job: str = JOB) -> str:
+    """Return the name of a task."""
     return f"{job}.0.{step}.{index}"
 
 
 @dataclass
 class RecordBuilder:
-    """What workers told; each method adds a record."""
+    """Builds a list of records; each method appends the record of one event."""
 
     records: list[Record] = field(default_factory=list)
 
@@ -36,7 +36,7 @@
     ) -> None:
         self.records.append(LifeBegan(worker, machine, "hall-1", "r1-1", accelerators, at_s))
 
-    def gone(self, worker: str, at_s: float, *, crashed: bool) -> None:
+    def end_incarnation(self, worker: str, at_s: float, *, crashed: bool) -> None:
         self.records.append(LifeEnded(worker, at_s, crashed))
 
     def crash(self, worker: str, at_s: float, *, by: str = "") -> None:
@@ -58,12 +58,22 @@
         step: int = 0,
         fence: int = 1,
         late: bool = False,
-        room: int = 1,
+        accelerators: int = 1,
         gang: int = 0,
         job: str = JOB,
     ) -> None:
         self.records.append(
-            RunBegan(worker, name(index, step, job), run, fence, at_s, at_s, late, room, gang)
+            RunBegan(
+                worker,
+                task_name(index, step, job),
+                run,
+                fence,
+                at_s,
+                at_s,
+                late,
+                accelerators,
+                gang,
+            )
         )
 
     def end(
@@ -76,16 +86,16 @@
         run: int = 1,
         step: int = 0,
         acknowledged_s: float | None = None,
-        lapsed: bool = False,
+        lease_expired: bool = False,
         job: str = JOB,
     ) -> None:
-        task = name(index, step, job)
+        task = task_name(index, step, job)
         self.records.append(RunEnded(worker, task, run, how, at_s))
         if acknowledged_s is not None:
-            self.records.append(EndNoted(worker, task, run, 1, acknowledged_s, lapsed))
+            self.records.append(EndNoted(worker, task, run, 1, acknowledged_s, lease_expired))
 
     def stop(self, worker: str, at_s: float, *, index: int = 0, run: int = 1) -> None:
-        self.records.append(RunStopping(worker, name(index), run, 2, at_s, at_s, False))
+        self.records.append(RunStopping(worker, task_name(index), run, 2, at_s, at_s, False))
 
-    def works(self, worker: str, at_s: float, *, index: int = 0, run: int = 1) -> None:
-        self.records.append(RunWorks(worker, name(index), run, at_s))
+    def begin_work(self, worker: str, at_s: float, *, index: int = 0, run: int = 1) -> None:
+        self.records.append(RunWorks(worker, task_name(index), run, at_s))
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak of real processes from a fixed seed, and the parts that it is made of."""
+"""Tests of the soak: a short one with real processes from a fixed seed, and its parts."""
 
 from __future__ import annotations
 
@@ -51,7 +51,7 @@
 
 
 class SoakTest(unittest.TestCase):
-    def test_a_short_soak_keeps_the_promises(self) -> None:
+    def test_short_soak_violates_no_invariant(self) -> None:
         report = asyncio.run(run(SoakPlan(load(SMALL), seed=7, seconds=6.0)))
         self.assertEqual([broken.text for broken in report.broken], [], f"logs: {report.logs}")
         self.assertEqual(report.troubled, [], f"logs: {report.logs}")
@@ -61,20 +61,20 @@
 
 
 class ShapeTest(unittest.TestCase):
-    def test_the_shapes_are_what_they_say(self) -> None:
+    def test_sizes_of_the_shapes(self) -> None:
         small, grown = load(SMALL), load(GROWN)
         self.assertEqual((small.vms, small.workers), (4, 8))
         self.assertEqual((grown.vms, grown.workers, len(grown.halls)), (41, 176, 3))
         self.assertAlmostEqual(grown.rate_per_s, 6.46)
 
-    def test_every_kind_of_fault_is_played_and_workers_that_fail_only_where_jobs_do(self) -> None:
+    def test_shapes_inject_all_kinds_of_faults(self) -> None:
         without = set(FaultKind) - {FaultKind.WORKER_FAILS}
         for path, kinds in ((SMALL, without), (GROWN, without), (FAILING, set(FaultKind))):
             shape = load(path)
             played = [kind for mix in (shape.faults, *shape.more_faults) for kind in mix.weights]
             self.assertEqual(sorted(played), sorted(kinds), path)
 
-    def test_the_failing_shape_is_the_small_one_but_for_what_fails(self) -> None:
+    def test_failing_shape_equals_the_small_one_except_for_failures(self) -> None:
         small, failing = load(SMALL), load(FAILING)
         self.assertIsNone(small.failing)
         self.assertIsNone(load(GROWN).failing)
@@ -84,7 +84,7 @@
         )
         self.assertEqual(same, small)
 
-    def test_the_grown_day_with_failing_jobs_is_the_grown_shape_but_for_faults(self) -> None:
+    def test_grown_failing_shape_equals_the_grown_one_except_for_faults(self) -> None:
         grown, day = load(GROWN), load(GROWN_FAILING)
         self.assertIsNotNone(day.failing)
         same = msgspec.structs.replace(
@@ -92,7 +92,7 @@
         )
         self.assertEqual(same, grown)
 
-    def test_wrong_bursts_of_failing_jobs_are_named(self) -> None:
+    def test_errors_of_failing_jobs_name_their_keys(self) -> None:
         shape = load(FAILING)
         assert shape.failing is not None
         wrong = msgspec.structs.replace(
@@ -104,7 +104,7 @@
             ["failing.account", "failing.kinds", "failing.pause_s", "failing.jobs"],
         )
 
-    def test_each_fault_is_named_with_its_place(self) -> None:
+    def test_errors_name_their_keys(self) -> None:
         shape = load(SMALL)
         times = msgspec.structs.replace(shape.times, lease_s=0.0, stop_s=-1.0)
         hall = msgspec.structs.replace(shape.halls[0], strong_vms=9)
@@ -139,7 +139,7 @@
         ):
             self.assertIn(place, faults)
 
-    def test_unknown_fields_are_refused(self) -> None:
+    def test_unknown_fields_are_rejected(self) -> None:
         with tempfile.TemporaryDirectory() as folder:
             path = Path(folder) / "shape.json"
             path.write_text(SMALL.read_text().replace('"lead_s"', '"led_s"'))
@@ -159,7 +159,7 @@
 
 
 class LoadTest(unittest.TestCase):
-    def test_numbers_keep_to_their_mean(self) -> None:
+    def test_drawn_numbers_keep_the_mean(self) -> None:
         rng = random.Random(1)
         spread = Spread(mean=13, spread=0.8, most=78)
         drawn = [draw(spread, rng) for _ in range(5000)]
@@ -173,9 +173,9 @@
 
 
 class BurstTest(unittest.TestCase):
-    """Jobs that fail by their own fault, as clients hand them in."""
+    """Bursts of jobs that always fail."""
 
-    def handed_in(self, shape: SoakShape) -> list[SubmittedJob]:
+    def submitted(self, shape: SoakShape) -> list[SubmittedJob]:
         async def body() -> list[SubmittedJob]:
             load = Load(shape, [], random.Random(1), random.Random(2))
             task = asyncio.get_running_loop().create_task(load.run())
@@ -184,48 +184,48 @@
             await asyncio.gather(task, return_exceptions=True)
             return load.jobs
 
-        async def drop(load: Load, told: SubmittedJob, rng: random.Random) -> None:
+        async def drop(load: Load, job: SubmittedJob, rng: random.Random) -> None:
             return
 
         with patch.object(Load, "_drive", drop), patch.object(Readiness, "run", _nothing):
             return run_virtually(body())
 
-    def test_they_come_in_bursts_from_one_account_and_fail_for_good(self) -> None:
+    def test_bursts_come_from_one_account_and_always_fail(self) -> None:
         shape = load(FAILING)
         others = msgspec.structs.replace(shape, failing=None)
-        before = {told.job_id for told in self.handed_in(others)}
-        jobs = self.handed_in(shape)
+        before = {job.job_id for job in self.submitted(others)}
+        jobs = self.submitted(shape)
         bursts: dict[float, list[SubmittedJob]] = {}
-        for told in jobs:
-            if told.job_id not in before:
-                bursts.setdefault(told.submitted_s, []).append(told)
+        for job in jobs:
+            if job.job_id not in before:
+                bursts.setdefault(job.submitted_s, []).append(job)
         self.assertEqual(len(jobs) - len(before), sum(map(len, bursts.values())))
         self.assertGreater(len(bursts), 4)
         for burst in bursts.values():
             self.assertTrue(2 <= len(burst) <= 5)
-            self.assertEqual({told.account for told in burst}, {"others"})
-            self.assertEqual(len({told.kind.name for told in burst}), 1)
-            for told in burst:
-                plan = msgspec.json.decode(told.request.payload, type=TaskPlan)
+            self.assertEqual({job.account for job in burst}, {"others"})
+            self.assertEqual(len({job.kind.name for job in burst}), 1)
+            for job in burst:
+                plan = msgspec.json.decode(job.request.payload, type=TaskPlan)
                 self.assertEqual(plan.failures, ALWAYS_FAILS)
                 self.assertLessEqual(plan.work_s, 1.0)
 
 
-class ToldTest(unittest.TestCase):
-    """When a client holds its job for over."""
+class SubmittedJobTest(unittest.TestCase):
+    """When a client considers its job over."""
 
     def test_the_first_final_state_or_the_cancel_closes_a_job(self) -> None:
         kind = load(SMALL).kinds[0]
-        told = SubmittedJob("x1", kind, "others", request(kind, random.Random(1)), 0.0)
-        self.assertEqual(told.closed_s, math.inf)
-        told.changes += [(1.0, JobState.RUNNING), (2.0, JobState.FAILED), (3.0, JobState.FAILED)]
-        self.assertEqual(told.closed_s, 2.0)
-        told.cancel_sent_s = 1.5
-        self.assertEqual(told.closed_s, 1.5)
+        job = SubmittedJob("x1", kind, "others", request(kind, random.Random(1)), 0.0)
+        self.assertEqual(job.closed_s, math.inf)
+        job.changes += [(1.0, JobState.RUNNING), (2.0, JobState.FAILED), (3.0, JobState.FAILED)]
+        self.assertEqual(job.closed_s, 2.0)
+        job.cancel_sent_s = 1.5
+        self.assertEqual(job.closed_s, 1.5)
 
 
 class LogsTest(unittest.TestCase):
-    """The logs of a soak, once it is over."""
+    """Which logs are kept after a soak."""
 
     def kept(self, report: SoakReport, *, keep_logs: bool) -> bool:
         folders: list[Path] = []
@@ -242,7 +242,7 @@
         self.assertEqual(bool(report.logs), there)
         return there
 
-    def test_they_go_where_all_was_good_unless_they_are_to_be_kept(self) -> None:
+    def test_logs_are_removed_after_a_good_soak_unless_kept(self) -> None:
         self.assertFalse(self.kept(_report([0.01]), keep_logs=False))
         self.assertTrue(self.kept(_report([0.01]), keep_logs=True))
         broken = _report([0.01])
@@ -255,7 +255,7 @@
 
 
 class FaultTest(unittest.TestCase):
-    def test_a_seed_plays_the_same_faults_however_long_each_takes(self) -> None:
+    def test_seed_draws_the_same_faults_however_long_each_takes(self) -> None:
         def played(slowness: float) -> list[tuple[FaultKind, float, float]]:
             drawn: list[tuple[FaultKind, float, float]] = []
 
@@ -268,7 +268,7 @@
 
         self.assertEqual(played(0.1), played(5.0))
 
-    def test_the_first_fault_may_come_later(self) -> None:
+    def test_first_fault_may_be_delayed(self) -> None:
         began: list[float] = []
 
         async def play(fault: Fault, rng: random.Random) -> None:
@@ -292,7 +292,7 @@
         run_virtually(body(50.0, 40.0))
         self.assertEqual(began, [])
 
-    def test_faults_are_noted_with_their_times(self) -> None:
+    def test_faults_are_recorded_with_their_times(self) -> None:
         async def play(fault: Fault, rng: random.Random) -> None:
             await asyncio.sleep(fault.seconds)
             raise ProcessLookupError
@@ -304,7 +304,7 @@
             assert fault.ended_s is not None
             self.assertAlmostEqual(fault.ended_s - fault.began_s, fault.seconds, places=3)
 
-    def test_halls_are_cut_from_each_other_and_not_within(self) -> None:
+    def test_halls_are_cut_off_from_each_other_only(self) -> None:
         shape = load(SMALL)
         entries = [RecordedEntry(site) for site in entry_sites(shape)]
         workers = {"hall-1": ["127.64.0.1"], "hall-2": ["127.64.0.2"]}
@@ -316,7 +316,7 @@
             apart = {each.site.address for each in entries if each.site.hall == other}
             self.assertEqual(entry.cuts, [apart | set(workers[other]), set()])
 
-    def test_promises_with_a_time_bound_hold_where_no_fault_was_near(self) -> None:
+    def test_disturbances_include_the_recovery_time(self) -> None:
         faults = [
             Fault(FaultKind.VM_KILL, 1.0, 10.0, 11.0, on="a"),
             Fault(FaultKind.STORE_SLOW, 1.0, 100.0, 101.0, on="all"),
@@ -341,7 +341,7 @@
 
 @dataclass(slots=True)
 class RecordedEntry(EntryProcess):
-    """Notes its cuts."""
+    """Records the addresses that are cut off."""
 
     cuts: list[set[str]] = field(default_factory=list)
 
@@ -354,7 +354,7 @@
 
 
 class TermTest(unittest.TestCase):
-    def test_terms_are_told_by_their_tokens(self) -> None:
+    def test_terms_are_found_by_their_tokens(self) -> None:
         history = TermHistory()
         history.note(TermBegan(7, "a", 70_001, 1.0))
         history.note(TermEnded(2.0))
@@ -372,7 +372,7 @@
         )
         self.assertEqual(TimeSummary.of([]), TimeSummary())
 
-    def test_stand_ins_that_are_late_are_named(self) -> None:
+    def test_late_stand_ins_are_named(self) -> None:
         report = _report([0.01, 0.24], [0.01, 0.3])
         self.assertEqual(report.late, ["stand-in 1"])
         self.assertIn("late stand-ins: stand-in 1", report.summary())
@@ -393,7 +393,7 @@
         for line in ("vm_kill a", "  x1 ran twice\n    a line"):
             self.assertIn(line, text)
 
-    def test_standstills_are_told_and_counted_by_what_explains_them(self) -> None:
+    def test_stalls_are_reported_and_counted_by_cause(self) -> None:
         report = _report([0.01])
         report.standstills += [
             StandstillReport("x1", 1.0, 5.0, 3, 64, 7, ["the leader"]),
@@ -412,7 +412,7 @@
         ):
             self.assertIn(line, text)
 
-    def test_use_is_counted_over_all_lives(self) -> None:
+    def test_usage_is_summed_over_all_processes(self) -> None:
         use = VmUse()
         for pid, processor_s in ((1, 0.5), (1, 0.8), (2, 0.2)):
             use.add(pid, Usage(processor_s, 30.0), 0.0)
@@ -430,7 +430,7 @@
 
 
 def _report(*lags_s: list[float]) -> SoakReport:
-    """A report whose stand-ins were so late."""
+    """Create a report whose stand-ins have the given lags."""
     return SoakReport(
         shape="small",
         seed=1,
@@ -455,7 +455,7 @@
 
 
 class StoreWayTest(unittest.TestCase):
-    """Every trouble of a VM's way to the store, as the program's own client meets it."""
+    """Every fault of a VM's link to the store, as seen by the program's own client."""
 
     def play(self, body: Callable[[StoreWay, HttpClient, list[str]], Awaitable[None]]) -> None:
         async def whole() -> None:
@@ -485,7 +485,7 @@
 
         self.play(body)
 
-    def test_silence_holds_calls(self) -> None:
+    def test_silent_link_holds_calls(self) -> None:
         async def body(way: StoreWay, client: HttpClient, handled: list[str]) -> None:
             way.set(WayTrouble.SILENT)
             with self.assertRaises(AnswerLost):
@@ -499,7 +499,7 @@
 
         self.play(body)
 
-    def test_one_way_holds_answers(self) -> None:
+    def test_one_way_link_holds_answers(self) -> None:
         async def body(way: StoreWay, client: HttpClient, handled: list[str]) -> None:
             way.set(WayTrouble.ONE_WAY)
             waiting = asyncio.create_task(client.request("POST", "/x?n=1", timeout=5.0))
@@ -523,7 +523,7 @@
 
         self.play(body)
 
-    def test_stale_connections_swallow_and_new_ones_work(self) -> None:
+    def test_stale_connections_lose_calls_and_new_ones_work(self) -> None:
         async def body(way: StoreWay, client: HttpClient, handled: list[str]) -> None:
             await client.request("POST", "/x?n=1", timeout=1.0)
             way.set(WayTrouble.STALE)
@@ -590,8 +590,8 @@
 
 
 class EntryProcessTest(unittest.TestCase):
-    def test_restarts_that_overlap_leave_one_process(self) -> None:
-        """Found after a soak: processes of VMs restarted twice at once were left behind."""
+    def test_overlapping_restarts_leave_one_process(self) -> None:
+        """Two restarts of one VM at once used to leave a process behind after a soak."""
 
         async def body() -> None:
             entry = counted_process()
@@ -605,7 +605,7 @@
 
         asyncio.run(body())
 
-    def test_a_process_goes_on_once_nobody_holds_it(self) -> None:
+    def test_process_resumes_after_all_pauses_end(self) -> None:
         async def body() -> None:
             entry = counted_process()
             await entry.start()
@@ -618,7 +618,7 @@
 
         asyncio.run(body())
 
-    def test_a_later_life_does_not_stand_still(self) -> None:
+    def test_pause_does_not_outlive_its_process(self) -> None:
         async def body() -> None:
             entry = counted_process()
             await entry.start()
@@ -634,7 +634,7 @@
 
 @dataclass(slots=True)
 class CountedProcess(EntryProcess):
-    """Starts a process that waits for signals in place of an entry VM."""
+    """Starts a process that waits for signals instead of an entry VM."""
 
     all: list[asyncio.subprocess.Process] = field(default_factory=list)
 
@@ -644,7 +644,7 @@
         self.all.append(self.process)
 
     async def until_state(self, wanted: str) -> str:
-        """The state of the process, once it is the wanted one or some time has passed."""
+        """Wait for a process state, at most for 5 s, and return the last one."""
         state = ""
         for _ in range(500):
             assert self.process is not None
@@ -657,13 +657,13 @@
 
 
 def counted_process() -> CountedProcess:
-    """One that is not started yet."""
+    """Create a process that is not started yet."""
     site = EntrySite("entry-1", "hall-1", "127.0.0.1")
     return CountedProcess(site, Path("/nowhere"), "", load(SMALL).times)
 
 
 class ProxyTest(unittest.TestCase):
-    def test_troubles(self) -> None:
+    def test_connection_faults(self) -> None:
         async def echo(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             while data := await reader.read(100):
                 writer.write(data)
