--- a/src/saddlestack/daemon.py
+++ b/src/saddlestack/daemon.py
@@ -87,7 +87,7 @@
         self.ownership = self._add(Ownership(context))
         self.router = self._add(Router(context))
         self.intake = self._add(Intake(context))
-        self.configuration.listen(self._on_configuration)
+        self.configuration.subscribe(self._on_configuration)
         self._register_gauges()
 
     def _register_gauges(self) -> None:
--- a/src/saddlestack/platform/paths.py
+++ b/src/saddlestack/platform/paths.py
@@ -1,11 +1,11 @@
-"""Paths of the platform's calls, for both sides of them. See the platform's protocol page."""
+"""Paths of the platform's calls, for clients and stand-ins. See the platform's protocol page."""
 
 from __future__ import annotations
 
 START = "/api/run-start"
 STOP = "/api/run-stop"
-LOOK = "/api/hold"
+HOLD = "/api/hold"
 TRANSACTION = "/api/kv-txn"
-KEEP = "/api/kv-keep/"
-"""A lease's number follows."""
+KEEP_LEASE = "/api/kv-keep/"
+"""Followed by the number of the lease."""
 READY = "/api/ready"
--- a/src/saddlestack/soak/call_faults.py
+++ b/src/saddlestack/soak/call_faults.py
@@ -10,8 +10,8 @@
 from saddlestack.soak.messages import (
     AnswerErrors,
     CallKind,
+    CutDirection,
     CutFromVms,
-    CutWay,
     DelayOrders,
     Hang,
     LastingCommand,
@@ -24,7 +24,7 @@
 CALL_KINDS = {
     paths.START: CallKind.START,
     paths.STOP: CallKind.STOP,
-    paths.LOOK: CallKind.LOOK,
+    paths.HOLD: CallKind.LOOK,
 }
 
 
@@ -61,18 +61,18 @@
 
     async def wait_for_request(self, fence: int) -> bool:
         """Wait while requests are held back, and return whether this one was."""
-        return await self._wait_while_cut(fence, CutWay.REQUESTS)
+        return await self._wait_while_cut(fence, CutDirection.REQUESTS)
 
     async def wait_for_answer(self, fence: int) -> None:
         """Wait while answers are held back."""
-        await self._wait_while_cut(fence, CutWay.ANSWERS)
+        await self._wait_while_cut(fence, CutDirection.ANSWERS)
 
     def _strikes(self, command: CallFault, kind: CallKind | None) -> bool:
         if isinstance(command, DelayOrders | LoseAnswers) and kind not in command.calls:
             return False
         return self.rng.random() < command.share
 
-    async def _wait_while_cut(self, fence: int, direction: CutWay) -> bool:
+    async def _wait_while_cut(self, fence: int, direction: CutDirection) -> bool:
         waited = False
         while (left_s := self._cut_for_s(fence, direction)) > 0:
             waited = True
@@ -83,7 +83,7 @@
                 continue
         return waited
 
-    def _cut_for_s(self, fence: int, direction: CutWay) -> float:
+    def _cut_for_s(self, fence: int, direction: CutDirection) -> float:
         """The remaining time for which calls with a fencing token are cut."""
         now = _now()
         left = [
@@ -99,10 +99,10 @@
         return [fault.command for fault in self._faults]
 
 
-def _cuts(cut: CutFromVms, fence: int, direction: CutWay) -> bool:
+def _cuts(cut: CutFromVms, fence: int, direction: CutDirection) -> bool:
     if cut.fences and fence not in cut.fences:
         return False
-    return cut.way in {direction, CutWay.BOTH}
+    return cut.way in {direction, CutDirection.BOTH}
 
 
 def _now() -> float:
--- a/src/saddlestack/soak/run.py
+++ b/src/saddlestack/soak/run.py
@@ -118,7 +118,7 @@
         vm_faults = VmFaults(self._entries, self._platform, workers)
         store_faults = StoreFaults(self._platform)
         worker_faults = WorkerFaults(hosts, shape.times)
-        actions = vm_faults.plays | store_faults.plays | worker_faults.plays
+        actions = vm_faults.actions | store_faults.actions | worker_faults.actions
         injectors = [FaultInjector(shape.faults, actions, self._fault_rng)]
         for number, mix in enumerate(shape.more_faults):
             rng = random.Random(f"{self._plan.seed} more faults {number}")
