--- a/src/saddlestack/soak/invariants.py
+++ b/src/saddlestack/soak/invariants.py
@@ -425,8 +425,8 @@
 
 def _first_done_end(ends: list[RunRecord], run: RunRecord, *, shared: bool) -> RunRecord | None:
     """The first run that completed the task of a run, or its whole gang if shared."""
-    mine = [end for end in ends if shared or end.task == run.task]
-    return min(mine, key=lambda end: end.ended_s, default=None)
+    matching = [end for end in ends if shared or end.task == run.task]
+    return min(matching, key=lambda end: end.ended_s, default=None)
 
 
 def _present_at(members: list[RunRecord], at_s: float) -> int:
