--- a/src/saddlestack/standins/pool/cluster.py
+++ b/src/saddlestack/standins/pool/cluster.py
@@ -14,10 +14,10 @@
 from saddlestack.interfaces.workers import WorkerOrders, WorkerRecord
 from saddlestack.standins.loop import VirtualClock
 from saddlestack.standins.pool.documents import ACCOUNT, HOST, QUEUES, SERVICE, pool_document
-from saddlestack.standins.pool.machines import FloorAdviser, FloorMachines
-from saddlestack.standins.pool.orders import FloorOrders
+from saddlestack.standins.pool.machines import PoolAdviser, PoolMachines
+from saddlestack.standins.pool.orders import PoolWorkerOrders
 from saddlestack.standins.pool.store import StoreState, StoreView
-from saddlestack.standins.pool.workers import Floor, FloorTimes, TaskPlan, payload
+from saddlestack.standins.pool.workers import TaskPlan, WorkerPool, WorkerTimes, payload
 from saddlestack.standins.ports import free_ports
 from saddlestack.work import JobRequest, JobState, Resources, Step
 
@@ -42,38 +42,38 @@
     :param entries: entry VMs.
     :param racks: racks, one a data hall.
     :param workers: workers a rack.
-    :ivar opened: workers that some VM has opened a way to.
+    :ivar contacted_workers: workers that some VM has opened a way to.
     """
 
     entries: int = 3
     racks: int = 2
     workers: int = 2
     seed: int = 1
-    times: FloorTimes = field(default_factory=FloorTimes)
+    times: WorkerTimes = field(default_factory=WorkerTimes)
     store: StoreState = field(default_factory=StoreState)
-    floor: Floor = field(init=False)
-    machines: FloorMachines = field(init=False)
-    adviser: FloorAdviser = field(default_factory=FloorAdviser)
+    worker_pool: WorkerPool = field(init=False)
+    machines: PoolMachines = field(init=False)
+    adviser: PoolAdviser = field(default_factory=PoolAdviser)
     advised: frozenset[str] = frozenset()
     members: dict[str, _Member] = field(default_factory=dict)
     version: int = 0
-    opened: set[str] = field(default_factory=set)
+    contacted_workers: set[str] = field(default_factory=set)
     _lives: int = 0
     _floor_task: asyncio.Task[None] | None = None
 
     def __post_init__(self) -> None:
-        self.floor = Floor(self.store, SERVICE, self.times)
-        self.machines = FloorMachines(self.floor)
+        self.worker_pool = WorkerPool(self.store, SERVICE, self.times)
+        self.machines = PoolMachines(self.worker_pool)
         if self.advised:
-            self.floor.adviser = self.adviser
+            self.worker_pool.adviser = self.adviser
 
     async def start(self) -> None:
         """Start the workers and the entry VMs, and wait for a leader."""
         self.configure()
         for rack in range(self.racks):
             for _ in range(self.workers):
-                self.floor.add(f"r{rack + 1}-1", f"hall-{rack + 1}")
-        self._floor_task = asyncio.get_running_loop().create_task(self.floor.run())
+                self.worker_pool.add(f"r{rack + 1}-1", f"hall-{rack + 1}")
+        self._floor_task = asyncio.get_running_loop().create_task(self.worker_pool.run())
         for number in range(self.entries):
             await self.add_entry(f"entry-{number + 1}")
         await self.until(lambda: self.leader is not None)
@@ -142,7 +142,7 @@
         """Have nothing started in a data hall, as the operators do."""
         self.store.put(f"op/evacuate/{hall}", b"{}")
 
-    def take_back(self, hall: str) -> None:
+    def end_evacuation(self, hall: str) -> None:
         """End the evacuation of a data hall."""
         self.store.remove(f"op/evacuate/{hall}")
 
@@ -212,10 +212,12 @@
                 await asyncio.sleep(STEP_S)
 
     def _orders(self, name: str, record: WorkerRecord) -> WorkerOrders:
-        self.opened.add(record.worker_id)
+        self.contacted_workers.add(record.worker_id)
         life = record.worker_id
-        worker = self.floor.workers.get(life) or self.floor.present(life)
-        return FloorOrders(self.floor, worker, lambda: self._passes(name), record.address, life)
+        worker = self.worker_pool.workers.get(life) or self.worker_pool.latest_incarnation(life)
+        return PoolWorkerOrders(
+            self.worker_pool, worker, lambda: self._passes(name), record.address, life
+        )
 
     def _passes(self, name: str) -> bool:
         member = self.members.get(name)
@@ -246,7 +248,7 @@
     return JobRequest(payload=payload(plan), steps=(step,))
 
 
-def _settings(name: str, times: FloorTimes) -> EntrySettings:
+def _settings(name: str, times: WorkerTimes) -> EntrySettings:
     first = free_ports(2)
     return EntrySettings(
         vm=name,
--- a/src/saddlestack/standins/pool/machines.py
+++ b/src/saddlestack/standins/pool/machines.py
@@ -11,7 +11,7 @@
     MachinesUnavailable,
     UpkeepOutcome,
 )
-from saddlestack.standins.pool.workers import Floor, FloorWorker
+from saddlestack.standins.pool.workers import PoolWorker, WorkerPool
 
 ANSWER_S = 0.01
 UPKEEP_S = 2.0
@@ -19,14 +19,14 @@
 
 
 @dataclass(slots=True)
-class FloorMachines:
+class PoolMachines:
     """Takes machines down and brings them back; records who ordered what.
 
     :param most_down: machines that were down at once.
     :param lose_answers: so many orders are carried out and not answered.
     """
 
-    floor: Floor
+    worker_pool: WorkerPool
     orders: list[tuple[float, str, str, int]] = field(default_factory=list)
     done: set[tuple[str, int]] = field(default_factory=set)
     down: int = 0
@@ -47,7 +47,7 @@
         if worker is None:
             return UpkeepOutcome.UNKNOWN_MACHINE
         self.done.add((machine, wave))
-        self.floor.crash(worker, recorded=False)
+        self.worker_pool.crash(worker, recorded=False)
         self.down += 1
         self.most_down = max(self.most_down, self.down)
         task = asyncio.get_running_loop().create_task(self._return(worker))
@@ -58,18 +58,18 @@
             raise MachinesUnavailable("answer lost")
         return UpkeepOutcome.BEGUN
 
-    def _worker(self, machine: str) -> FloorWorker | None:
-        workers = self.floor.workers.values()
+    def _worker(self, machine: str) -> PoolWorker | None:
+        workers = self.worker_pool.workers.values()
         return next((w for w in workers if w.machine == machine and w.up), None)
 
-    async def _return(self, worker: FloorWorker) -> None:
+    async def _return(self, worker: PoolWorker) -> None:
         await asyncio.sleep(UPKEEP_S)
         self.down -= 1
-        self.floor.add(worker.rack, worker.data_hall, worker.accelerators, worker.machine)
+        self.worker_pool.add(worker.rack, worker.data_hall, worker.accelerators, worker.machine)
 
 
 @dataclass(slots=True)
-class FloorAdviser:
+class PoolAdviser:
     """Lets steps run on workers whose number is even, and records its tickets."""
 
     tickets: dict[str, tuple[str, str, float]] = field(default_factory=dict)
--- a/src/saddlestack/standins/pool/orders.py
+++ b/src/saddlestack/standins/pool/orders.py
@@ -17,13 +17,13 @@
     WorkerUnreachable,
 )
 from saddlestack.platform.orders import check_start_time
-from saddlestack.standins.pool.workers import Floor, FloorWorker
+from saddlestack.standins.pool.workers import PoolWorker, WorkerPool
 
 TRIP_S = 0.001
 
 
 @dataclass(slots=True)
-class FloorOrders:
+class PoolWorkerOrders:
     """One VM's way to one life of a worker.
 
     :param passes: whether anything passes between the VM and the worker.
@@ -32,8 +32,8 @@
         given its orders; otherwise any life of the worker's id takes them.
     """
 
-    floor: Floor
-    worker: FloorWorker
+    worker_pool: WorkerPool
+    worker: PoolWorker
     passes: Callable[[], bool]
     address: str
     life: str = ""
@@ -44,9 +44,9 @@
         await self._reach(timeout_s)
         if self.worker.late_orders:
             self.worker.late_orders -= 1
-            self._later(lambda worker: self.floor.start(worker, order))
+            self._later(lambda worker: self.worker_pool.start(worker, order))
             await self._silence(timeout_s)
-        reply = self.floor.start(self.worker, order)
+        reply = self.worker_pool.start(self.worker, order)
         await asyncio.sleep(TRIP_S)
         return reply
 
@@ -55,22 +55,22 @@
         await self._reach(timeout_s)
         if self.worker.lost_stops:
             self.worker.lost_stops -= 1
-            self._later(lambda worker: self.floor.stop(worker, task, run, fence))
+            self._later(lambda worker: self.worker_pool.stop(worker, task, run, fence))
             await self._silence(timeout_s)
-        self.floor.stop(self.worker, task, run, fence)
+        self.worker_pool.stop(self.worker, task, run, fence)
         await asyncio.sleep(TRIP_S)
 
     async def pace(self, task: str, run: int, percent: int, fence: int, timeout_s: float) -> None:
         """Let a run work at a share of its speed."""
         await self._reach(timeout_s)
-        self.floor.pace(self.worker, task, run, percent, fence)
+        self.worker_pool.pace(self.worker, task, run, percent, fence)
 
     async def hold(
         self, fence: int, deadline_ms: int | None, seen: int, wait_s: float, timeout_s: float
     ) -> WorkerReport:
         """Renew the lease, acknowledge ends, and look."""
         await self._reach(timeout_s)
-        report = await self.floor.hold(self.worker, fence, deadline_ms, seen, wait_s)
+        report = await self.worker_pool.hold(self.worker, fence, deadline_ms, seen, wait_s)
         check_start_time(started_ms_of(self.life), report.born)
         return report
 
@@ -88,10 +88,12 @@
         if self.worker.busy:
             raise WorkerBusy("answered 503")
 
-    def _other_life(self) -> FloorWorker:
+    def _other_life(self) -> PoolWorker:
         """The life that takes the orders in place of the one that was there."""
         there = [
-            each for each in self.floor.workers.values() if each.up and each.address == self.address
+            each
+            for each in self.worker_pool.workers.values()
+            if each.up and each.address == self.address
         ]
         if not there:
             raise WorkerNotReached("refused")
@@ -103,12 +105,12 @@
         await asyncio.sleep(timeout_s)
         raise WorkerUnreachable("silence")
 
-    def _later(self, work: Callable[[FloorWorker], object]) -> None:
+    def _later(self, work: Callable[[PoolWorker], object]) -> None:
         """Carry an order out late, by whichever life then goes by the worker's id."""
 
         async def do() -> None:
             await asyncio.sleep(self.worker.late_s)
-            present = self.floor.present(self.worker.worker_id)
+            present = self.worker_pool.latest_incarnation(self.worker.worker_id)
             if present.up:
                 work(present)
 
--- a/src/saddlestack/standins/pool/workers.py
+++ b/src/saddlestack/standins/pool/workers.py
@@ -1,6 +1,6 @@
 """Stand-ins for the platform's workers: leases, fences, gangs, checkpoints, and their faults.
 
-A :class:`Floor` holds the workers and what tasks do. It records every run and reports broken
+A :class:`WorkerPool` holds the workers and what tasks do. It records every run and reports broken
 promises. The way to a worker is in :mod:`saddlestack.standins.pool.orders`.
 """
 
@@ -75,7 +75,7 @@
 
 
 @dataclass(slots=True)
-class FloorRun:
+class PoolRun:
     """One run at one worker.
 
     :param done_s: seconds of work done.
@@ -95,7 +95,7 @@
 
 
 @dataclass(slots=True)
-class FloorTimes:
+class WorkerTimes:
     """Times that workers keep to, in seconds."""
 
     hold_s: float = 10.0
@@ -106,7 +106,7 @@
 
 
 @dataclass(slots=True)
-class FloorWorker:
+class PoolWorker:
     """One life of a worker.
 
     :param born: in milliseconds since 1970; 0 where it does not tell.
@@ -133,7 +133,7 @@
     busy: bool = False
     fence: int = 0
     lease_until: float = 0.0
-    runs: dict[tuple[TaskName, int], FloorRun] = field(default_factory=dict)
+    runs: dict[tuple[TaskName, int], PoolRun] = field(default_factory=dict)
     ended: list[EndedTask] = field(default_factory=list)
     highest: dict[TaskName, int] = field(default_factory=dict)
     count: int = 0
@@ -162,43 +162,43 @@
         ...
 
 
-class Floor:
+class WorkerPool:
     """All workers of a pool, and the account of everything that ran.
 
     :ivar workers: by the name of the life.
-    :ivar births: whether workers tell when they were born.
+    :ivar reports_start_time: whether workers tell when they were born.
     :ivar crashed: runs that crashed their workers.
-    :ivar died_beside: runs that were lost to such a crash without having caused it.
+    :ivar lost_with_worker: runs that were lost to such a crash without having caused it.
     """
 
-    def __init__(self, store: StoreState, service: str, times: FloorTimes) -> None:
+    def __init__(self, store: StoreState, service: str, times: WorkerTimes) -> None:
         self._store = store
         self._service = service
         self.times = times
-        self.workers: dict[str, FloorWorker] = {}
-        self.history: list[FloorRun] = []
-        self._by_task: defaultdict[TaskName, list[FloorRun]] = defaultdict(list)
-        self._by_gang: defaultdict[_GangKey, list[FloorRun]] = defaultdict(list)
+        self.workers: dict[str, PoolWorker] = {}
+        self.history: list[PoolRun] = []
+        self._by_task: defaultdict[TaskName, list[PoolRun]] = defaultdict(list)
+        self._by_gang: defaultdict[_GangKey, list[PoolRun]] = defaultdict(list)
         self._failed: Counter[TaskName] = Counter()
         self.violations: list[str] = []
         self._lives = 0
-        self.births = False
+        self.reports_start_time = False
         self._taken_note: set[TaskName] = set()
         self.orders = 0
-        self.looks = 0
+        self.polls = 0
         self.adviser: TicketOffice | None = None
         self.resumed: list[tuple[TaskName, int, str]] = []
-        self.crashed: list[FloorRun] = []
-        self.died_beside: list[FloorRun] = []
+        self.crashed: list[PoolRun] = []
+        self.lost_with_worker: list[PoolRun] = []
 
     # The platform's side
 
     def add(
         self, rack: str, data_hall: str, accelerators: int = 8, machine: str = ""
-    ) -> FloorWorker:
+    ) -> PoolWorker:
         """A new life of a worker, recorded in the store."""
         self._lives += 1
-        worker = FloorWorker(
+        worker = PoolWorker(
             f"i-{self._lives:04d}", f"127.0.0.1:{9000 + self._lives}", accelerators, rack, data_hall
         )
         worker.machine = machine or f"m-{self._lives:04d}"
@@ -207,13 +207,13 @@
         self.record(worker)
         return worker
 
-    def restart(self, worker: FloorWorker, *, recorded: bool = True) -> FloorWorker:
+    def restart(self, worker: PoolWorker, *, recorded: bool = True) -> PoolWorker:
         """A worker starts again under its id, at its address; it knows nothing of before.
 
         :param recorded: it has written its record.
         """
         self.crash(worker)
-        life = FloorWorker(
+        life = PoolWorker(
             worker.worker_id,
             worker.address,
             worker.accelerators,
@@ -228,7 +228,7 @@
             self.record(life)
         return life
 
-    def present(self, worker_id: str) -> FloorWorker:
+    def latest_incarnation(self, worker_id: str) -> PoolWorker:
         """The latest life of a worker, by its id or the name of any of its lives."""
         lives = [
             each for each in self.workers.values() if each.worker_id == worker_id_of(worker_id)
@@ -237,12 +237,12 @@
 
     def _birth(self) -> int:
         """When a life is born; no two of them at once."""
-        if not self.births:
+        if not self.reports_start_time:
             return 0
         latest = max((each.born for each in self.workers.values()), default=0)
         return max(latest + 1, round((WALL_EPOCH_S + _now()) * 1000))
 
-    def record(self, worker: FloorWorker, *, remaining_ms: int | None = None) -> None:
+    def record(self, worker: PoolWorker, *, remaining_ms: int | None = None) -> None:
         """Write a worker's record; with ``remaining_ms`` it drains."""
         record = {
             "service": self._service,
@@ -264,7 +264,7 @@
             record["remaining-ms"] = remaining_ms
         self._store.put(f"servers/{worker.worker_id}", msgspec.json.encode(record))
 
-    def crash(self, worker: FloorWorker, *, recorded: bool = True) -> None:
+    def crash(self, worker: PoolWorker, *, recorded: bool = True) -> None:
         """A worker is gone at once; its record goes too unless ``recorded``."""
         worker.up = False
         worker.runs.clear()
@@ -272,7 +272,7 @@
         if not recorded:
             self._store.remove(f"servers/{worker.worker_id}")
 
-    def resize(self, worker: FloorWorker, accelerators: int) -> None:
+    def resize(self, worker: PoolWorker, accelerators: int) -> None:
         """A worker's room shrinks or grows while it runs, and its record tells; it guards none.
 
         What was ordered up to :data:`NEWS_S` after its record changed may still take it over.
@@ -282,11 +282,11 @@
         worker.accelerators = accelerators
         self.record(worker)
 
-    def lapse(self, worker: FloorWorker) -> None:
+    def expire_record(self, worker: PoolWorker) -> None:
         """A worker's record lapses, as while the store is away; the worker runs on."""
         self._store.remove(f"servers/{worker.worker_id}")
 
-    def clock_ms(self, worker: FloorWorker) -> int:
+    def clock_ms(self, worker: PoolWorker) -> int:
         """A worker's steady clock; each life has one of its own."""
         return CLOCK_START_MS + round((_now() - worker.began_s) * 1000)
 
@@ -300,7 +300,7 @@
 
     # Accounts
 
-    def crashes_under(self, job_id: str) -> list[FloorRun]:
+    def crashes_under(self, job_id: str) -> list[PoolRun]:
         """Runs of a job that crashed their workers."""
         return [run for run in self.crashed if run.task.job_id == job_id]
 
@@ -314,7 +314,7 @@
 
     # What orders do
 
-    def start(self, worker: FloorWorker, order: StartOrder) -> StartReply:
+    def start(self, worker: PoolWorker, order: StartOrder) -> StartReply:
         """Start a run."""
         self.orders += 1
         name = TaskName.parse(order.task)
@@ -337,7 +337,7 @@
                 self.violations.append(f"{name} takes {worker.life} over its room")
             return StartReply(clock, Refusal.CAPACITY)
         self._check_start(name)
-        run = FloorRun(name, order.run, worker.life, plan, _now())
+        run = PoolRun(name, order.run, worker.life, plan, _now())
         if order.saved:
             run.done_s = float(order.saved)
             self.resumed.append((name, order.run, order.saved))
@@ -345,7 +345,7 @@
         self._note(run)
         return StartReply(clock, None)
 
-    def stop(self, worker: FloorWorker, task: str, number: int, fence: int) -> None:
+    def stop(self, worker: PoolWorker, task: str, number: int, fence: int) -> None:
         """Stop a run."""
         self.orders += 1
         if fence < worker.fence:
@@ -357,7 +357,7 @@
         if run is not None and run.stopping_at is None:
             run.stopping_at = _now() + self.times.stop_s
 
-    def pace(self, worker: FloorWorker, task: str, number: int, percent: int, fence: int) -> None:
+    def pace(self, worker: PoolWorker, task: str, number: int, percent: int, fence: int) -> None:
         """Let a run work at a share of its speed."""
         if fence < worker.fence:
             raise WorkerFenced
@@ -366,10 +366,10 @@
             run.pace = percent
 
     async def hold(
-        self, worker: FloorWorker, fence: int, deadline_ms: int | None, seen: int, wait_s: float
+        self, worker: PoolWorker, fence: int, deadline_ms: int | None, seen: int, wait_s: float
     ) -> WorkerReport:
         """Renew the lease, forget ends, and report."""
-        self.looks += 1
+        self.polls += 1
         if fence < worker.fence:
             raise WorkerFenced
         worker.fence = fence
@@ -399,7 +399,7 @@
 
     # Work
 
-    def _take_note(self, worker: FloorWorker, end: EndedTask) -> None:
+    def _take_note(self, worker: PoolWorker, end: EndedTask) -> None:
         """An end counts for good, unless the worker's lease lapsed before it was acknowledged.
 
         A leader may then have had the task begun again, and cannot take that back.
@@ -407,17 +407,17 @@
         if worker.lapsed_at <= worker.ended_at[end.number]:
             self._taken_note.add(TaskName.parse(end.task))
 
-    def _see_lapse(self, worker: FloorWorker) -> None:
+    def _see_lapse(self, worker: PoolWorker) -> None:
         if _now() > worker.lease_until:
             worker.lapsed_at = worker.lease_until
 
-    def _extend(self, worker: FloorWorker, deadline_ms: int) -> None:
+    def _extend(self, worker: PoolWorker, deadline_ms: int) -> None:
         self._see_lapse(worker)
         deadline_s = worker.began_s + (deadline_ms - CLOCK_START_MS) / 1000
         until = min(deadline_s, _now() + self.times.hold_s)
         worker.lease_until = max(worker.lease_until, until)
 
-    def _ticket_holds(self, worker: FloorWorker, name: TaskName, ticket: str) -> bool:
+    def _ticket_holds(self, worker: PoolWorker, name: TaskName, ticket: str) -> bool:
         assert self.adviser is not None
         step, worker_id, until = self.adviser.tickets.get(ticket, ("", "", 0.0))
         whole = f"{name.job_id}.{name.occurrence}.{name.step}"
@@ -429,18 +429,18 @@
         running = {run.worker for run in self._by_task[name] if self._is_present(run)}
         self.violations += [f"{name} runs twice at once"] * len(running)
 
-    def _note(self, run: FloorRun) -> None:
+    def _note(self, run: PoolRun) -> None:
         """A run begins."""
         self.history.append(run)
         self._by_task[run.task].append(run)
         self._by_gang[_gang_of(run)].append(run)
 
-    def _is_present(self, run: FloorRun) -> bool:
+    def _is_present(self, run: PoolRun) -> bool:
         """Whether a run goes on, at a worker that is up."""
         worker = self.workers[run.worker]
         return worker.up and worker.runs.get((run.task, run.number)) is run
 
-    def _advance(self, worker: FloorWorker) -> None:
+    def _advance(self, worker: PoolWorker) -> None:
         if worker.runs and _now() > worker.lease_until:
             for run in list(worker.runs.values()):
                 if run.ended is None:
@@ -450,7 +450,7 @@
             if (run.task, run.number) in worker.runs:
                 self._advance_run(worker, run)
 
-    def _advance_run(self, worker: FloorWorker, run: FloorRun) -> None:
+    def _advance_run(self, worker: PoolWorker, run: PoolRun) -> None:
         if run.stopping_at is not None:
             if _now() >= run.stopping_at:
                 self._end(worker, run, EndKind.STOPPED)
@@ -468,27 +468,27 @@
         failed = worker.fails_all or self._failed[run.task] < run.plan.failures
         self._end(worker, run, EndKind.FAILED if failed else EndKind.DONE)
 
-    def _crash_under(self, worker: FloorWorker, run: FloorRun) -> None:
+    def _crash_under(self, worker: PoolWorker, run: PoolRun) -> None:
         """A run crashes its worker, with all that runs there; another life comes later."""
         self.crashed.append(run)
-        self.died_beside += [other for other in worker.runs.values() if other is not run]
+        self.lost_with_worker += [other for other in worker.runs.values() if other is not run]
         self.crash(worker, recorded=False)
         loop = asyncio.get_running_loop()
         loop.call_later(self.times.back_s, self._come_back, worker)
 
-    def _come_back(self, old: FloorWorker) -> None:
+    def _come_back(self, old: PoolWorker) -> None:
         """A new life of a worker that crashed, under a new id."""
         life = self.add(old.rack, old.data_hall, old.accelerators, old.machine)
         life.address = old.address
         self.record(life)
 
-    def _members(self, run: FloorRun) -> list[tuple[FloorWorker, FloorRun]]:
+    def _members(self, run: PoolRun) -> list[tuple[PoolWorker, PoolRun]]:
         """The members of a run's gang that are present, worker after worker."""
         present = [each for each in self._by_gang[_gang_of(run)] if self._is_present(each)]
         present.sort(key=lambda each: each.worker)
         return [(self.workers[each.worker], each) for each in present]
 
-    def _end(self, worker: FloorWorker, run: FloorRun, how: EndKind) -> None:
+    def _end(self, worker: PoolWorker, run: PoolRun, how: EndKind) -> None:
         members = self._members(run) if run.plan.gang else []
         self._list_end(worker, run, how)
         whole = len(members) == run.plan.gang
@@ -497,7 +497,7 @@
                 broken = EndKind.DONE if how is EndKind.DONE else EndKind.BROKEN
                 self._list_end(other_worker, other, broken)
 
-    def _list_end(self, worker: FloorWorker, run: FloorRun, how: EndKind) -> None:
+    def _list_end(self, worker: PoolWorker, run: PoolRun, how: EndKind) -> None:
         run.ended = how
         run.ended_at = _now()
         if how is EndKind.FAILED:
@@ -522,18 +522,18 @@
     return Resources(1000, 1024, accelerators)
 
 
-def _percent(run: FloorRun) -> int:
+def _percent(run: PoolRun) -> int:
     return min(100, round(100 * run.done_s / run.plan.work_s))
 
 
-def _figure(worker: FloorWorker, run: FloorRun) -> float:
+def _figure(worker: PoolWorker, run: PoolRun) -> float:
     if not run.plan.tail_ms:
         return 0.0
     harm = sum(other.plan.harm_ms * other.pace / 100 for other in worker.runs.values())
     return run.plan.tail_ms + harm
 
 
-def _gang_of(run: FloorRun) -> _GangKey:
+def _gang_of(run: PoolRun) -> _GangKey:
     task = run.task
     return task.job_id, task.occurrence, task.step, run.number
 
--- a/tests/test_cancelling.py
+++ b/tests/test_cancelling.py
@@ -6,7 +6,7 @@
 
 from saddlestack.interfaces.workers import EndKind
 from saddlestack.standins.pool.cluster import PoolCluster, job
-from saddlestack.standins.pool.workers import FloorWorker
+from saddlestack.standins.pool.workers import PoolWorker
 from saddlestack.work import JobState
 from tests.test_pool import PoolTest
 
@@ -15,9 +15,9 @@
 """Time for a poll to find the run, and for the stop, which takes 0.5 s."""
 
 
-def worker_of(cluster: PoolCluster) -> FloorWorker:
+def worker_of(cluster: PoolCluster) -> PoolWorker:
     """The worker of the run that started last."""
-    return cluster.floor.workers[cluster.floor.history[-1].worker]
+    return cluster.worker_pool.workers[cluster.worker_pool.history[-1].worker]
 
 
 class CancelledWorkTest(PoolTest):
@@ -26,16 +26,16 @@
 
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(1, work_s=60.0))
-            await cluster.until(lambda: cluster.floor.starts_of(A) == 1)
+            await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 1)
             worker = worker_of(cluster)
-            cluster.floor.lapse(worker)
+            cluster.worker_pool.expire_record(worker)
             await cluster.kill(cluster.leader_name)
             await cluster.until(lambda: cluster.leader is not None)
             self.assertTrue(await cluster.cancel(A))
             await asyncio.sleep(0.5)
-            cluster.floor.record(worker)
+            cluster.worker_pool.record(worker)
             await cluster.until(
-                lambda: cluster.floor.ends_of(A, EndKind.STOPPED) == 1, STOPPED_WITHIN_S
+                lambda: cluster.worker_pool.ends_of(A, EndKind.STOPPED) == 1, STOPPED_WITHIN_S
             )
             await cluster.until_state(A, JobState.CANCELLED, STOPPED_WITHIN_S)
 
@@ -43,21 +43,21 @@
 
     def test_it_stops_if_the_start_is_carried_out_late(self) -> None:
         async def body(cluster: PoolCluster) -> None:
-            for worker in cluster.floor.workers.values():
+            for worker in cluster.worker_pool.workers.values():
                 worker.late_orders = 1
                 worker.late_s = 3.0
             await cluster.submit(A, job(1, work_s=60.0))
             await asyncio.sleep(0.3)
             self.assertTrue(await cluster.cancel(A))
             await asyncio.sleep(3.0 + STOPPED_WITHIN_S)
-            running = [run for w in cluster.floor.workers.values() for run in w.runs.values()]
+            running = [run for w in cluster.worker_pool.workers.values() for run in w.runs.values()]
             self.assertEqual(running, [])
 
         self.play(body)
 
     def test_it_stops_if_the_leader_is_gone_before_the_start_is_carried_out(self) -> None:
         async def body(cluster: PoolCluster) -> None:
-            for worker in cluster.floor.workers.values():
+            for worker in cluster.worker_pool.workers.values():
                 worker.late_orders = 1
                 worker.late_s = 3.0
             await cluster.submit(A, job(1, work_s=60.0), at="entry-2")
@@ -66,7 +66,7 @@
             await cluster.kill(old)
             self.assertTrue(await cluster.cancel(A))
             await asyncio.sleep(4.0 + STOPPED_WITHIN_S)
-            running = [run for w in cluster.floor.workers.values() for run in w.runs.values()]
+            running = [run for w in cluster.worker_pool.workers.values() for run in w.runs.values()]
             self.assertEqual(running, [])
 
         self.play(body)
--- a/tests/test_capacity_news.py
+++ b/tests/test_capacity_news.py
@@ -102,14 +102,14 @@
 class PoolCapacityTest(PoolTest):
     def test_no_start_goes_over_a_room_that_shrinks_and_grows(self) -> None:
         async def body(cluster: PoolCluster) -> None:
-            for worker in cluster.floor.workers.values():
-                cluster.floor.resize(worker, 2)
+            for worker in cluster.worker_pool.workers.values():
+                cluster.worker_pool.resize(worker, 2)
             await asyncio.sleep(HEARD_S)
             await cluster.submit(JOB, job(24, work_s=1.5))
             for accelerators in (8, 1, 6, 8):
                 await asyncio.sleep(1.0)
-                for worker in list(cluster.floor.workers.values())[::2]:
-                    cluster.floor.resize(worker, accelerators)
+                for worker in list(cluster.worker_pool.workers.values())[::2]:
+                    cluster.worker_pool.resize(worker, accelerators)
             await cluster.until_state(JOB, JobState.COMPLETED)
 
         self.play(body)
--- a/tests/test_crashing_task.py
+++ b/tests/test_crashing_task.py
@@ -32,7 +32,7 @@
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(CRASHING, job(1, accelerators=8, crashes_s=AT_ONCE_S))
             await asyncio.sleep(LONG_S)
-            self.assertLessEqual(cluster.floor.starts_of(CRASHING), MOST_STARTS)
+            self.assertLessEqual(cluster.worker_pool.starts_of(CRASHING), MOST_STARTS)
             self.assertIs(await cluster.state(CRASHING), JobState.FAILED)
 
         self.play(body, racks=2, workers=4)
@@ -43,14 +43,16 @@
             for number in range(8):
                 crashes = number + 1
                 try:
-                    await cluster.until(lambda n=crashes: len(cluster.floor.crashed) >= n, 15.0)  # type: ignore[misc]
+                    await cluster.until(
+                        lambda n=crashes: len(cluster.worker_pool.crashed) >= n, 15.0
+                    )  # type: ignore[misc]
                 except TimeoutError:
                     break
                 name = cluster.leader_name
                 await cluster.kill(name)
                 await cluster.add_entry(name)
                 await cluster.until(lambda: cluster.leader is not None)
-            self.assertLessEqual(cluster.floor.starts_of(CRASHING), MOST_STARTS)
+            self.assertLessEqual(cluster.worker_pool.starts_of(CRASHING), MOST_STARTS)
             await cluster.until_state(CRASHING, JobState.FAILED)
 
         self.play(body, racks=2, workers=4)
@@ -62,6 +64,6 @@
             await cluster.until_state(SOUND, JobState.COMPLETED, LONG_S)
             await cluster.until_state(CRASHING, JobState.FAILED, LONG_S)
             once = 8
-            self.assertLessEqual(len(cluster.floor.died_beside), once)
+            self.assertLessEqual(len(cluster.worker_pool.lost_with_worker), once)
 
         self.play(body, racks=1, workers=4)
--- a/tests/test_departure.py
+++ b/tests/test_departure.py
@@ -91,15 +91,15 @@
             loop = asyncio.get_running_loop()
             await asyncio.sleep(INHERITED_S)
             await cluster.submit(A, job(1, work_s=6.0, checkpoint=True))
-            await cluster.until(lambda: cluster.floor.starts_of(A) == 1)
-            worker = cluster.floor.workers[cluster.floor.history[0].worker]
-            cluster.floor.record(worker, remaining_ms=2000)
+            await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 1)
+            worker = cluster.worker_pool.workers[cluster.worker_pool.history[0].worker]
+            cluster.worker_pool.record(worker, remaining_ms=2000)
             await asyncio.sleep(NOTICE_S - SAVE_MARGIN_S - 0.1)
             worker.unreachable = True
             silent_s = loop.time()
             await asyncio.sleep(SAVE_MARGIN_S + 0.1)
-            cluster.floor.crash(worker, recorded=False)
-            await cluster.until(lambda: cluster.floor.starts_of(A) == 2)
+            cluster.worker_pool.crash(worker, recorded=False)
+            await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 2)
             longest_s = POOL_HOLD_S * CLOCK_DRIFT + LAPSE_SLACK_S
             self.assertGreater(loop.time() - silent_s, POOL_HOLD_S - LONG_POLL_S)
             self.assertLess(loop.time() - silent_s, LONG_POLL_S + longest_s + PROCESSING_S)
--- a/tests/test_entries.py
+++ b/tests/test_entries.py
@@ -17,7 +17,7 @@
 from saddlestack.interfaces.workers import EndKind
 from saddlestack.standins.pool.cluster import PoolCluster, job
 from saddlestack.standins.pool.documents import pool_document
-from saddlestack.standins.pool.workers import FloorWorker
+from saddlestack.standins.pool.workers import PoolWorker
 from saddlestack.work import JobState
 from tests.malformed import encoded, worker_records
 from tests.test_inherited import HOLD_S, INHERITED_S, SOON_S, A, B, InheritedCase
@@ -28,11 +28,11 @@
 
 
 class EntryCase(InheritedCase):
-    def write(self, cluster: PoolCluster, worker: FloorWorker, value: bytes) -> None:
+    def write(self, cluster: PoolCluster, worker: PoolWorker, value: bytes) -> None:
         """Writes bytes to a worker's record, as another writer would."""
         cluster.store.put(f"servers/{worker.worker_id}", value)
 
-    def rewrite(self, cluster: PoolCluster, worker: FloorWorker, **fields: object) -> None:
+    def rewrite(self, cluster: PoolCluster, worker: PoolWorker, **fields: object) -> None:
         """Changes fields of a worker's record, as another writer would; ``None`` removes one."""
         record = msgspec.json.decode(cluster.store.item(f"servers/{worker.worker_id}").value)
         for name, value in fields.items():
@@ -66,14 +66,14 @@
             for number, value in enumerate(rows.values()):
                 cluster.store.put(f"servers/bad-{number}", value)
             await asyncio.sleep(RECORD_DELAY_S)
-            self.assertEqual(self.known(cluster), set(cluster.floor.workers))
+            self.assertEqual(self.known(cluster), set(cluster.worker_pool.workers))
             self.assertEqual(self.counted(cluster, "worker_records_refused"), len(rows))
             # More than the valid workers can run at once, so the others would be used if accepted.
             await cluster.submit(A, job(64))
             await cluster.until_state(A, JobState.COMPLETED)
-            self.assertLessEqual(cluster.opened, set(cluster.floor.workers))
+            self.assertLessEqual(cluster.contacted_workers, set(cluster.worker_pool.workers))
             # The feed continues.
-            late = cluster.floor.add("r1-1", "hall-1")
+            late = cluster.worker_pool.add("r1-1", "hall-1")
             await asyncio.sleep(RECORD_DELAY_S)
             self.assertIn(late.worker_id, self.known(cluster))
 
@@ -85,7 +85,7 @@
                 cluster.store.put(f"servers/bad-{number}", value)
             await cluster.kill(cluster.leader_name)
             await cluster.until(lambda: cluster.leader is not None, 5.0)
-            self.assertEqual(self.known(cluster), set(cluster.floor.workers))
+            self.assertEqual(self.known(cluster), set(cluster.worker_pool.workers))
             await cluster.submit(A, job(4))
             await cluster.until_state(A, JobState.COMPLETED)
 
@@ -98,11 +98,11 @@
             cluster.store.put("servers/bad-1", encoded(service="nobodys"))
             cluster.store.put("servers/bad-2", encoded(capacity={"cpu": 0, "mem-mb": 1}))
             await cluster.submit(A, job(32, work_s=5.0))
-            await cluster.until(lambda: cluster.floor.starts_of(A) == 32)
-            for worker in cluster.floor.workers.values():
+            await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 32)
+            for worker in cluster.worker_pool.workers.values():
                 worker.unreachable = worker.data_hall == "hall-1"
             await asyncio.sleep(5.0)
-            self.assertLessEqual(cluster.opened, set(cluster.floor.workers))
+            self.assertLessEqual(cluster.contacted_workers, set(cluster.worker_pool.workers))
 
         self.play(body)
 
@@ -127,7 +127,7 @@
 
     def test_a_service_is_used_once_a_configuration_names_it(self) -> None:
         async def body(cluster: PoolCluster) -> None:
-            worker = cluster.floor.add("r1-1", "hall-1")
+            worker = cluster.worker_pool.add("r1-1", "hall-1")
             self.rewrite(cluster, worker, service="nobodys")
             await asyncio.sleep(RECORD_DELAY_S)
             self.assertNotIn(worker.worker_id, self.known(cluster))
@@ -141,7 +141,7 @@
         self.play(body)
 
 
-Change = Callable[[EntryCase, PoolCluster, FloorWorker], None]
+Change = Callable[[EntryCase, PoolCluster, PoolWorker], None]
 """Changes a worker's record, as another writer would."""
 
 CHANGES: dict[str, Change] = {
@@ -173,9 +173,9 @@
 }
 
 
-def other_address(cluster: PoolCluster, worker: FloorWorker) -> str:
+def other_address(cluster: PoolCluster, worker: PoolWorker) -> str:
     """Returns the address of another incarnation."""
-    others = cluster.floor.workers.values()
+    others = cluster.worker_pool.workers.values()
     return next(other.address for other in others if other is not worker)
 
 
@@ -188,7 +188,7 @@
         *,
         terms: int = 1,
         accelerators: int = 8,
-        after: Callable[[PoolCluster, FloorWorker], None] | None = None,
+        after: Callable[[PoolCluster, PoolWorker], None] | None = None,
     ) -> None:
         """Checks that a run ends once, where it was started, after its worker's record was changed.
 
@@ -211,12 +211,13 @@
             await asyncio.sleep(RECORD_DELAY_S)
             if after is not None:
                 after(cluster, worker)
-            floor = cluster.floor
+            worker_pool = cluster.worker_pool
             await cluster.until(
-                lambda: floor.starts_of(A) > 1 or floor.ends_of(A, EndKind.DONE) == 1, 4 * HOLD_S
+                lambda: worker_pool.starts_of(A) > 1 or worker_pool.ends_of(A, EndKind.DONE) == 1,
+                4 * HOLD_S,
             )
-            self.assertEqual(floor.violations, [])
-            self.assertEqual(floor.starts_of(A), 1)
+            self.assertEqual(worker_pool.violations, [])
+            self.assertEqual(worker_pool.starts_of(A), 1)
             await cluster.until_state(A, JobState.COMPLETED)
 
         self.play(body, entries=terms + 1)
@@ -237,8 +238,8 @@
     def test_runs_continue_if_the_record_is_then_removed(self) -> None:
         """The removal of the record proves nothing, since its worker did not write it last."""
 
-        def remove(cluster: PoolCluster, worker: FloorWorker) -> None:
-            cluster.floor.lapse(worker)
+        def remove(cluster: PoolCluster, worker: PoolWorker) -> None:
+            cluster.worker_pool.expire_record(worker)
 
         for name, change in CHANGES.items():
             with self.subTest(name):
@@ -247,9 +248,9 @@
     def test_runs_continue_if_the_worker_is_cut_off_and_the_record_removed(self) -> None:
         """The worker is unreachable for some seconds, and is back before its lease has expired."""
 
-        def remove(cluster: PoolCluster, worker: FloorWorker) -> None:
+        def remove(cluster: PoolCluster, worker: PoolWorker) -> None:
             worker.unreachable = True
-            cluster.floor.lapse(worker)
+            cluster.worker_pool.expire_record(worker)
             loop = asyncio.get_running_loop()
             loop.call_later(4.0, lambda: setattr(worker, "unreachable", False))
 
@@ -266,13 +267,13 @@
                 worker = await self.run_on(cluster, job(1, work_s=3 * HOLD_S, accelerators=8))
                 await asyncio.sleep(1.0)
                 worker.unreachable = True
-                cluster.floor.record(worker, remaining_ms=100)
+                cluster.worker_pool.record(worker, remaining_ms=100)
                 await asyncio.sleep(RECORD_DELAY_S)
                 change(self, cluster, worker)
                 await asyncio.sleep(RECORD_DELAY_S)
-                cluster.floor.lapse(worker)
+                cluster.worker_pool.expire_record(worker)
                 await asyncio.sleep(4.0)
-                self.assertEqual(cluster.floor.starts_of(A), 1)
+                self.assertEqual(cluster.worker_pool.starts_of(A), 1)
 
             with self.subTest(name):
                 self.play(body)
@@ -288,13 +289,13 @@
                 self.assertNotIn(worker.worker_id, self.known(cluster))
                 await cluster.submit(B, job(24, work_s=1.0))
                 await cluster.until_state(B, JobState.COMPLETED)
-                later = cluster.floor.history[1:]
+                later = cluster.worker_pool.history[1:]
                 self.assertNotIn(worker.worker_id, [run.worker for run in later])
                 self.write(cluster, worker, sound)
                 await asyncio.sleep(RECORD_DELAY_S)
                 self.assertIn(worker.worker_id, self.known(cluster))
                 await cluster.until_state(A, JobState.COMPLETED)
-                self.assertEqual(cluster.floor.starts_of(A), 1)
+                self.assertEqual(cluster.worker_pool.starts_of(A), 1)
 
             with self.subTest(name):
                 self.play(body)
@@ -307,7 +308,9 @@
                 change(self, cluster, worker)
                 await asyncio.sleep(RECORD_DELAY_S)
                 await cluster.cancel(A)
-                await cluster.until(lambda: cluster.floor.ends_of(A, EndKind.STOPPED) == 1, SOON_S)
+                await cluster.until(
+                    lambda: cluster.worker_pool.ends_of(A, EndKind.STOPPED) == 1, SOON_S
+                )
 
             with self.subTest(name):
                 self.play(body)
@@ -322,7 +325,7 @@
                 await asyncio.sleep(1.0)
                 change(self, cluster, worker)
                 await asyncio.sleep(RECORD_DELAY_S)
-                cluster.floor.crash(worker)
+                cluster.worker_pool.crash(worker)
                 waited = await self.time_until_starts(cluster, 2)
                 self.assertGreater(waited, HOLD_S - RECORD_DELAY_S - 2.0)
                 self.assertLess(waited, INHERITED_S)
@@ -340,7 +343,7 @@
         """Checks that a machine has its upkeep when its runs have ended."""
         self.order(cluster, machine)
         await cluster.until_state(A, JobState.COMPLETED)
-        self.assertEqual(cluster.floor.starts_of(A), 1)
+        self.assertEqual(cluster.worker_pool.starts_of(A), 1)
         await cluster.until(lambda: (machine, 1) in cluster.machines.done)
 
     def test_upkeep_waits_for_runs_with_any_record(self) -> None:
@@ -370,13 +373,13 @@
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(8))
             await cluster.until_state(A, JobState.COMPLETED)
-            for number, worker in enumerate(cluster.floor.workers.values()):
+            for number, worker in enumerate(cluster.worker_pool.workers.values()):
                 worker.address = f"127.0.0.2:{9000 + number}"
-                cluster.floor.record(worker)
+                cluster.worker_pool.record(worker)
             await asyncio.sleep(RECORD_DELAY_S)
             await cluster.submit(B, job(8))
             await cluster.until_state(B, JobState.COMPLETED, SOON_S)
-            self.assertEqual(cluster.floor.starts_of(B), 8)
+            self.assertEqual(cluster.worker_pool.starts_of(B), 8)
 
         self.play(body)
 
@@ -386,16 +389,16 @@
 
     def test_a_clock_far_ahead_causes_no_endless_polls(self) -> None:
         async def body(cluster: PoolCluster) -> None:
-            for worker in cluster.floor.workers.values():
+            for worker in cluster.worker_pool.workers.values():
                 self.rewrite(cluster, worker, clock_ms=10**12)
             await asyncio.sleep(RECORD_DELAY_S)
             await cluster.submit(A, job(1, work_s=45.0))
             await asyncio.sleep(35.0)
-            before = cluster.floor.looks
+            before = cluster.worker_pool.polls
             await asyncio.sleep(5.0)
-            self.assertLess(cluster.floor.looks - before, 20)
+            self.assertLess(cluster.worker_pool.polls - before, 20)
             await cluster.until_state(A, JobState.COMPLETED)
-            self.assertEqual(cluster.floor.starts_of(A), 1)
+            self.assertEqual(cluster.worker_pool.starts_of(A), 1)
 
         self.play(body)
 
--- a/tests/test_entries_seeded.py
+++ b/tests/test_entries_seeded.py
@@ -8,7 +8,7 @@
 
 from saddlestack.control import keys
 from saddlestack.standins.pool.cluster import PoolCluster, job
-from saddlestack.standins.pool.workers import FloorWorker
+from saddlestack.standins.pool.workers import PoolWorker
 from saddlestack.work import JobState
 from tests.malformed import mutated, worker_records
 from tests.test_entries import CHANGES, EntryCase
@@ -23,21 +23,21 @@
 
 
 class SeededTest(EntryCase):
-    def write_record(self, cluster: PoolCluster, worker: FloorWorker, rng: random.Random) -> None:
+    def write_record(self, cluster: PoolCluster, worker: PoolWorker, rng: random.Random) -> None:
         """Writes a worker's record, as another writer or as the worker itself."""
         key = f"servers/{worker.worker_id}"
         if rng.random() < SHARES["sound"]:
-            cluster.floor.record(worker)
+            cluster.worker_pool.record(worker)
         item = cluster.store.item(key)
         if rng.random() < SHARES["mutate"]:
             cluster.store.put(key, mutated(item.value or b"{}", rng))
         elif rng.random() < SHARES["change"]:
-            cluster.floor.record(worker)
+            cluster.worker_pool.record(worker)
             rng.choice(list(CHANGES.values()))(self, cluster, worker)
         elif rng.random() < SHARES["change"]:
-            cluster.floor.lapse(worker)
+            cluster.worker_pool.expire_record(worker)
 
-    async def cut(self, worker: FloorWorker, for_s: float) -> None:
+    async def cut(self, worker: PoolWorker, for_s: float) -> None:
         worker.unreachable = True
         await asyncio.sleep(for_s)
         worker.unreachable = False
@@ -53,7 +53,7 @@
                 gang = rng.random() < 0.4
                 request = job(rng.randint(1, 4), work_s=rng.uniform(0.5, 9.0), gang=gang)
                 await cluster.submit(submitted[-1], request)
-            workers = list(cluster.floor.workers.values())
+            workers = list(cluster.worker_pool.workers.values())
             self.write_record(cluster, rng.choice(workers), rng)
             if rng.random() < SHARES["stray"]:
                 cluster.store.put(f"servers/stray-{rng.randrange(9)}", rng.choice(strays))
@@ -68,8 +68,8 @@
                 cluster.store.put(keys.LEADER, b"\xff")
             await asyncio.sleep(STEP_S)
         await asyncio.gather(*cuts)
-        for worker in cluster.floor.workers.values():
-            cluster.floor.record(worker)
+        for worker in cluster.worker_pool.workers.values():
+            cluster.worker_pool.record(worker)
         for job_id in submitted:
             await cluster.until_state(job_id, JobState.COMPLETED, SETTLED_S)
 
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -178,8 +178,10 @@
 class PoolEvacuationTest(PoolTest):
     def starts_in(self, cluster: PoolCluster, hall: str) -> int:
         """The number of runs that were started in a data hall."""
-        workers = cluster.floor.workers
-        return sum(1 for run in cluster.floor.history if workers[run.worker].data_hall == hall)
+        workers = cluster.worker_pool.workers
+        return sum(
+            1 for run in cluster.worker_pool.history if workers[run.worker].data_hall == hall
+        )
 
     def evacuated(self, trouble: Callable[[PoolCluster], Awaitable[None]]) -> None:
         """Check that no task starts in an evacuated data hall during a fault, and that tasks start
@@ -195,7 +197,7 @@
                 await asyncio.sleep(0.5)
             await cluster.until_state(f"{3:016x}", JobState.COMPLETED)
             self.assertEqual(self.starts_in(cluster, FAR), 0)
-            cluster.take_back(FAR)
+            cluster.end_evacuation(FAR)
             await asyncio.sleep(UPDATE_S)
             await cluster.submit(A, job(4, accelerators=8), queue="urgent")
             await cluster.until_state(A, JobState.COMPLETED)
@@ -253,7 +255,7 @@
     def test_canceled_and_requested_again_within_a_second(self) -> None:
         async def trouble(cluster: PoolCluster) -> None:
             await asyncio.sleep(0.4)
-            cluster.take_back(FAR)
+            cluster.end_evacuation(FAR)
             await asyncio.sleep(0.3)
             cluster.evacuate(FAR)
 
--- a/tests/test_false_clock.py
+++ b/tests/test_false_clock.py
@@ -26,10 +26,10 @@
     def test_a_lease_is_based_on_the_clock_from_the_worker(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             await asyncio.sleep(INHERITED_S)
-            floor = cluster.floor
-            workers = list(floor.workers.values())
+            worker_pool = cluster.worker_pool
+            workers = list(worker_pool.workers.values())
             for worker in workers:
-                self.rewrite(cluster, worker, clock_ms=floor.clock_ms(worker) + AHEAD_MS)
+                self.rewrite(cluster, worker, clock_ms=worker_pool.clock_ms(worker) + AHEAD_MS)
                 worker.late_orders = 1
                 worker.late_s = LATE_S
             await asyncio.sleep(RECORD_DELAY_S)
@@ -39,8 +39,8 @@
                 worker.unreachable = not worker.late_orders
                 worker.late_orders = 0
             await cluster.until_state(A, JobState.COMPLETED, 6 * HOLD_S)
-            self.assertEqual(floor.violations, [])
-            self.assertEqual(floor.starts_of(A), 2)
+            self.assertEqual(worker_pool.violations, [])
+            self.assertEqual(worker_pool.starts_of(A), 2)
 
         self.play(body)
 
--- a/tests/test_foreign_address.py
+++ b/tests/test_foreign_address.py
@@ -20,20 +20,20 @@
 from saddlestack.interfaces.workers import WorkerOrders, WorkerRecord, WorkerReplaced
 from saddlestack.standins.loop import run
 from saddlestack.standins.pool.cluster import PoolCluster, job
-from saddlestack.standins.pool.orders import FloorOrders
-from saddlestack.standins.pool.workers import FloorWorker
+from saddlestack.standins.pool.orders import PoolWorkerOrders
+from saddlestack.standins.pool.workers import PoolWorker
 
 JOB = "00000000000000aa"
 
 
 @dataclass(slots=True)
-class AddressedOrders(FloorOrders):
+class AddressedOrders(PoolWorkerOrders):
     """Orders to the address in a record, whichever incarnation is there."""
 
     address: str = ""
 
     async def _reach(self, timeout_s: float) -> None:
-        await FloorOrders._reach(self, timeout_s)
+        await PoolWorkerOrders._reach(self, timeout_s)
         if self.address != self.worker.address:
             raise WorkerReplaced
 
@@ -42,12 +42,12 @@
     """A small deployment whose workers are reached at the addresses in their records."""
 
     def _orders(self, name: str, record: WorkerRecord) -> WorkerOrders:
-        worker = self.floor.workers[record.worker_id]
+        worker = self.worker_pool.workers[record.worker_id]
         return AddressedOrders(
-            self.floor, worker, lambda: self._passes(name), address=record.address
+            self.worker_pool, worker, lambda: self._passes(name), address=record.address
         )
 
-    def rewrite(self, worker: FloorWorker, address: str) -> None:
+    def rewrite(self, worker: PoolWorker, address: str) -> None:
         """Changes the address in a worker's record, as another writer would."""
         key = f"servers/{worker.worker_id}"
         record = msgspec.json.decode(self.store.item(key).value)
@@ -68,10 +68,12 @@
         async def main() -> None:
             await cluster.start()
             await cluster.submit(JOB, job(1, work_s=60.0))
-            await cluster.until(lambda: cluster.floor.starts_of(JOB) == 1)
+            await cluster.until(lambda: cluster.worker_pool.starts_of(JOB) == 1)
             await asyncio.sleep(1.0)
-            worker = cluster.floor.workers[cluster.floor.history[0].worker]
-            other = next(each for each in cluster.floor.workers.values() if each is not worker)
+            worker = cluster.worker_pool.workers[cluster.worker_pool.history[0].worker]
+            other = next(
+                each for each in cluster.worker_pool.workers.values() if each is not worker
+            )
             cluster.rewrite(worker, other.address if foreign else worker.address)
             await cluster.kill(cluster.leader_name)
             await asyncio.sleep(5.0)
@@ -80,7 +82,7 @@
             await cluster.stop()
 
         run(main())
-        return cluster.floor.violations
+        return cluster.worker_pool.violations
 
 
 if __name__ == "__main__":
--- a/tests/test_foreign_clock.py
+++ b/tests/test_foreign_clock.py
@@ -39,23 +39,23 @@
             await cluster.start()
             await cluster.submit(FIRST, job(1, work_s=0.5))
             await cluster.until_state(FIRST, JobState.COMPLETED)
-            worker = next(iter(cluster.floor.workers.values()))
+            worker = next(iter(cluster.worker_pool.workers.values()))
             key = f"servers/{worker.worker_id}"
             record = msgspec.json.decode(cluster.store.item(key).value)
-            changed = record | {"clock-ms": cluster.floor.clock_ms(worker) + ahead_ms}
+            changed = record | {"clock-ms": cluster.worker_pool.clock_ms(worker) + ahead_ms}
             cluster.store.put(key, msgspec.json.encode(changed))
             await asyncio.sleep(2.0)
             worker.late_orders, worker.late_s = 1, 8.0
             await cluster.submit(SECOND, job(1, work_s=90.0))
             await cluster.until(lambda: not worker.late_orders)
             worker.unreachable = True
-            cluster.floor.add(worker.rack, worker.data_hall)
+            cluster.worker_pool.add(worker.rack, worker.data_hall)
             await asyncio.sleep(25.0)
-            self.assertEqual(cluster.floor.starts_of(SECOND), 2)
+            self.assertEqual(cluster.worker_pool.starts_of(SECOND), 2)
             await cluster.stop()
 
         run(main())
-        return cluster.floor.violations
+        return cluster.worker_pool.violations
 
 
 if __name__ == "__main__":
--- a/tests/test_forgotten_listing.py
+++ b/tests/test_forgotten_listing.py
@@ -61,7 +61,7 @@
                     await asyncio.sleep(0.5)
             await asyncio.sleep(10.0)
             await cluster.stop()
-            return cluster.floor.starts_of(JOB)
+            return cluster.worker_pool.starts_of(JOB)
 
         with unittest.mock.patch.object(cluster_module, "StoreView", LateView):
             return run(main())
--- a/tests/test_inherited.py
+++ b/tests/test_inherited.py
@@ -27,7 +27,7 @@
     TaskStatus,
 )
 from saddlestack.standins.pool.cluster import PoolCluster, job
-from saddlestack.standins.pool.workers import FloorWorker, TaskPlan, payload
+from saddlestack.standins.pool.workers import PoolWorker, TaskPlan, payload
 from saddlestack.work import JobRequest, JobState
 from tests.test_pool import PoolTest
 
@@ -43,19 +43,19 @@
 
 
 class InheritedCase(PoolTest):
-    async def run_on(self, cluster: PoolCluster, request: JobRequest) -> FloorWorker:
+    async def run_on(self, cluster: PoolCluster, request: JobRequest) -> PoolWorker:
         """Start a job; returns the worker of its first run."""
         await cluster.submit(A, request)
         count = request.steps[0].count
-        await cluster.until(lambda: cluster.floor.starts_of(A) == count)
-        return cluster.floor.workers[cluster.floor.history[0].worker]
+        await cluster.until(lambda: cluster.worker_pool.starts_of(A) == count)
+        return cluster.worker_pool.workers[cluster.worker_pool.history[0].worker]
 
-    def restart(self, cluster: PoolCluster, worker: FloorWorker) -> FloorWorker:
+    def restart(self, cluster: PoolCluster, worker: PoolWorker) -> PoolWorker:
         """Crash a worker and start it again at its address under a new id."""
-        cluster.floor.crash(worker)
-        incarnation = cluster.floor.add(worker.rack, worker.data_hall)
+        cluster.worker_pool.crash(worker)
+        incarnation = cluster.worker_pool.add(worker.rack, worker.data_hall)
         incarnation.address = worker.address
-        cluster.floor.record(incarnation)
+        cluster.worker_pool.record(incarnation)
         return incarnation
 
     def silence_store(self, cluster: PoolCluster, *, silent: bool) -> None:
@@ -83,7 +83,7 @@
         """How long it takes until the job has started this many runs in all."""
         loop = asyncio.get_running_loop()
         began = loop.time()
-        await cluster.until(lambda: cluster.floor.starts_of(A) == starts)
+        await cluster.until(lambda: cluster.worker_pool.starts_of(A) == starts)
         return loop.time() - began
 
 
@@ -94,7 +94,7 @@
         self.silence_store(cluster, silent=True)
         self.restart(cluster, worker)
         await self.until_runs_freed(cluster)
-        cluster.floor.lapse(worker)
+        cluster.worker_pool.expire_record(worker)
         await self.fail_over(cluster)
 
     def test_a_new_incarnation_at_its_address_frees_runs_of_an_unlisted_worker(self) -> None:
@@ -110,14 +110,14 @@
             await self.replace_unrecorded(cluster, job(2, work_s=20.0, accelerators=8, gang=True))
             self.assertLess(await self.time_until_starts(cluster, 4), SOON_S)
             await cluster.until_state(A, JobState.COMPLETED)
-            self.assertEqual(cluster.floor.starts_of(A), 4)
+            self.assertEqual(cluster.worker_pool.starts_of(A), 4)
 
         self.play(body, workers=3)
 
-    async def unlisted(self, cluster: PoolCluster, request: JobRequest) -> FloorWorker:
+    async def unlisted(self, cluster: PoolCluster, request: JobRequest) -> PoolWorker:
         """Fail over while the record of the worker of the first run has lapsed."""
         worker = await self.run_on(cluster, request)
-        cluster.floor.lapse(worker)
+        cluster.worker_pool.expire_record(worker)
         await self.fail_over(cluster)
         return worker
 
@@ -132,7 +132,7 @@
         async def body(cluster: PoolCluster) -> None:
             await self.unlisted(cluster, job(2, work_s=3 * HOLD_S, accelerators=1))
             await cluster.until_state(A, JobState.COMPLETED, 4 * HOLD_S)
-            self.assertEqual(cluster.floor.starts_of(A), 2)
+            self.assertEqual(cluster.worker_pool.starts_of(A), 2)
 
         self.play(body)
 
@@ -141,14 +141,14 @@
             worker = await self.unlisted(cluster, job(1, work_s=HOLD_S))
             await cluster.submit(B, job(31, work_s=1.0))
             await cluster.until_state(B, JobState.COMPLETED)
-            self.assertNotIn(worker.worker_id, [r.worker for r in cluster.floor.history[1:]])
+            self.assertNotIn(worker.worker_id, [r.worker for r in cluster.worker_pool.history[1:]])
 
         self.play(body)
 
     def test_an_incarnation_without_runs_frees_its_task_at_once(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             worker = await self.run_on(cluster, job(1, work_s=20.0))
-            cluster.floor.lapse(worker)
+            cluster.worker_pool.expire_record(worker)
             worker.runs.clear()
             await self.fail_over(cluster)
             self.assertLess(await self.time_until_starts(cluster, 2), SOON_S)
@@ -159,12 +159,12 @@
         async def body(cluster: PoolCluster) -> None:
             worker = await self.run_on(cluster, job(1, work_s=1.0))
             worker.unreachable = True
-            await cluster.until(lambda: cluster.floor.ends_of(A, EndKind.DONE) == 1)
-            cluster.floor.lapse(worker)
+            await cluster.until(lambda: cluster.worker_pool.ends_of(A, EndKind.DONE) == 1)
+            cluster.worker_pool.expire_record(worker)
             await cluster.kill(cluster.leader_name)
             worker.unreachable = False
             await cluster.until_state(A, JobState.COMPLETED, 5.0)
-            self.assertEqual(cluster.floor.starts_of(A), 1)
+            self.assertEqual(cluster.worker_pool.starts_of(A), 1)
 
         self.play(body)
 
@@ -174,7 +174,9 @@
         async def body(cluster: PoolCluster) -> None:
             await self.unlisted(cluster, job(2, work_s=2 * HOLD_S))
             self.assertTrue(await cluster.cancel(A))
-            await cluster.until(lambda: cluster.floor.ends_of(A, EndKind.STOPPED) == 2, SOON_S)
+            await cluster.until(
+                lambda: cluster.worker_pool.ends_of(A, EndKind.STOPPED) == 2, SOON_S
+            )
             await cluster.until_state(A, JobState.CANCELLED, SOON_S)
 
         self.play(body)
@@ -193,10 +195,10 @@
         async def body(cluster: PoolCluster) -> None:
             worker = await self.run_on(cluster, job(2, work_s=2 * HOLD_S))
             cluster.evacuate(worker.data_hall)
-            cluster.floor.lapse(worker)
+            cluster.worker_pool.expire_record(worker)
             await self.fail_over(cluster)
             await cluster.until_state(A, JobState.COMPLETED, 4 * HOLD_S)
-            self.assertEqual(cluster.floor.starts_of(A), 2)
+            self.assertEqual(cluster.worker_pool.starts_of(A), 2)
 
         self.play(body)
 
@@ -205,20 +207,20 @@
 
         async def body(cluster: PoolCluster) -> None:
             await self.run_on(cluster, job(6, work_s=15.0, accelerators=8))
-            used = [cluster.floor.workers[run.worker] for run in cluster.floor.history]
+            used = [cluster.worker_pool.workers[run.worker] for run in cluster.worker_pool.history]
             for worker in used[:2]:
                 self.restart(cluster, worker)
             for worker in used[2:4]:
                 worker.unreachable = True
-                cluster.floor.crash(worker)
+                cluster.worker_pool.crash(worker)
             for worker in used:
-                cluster.floor.lapse(worker)
+                cluster.worker_pool.expire_record(worker)
             await self.fail_over(cluster)
             self.assertLess(await self.time_until_starts(cluster, 8), SOON_S)
             await asyncio.sleep(INHERITED_S - SOON_S - READING_S)
-            self.assertEqual(cluster.floor.starts_of(A), 8)
+            self.assertEqual(cluster.worker_pool.starts_of(A), 8)
             await cluster.until_state(A, JobState.COMPLETED, 4 * HOLD_S)
-            self.assertEqual(cluster.floor.starts_of(A), 10)
+            self.assertEqual(cluster.worker_pool.starts_of(A), 10)
 
         self.play(body, workers=6)
 
@@ -228,17 +230,17 @@
         async def body(cluster: PoolCluster) -> None:
             worker = await self.run_on(cluster, job(1, work_s=HOLD_S))
             worker.unreachable = True
-            cluster.floor.lapse(worker)
+            cluster.worker_pool.expire_record(worker)
             await self.fail_over(cluster)
             await asyncio.sleep(1.0)
-            cluster.floor.record(worker)
+            cluster.worker_pool.record(worker)
             await asyncio.sleep(1.0)
             worker.unreachable = False
             await cluster.submit(B, job(31, work_s=1.0), queue="urgent")
             await cluster.until_state(B, JobState.COMPLETED)
             await cluster.until_state(A, JobState.COMPLETED)
-            self.assertEqual(cluster.floor.starts_of(A), 1)
-            self.assertIn(worker.worker_id, [r.worker for r in cluster.floor.history[1:]])
+            self.assertEqual(cluster.worker_pool.starts_of(A), 1)
+            self.assertIn(worker.worker_id, [r.worker for r in cluster.worker_pool.history[1:]])
 
         self.play(body)
 
@@ -246,8 +248,8 @@
         async def body(cluster: PoolCluster) -> None:
             worker = await self.run_on(cluster, job(1, work_s=20.0))
             worker.unreachable = True
-            cluster.floor.crash(worker)
-            cluster.floor.lapse(worker)
+            cluster.worker_pool.crash(worker)
+            cluster.worker_pool.expire_record(worker)
             await self.fail_over(cluster)
             await self.assert_waits_for_the_lease(cluster)
 
@@ -256,8 +258,8 @@
     def test_a_connection_refused_at_its_address_proves_nothing(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             worker = await self.run_on(cluster, job(1, work_s=20.0))
-            cluster.floor.crash(worker)
-            cluster.floor.lapse(worker)
+            cluster.worker_pool.crash(worker)
+            cluster.worker_pool.expire_record(worker)
             await self.fail_over(cluster)
             await self.assert_waits_for_the_lease(cluster)
 
@@ -267,7 +269,7 @@
         async def body(cluster: PoolCluster) -> None:
             worker = await self.run_on(cluster, job(1, work_s=60.0))
             worker.busy = True
-            cluster.floor.lapse(worker)
+            cluster.worker_pool.expire_record(worker)
             await self.fail_over(cluster)
             await self.assert_waits_for_the_lease(cluster)
 
@@ -278,10 +280,10 @@
             worker = await self.run_on(cluster, job(1, work_s=20.0))
             worker.unreachable = True
             self.restart(cluster, worker)
-            cluster.floor.lapse(worker)
+            cluster.worker_pool.expire_record(worker)
             await self.fail_over(cluster)
             await asyncio.sleep(5.0)
-            self.assertEqual(cluster.floor.starts_of(A), 1)
+            self.assertEqual(cluster.worker_pool.starts_of(A), 1)
             worker.unreachable = False
             self.assertLess(await self.time_until_starts(cluster, 2), SOON_S)
 
@@ -290,8 +292,8 @@
     def test_no_session_is_left_with_an_incarnation_that_is_over(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             worker = await self.run_on(cluster, job(1, work_s=20.0))
-            cluster.floor.crash(worker)
-            cluster.floor.lapse(worker)
+            cluster.worker_pool.crash(worker)
+            cluster.worker_pool.expire_record(worker)
             await self.fail_over(cluster)
             leader = cluster.leader
             assert leader is not None and leader.scheduler is not None
@@ -316,8 +318,8 @@
     def test_the_wait_for_a_lease_and_its_end_are_logged(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             worker = await self.run_on(cluster, job(1, work_s=20.0))
-            cluster.floor.crash(worker)
-            cluster.floor.lapse(worker)
+            cluster.worker_pool.crash(worker)
+            cluster.worker_pool.expire_record(worker)
             wait, over = await self.lines(cluster)
             self.assertEqual((wait["event"], over["event"]), ("lease_wait", "run_over"))
             self.assertEqual(wait["worker"], worker.worker_id)
@@ -332,7 +334,7 @@
             worker = await self.run_on(cluster, job(1, work_s=20.0))
             worker.unreachable = True
             self.restart(cluster, worker)
-            cluster.floor.lapse(worker)
+            cluster.worker_pool.expire_record(worker)
             worker.unreachable = False
             over = (await self.lines(cluster))[-1]
             self.assertEqual((over["task"], over["run"]), (f"{A}.0.0.0", 1))
@@ -340,7 +342,7 @@
 
         async def absent(cluster: PoolCluster) -> None:
             worker = await self.run_on(cluster, job(1, work_s=20.0))
-            cluster.floor.lapse(worker)
+            cluster.worker_pool.expire_record(worker)
             worker.runs.clear()
             over = (await self.lines(cluster))[-1]
             self.assertEqual((over["proof"], over["inherited"]), ("absent", True))
--- a/tests/test_lost_address.py
+++ b/tests/test_lost_address.py
@@ -42,17 +42,21 @@
             gang = job(3, work_s=2 * HOLD_S, accelerators=WHOLE, gang=True)
             await cluster.submit(A, gang)
             await cluster.submit(B, job(1, work_s=2 * HOLD_S, accelerators=WHOLE))
-            floor = cluster.floor
-            await cluster.until(lambda: floor.starts_of(A) == 3 and floor.starts_of(B) == 1)
+            worker_pool = cluster.worker_pool
+            await cluster.until(
+                lambda: worker_pool.starts_of(A) == 3 and worker_pool.starts_of(B) == 1
+            )
             await asyncio.sleep(1.0)
-            for run in list(floor.history):
-                self.rewrite(cluster, floor.workers[run.worker], address="")
+            for run in list(worker_pool.history):
+                self.rewrite(cluster, worker_pool.workers[run.worker], address="")
             await asyncio.sleep(SETTLED_S)
-            self.assertEqual(floor.violations, [])
-            self.assertEqual([run.ended for run in floor.history], [None] * 4)
+            self.assertEqual(worker_pool.violations, [])
+            self.assertEqual([run.ended for run in worker_pool.history], [None] * 4)
             for job_id in (A, B):
                 await cluster.until_state(job_id, JobState.COMPLETED, 3 * HOLD_S)
-                self.assertEqual(floor.ends_of(job_id, EndKind.DONE), floor.starts_of(job_id))
+                self.assertEqual(
+                    worker_pool.ends_of(job_id, EndKind.DONE), worker_pool.starts_of(job_id)
+                )
 
         self.play(body, workers=5)
 
--- a/tests/test_own_records.py
+++ b/tests/test_own_records.py
@@ -117,7 +117,7 @@
                 await asyncio.sleep(SETTLED_S)
                 cluster.store.forget_history()
                 await asyncio.sleep(INHERITED_S + HOLD_S)
-                self.assertEqual(cluster.floor.starts_of(A), 1)
+                self.assertEqual(cluster.worker_pool.starts_of(A), 1)
                 self.assertEqual(cluster.store.item(key).value, value)
                 self.assertTrue(cluster.store.item(keys.job_key(A)).revision)
                 await self.assert_serves(cluster, C)
@@ -141,8 +141,8 @@
                 self.assertEqual(self.fence(cluster), fence)
                 await self.kill_leader(cluster)
                 await self.assert_serves(cluster, "00000000000000dd")
-                self.assertEqual(cluster.floor.starts_of(A), 0)
-                self.assertEqual(cluster.floor.starts_of(C), 1)
+                self.assertEqual(cluster.worker_pool.starts_of(A), 0)
+                self.assertEqual(cluster.worker_pool.starts_of(C), 1)
                 self.assertEqual(cluster.store.item(keys.job_key(A)).value, value)
 
             with self.subTest(name):
@@ -161,7 +161,7 @@
                 await cluster.until_state(A, JobState.COMPLETED)
                 await asyncio.sleep(SETTLED_S)
                 self.assertEqual(self.fence(cluster), fence)
-                self.assertEqual(cluster.floor.ends_of(A, EndKind.DONE), 1)
+                self.assertEqual(cluster.worker_pool.ends_of(A, EndKind.DONE), 1)
                 record = from_msgpack(cluster.store.item(key).value, OccurrenceRecord)
                 self.assertIs(record.status, OccurrenceStatus.DONE)
 
@@ -249,7 +249,7 @@
             for number, value in enumerate(unreadable().values()):
                 cluster.store.put(f"op/wave/{100 + number}", value)
             cluster.store.put(keys.wave_key(8), b"\xc1")
-            names = [worker.machine for worker in cluster.floor.workers.values()]
+            names = [worker.machine for worker in cluster.worker_pool.workers.values()]
             for number, machine in ((8, names[0]), (9, names[1])):
                 wave = {"wave": number, "machines": [machine], "deadline-s": 10, "max-tasks": 1}
                 cluster.store.put(f"op/wave/{number}", msgspec.json.encode(wave))
@@ -265,7 +265,10 @@
             cluster.store.put("op/evacuate/", b"{}")
             await asyncio.sleep(SETTLED_S)
             await self.assert_serves(cluster)
-            halls = {cluster.floor.workers[run.worker].data_hall for run in cluster.floor.history}
+            halls = {
+                cluster.worker_pool.workers[run.worker].data_hall
+                for run in cluster.worker_pool.history
+            }
             self.assertEqual(halls, {"hall-2"})
 
         self.play(body)
@@ -285,7 +288,7 @@
                 leaders = [m for m in cluster.members.values() if m.vm.leadership.term is not None]
                 self.assertEqual(len(leaders), 1)
                 await cluster.until_state(A, JobState.COMPLETED)
-                self.assertEqual(cluster.floor.starts_of(A), 1)
+                self.assertEqual(cluster.worker_pool.starts_of(A), 1)
 
             with self.subTest(name):
                 self.play(body)
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -47,17 +47,17 @@
         racks: int = 2,
         workers: int = 2,
         seed: int = 1,
-        births: bool = False,
+        reports_start_time: bool = False,
     ) -> None:
         async def main() -> None:
             cluster = PoolCluster(entries=entries, racks=racks, workers=workers, seed=seed)
-            cluster.floor.births = births
+            cluster.worker_pool.reports_start_time = reports_start_time
             await cluster.start()
             try:
                 await body(cluster)
             finally:
                 await cluster.stop()
-            self.assertEqual(cluster.floor.violations, [])
+            self.assertEqual(cluster.worker_pool.violations, [])
 
         run(main())
 
@@ -84,12 +84,12 @@
             leader = cluster.leader_name
             silent.append(leader)
             await cluster.until(lambda: bool(swallowed))
-            [worker] = cluster.floor.workers.values()
-            cluster.floor.record(worker, remaining_ms=8000)
+            [worker] = cluster.worker_pool.workers.values()
+            cluster.worker_pool.record(worker, remaining_ms=8000)
             await asyncio.sleep(DRAIN_S)
             await cluster.submit(A, job(1, accelerators=8))
             await asyncio.sleep(0.5)
-            self.assertEqual(cluster.floor.starts_of(A), 0)
+            self.assertEqual(cluster.worker_pool.starts_of(A), 0)
 
         silent: list[str] = []
         whole = StoreView.watch
@@ -102,8 +102,8 @@
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(5))
             await cluster.until_state(A, JobState.COMPLETED)
-            self.assertEqual(cluster.floor.ends_of(A, EndKind.DONE), 5)
-            self.assertEqual(cluster.floor.starts_of(A), 5)
+            self.assertEqual(cluster.worker_pool.ends_of(A, EndKind.DONE), 5)
+            self.assertEqual(cluster.worker_pool.starts_of(A), 5)
 
         self.play(body)
 
@@ -126,7 +126,7 @@
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(4, accelerators=8, gang=True))
             await cluster.until_state(A, JobState.COMPLETED)
-            self.assertEqual(cluster.floor.starts_of(A), 4)
+            self.assertEqual(cluster.worker_pool.starts_of(A), 4)
 
         self.play(body)
 
@@ -140,7 +140,7 @@
                 await asyncio.sleep(0.13)
             for number in range(8):
                 await cluster.until_state(f"{number:016x}", JobState.COMPLETED)
-                self.assertEqual(cluster.floor.starts_of(f"{number:016x}"), 6)
+                self.assertEqual(cluster.worker_pool.starts_of(f"{number:016x}"), 6)
 
         self.play(body)
 
@@ -151,19 +151,19 @@
             await cluster.until_state(A, JobState.COMPLETED)
             await cluster.submit(A, job(2), at="entry-3")
             await asyncio.sleep(3.0)
-            self.assertEqual(cluster.floor.starts_of(A), 2)
+            self.assertEqual(cluster.worker_pool.starts_of(A), 2)
 
         self.play(body)
 
     def test_a_cancelled_job_stops_and_never_starts_again(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(2, work_s=20.0))
-            await cluster.until(lambda: cluster.floor.starts_of(A) == 2)
+            await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 2)
             self.assertTrue(await cluster.cancel(A))
             await cluster.until_state(A, JobState.CANCELLED, 3.0)
-            await cluster.until(lambda: cluster.floor.ends_of(A, EndKind.STOPPED) == 2, 3.0)
+            await cluster.until(lambda: cluster.worker_pool.ends_of(A, EndKind.STOPPED) == 2, 3.0)
             await asyncio.sleep(3.0)
-            self.assertEqual(cluster.floor.starts_of(A), 2)
+            self.assertEqual(cluster.worker_pool.starts_of(A), 2)
             self.assertFalse(await cluster.cancel(B))
 
         self.play(body)
@@ -174,7 +174,7 @@
             await cluster.submit(B, job(1, failures=9))
             await cluster.until_state(A, JobState.COMPLETED)
             await cluster.until_state(B, JobState.FAILED)
-            self.assertEqual(cluster.floor.starts_of(B), 3)
+            self.assertEqual(cluster.worker_pool.starts_of(B), 3)
 
         self.play(body)
 
@@ -191,8 +191,8 @@
             step = first.steps[0]
             later = Step(count=1, needs=step.needs, estimate_ms=1000, after=(0,))
             await cluster.submit(A, JobRequest(payload=first.payload, steps=(step, later)))
-            await cluster.until(lambda: cluster.floor.starts_of(A) == 3)
-            self.assertEqual(cluster.floor.ends_of(A, EndKind.DONE), 2)
+            await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 3)
+            self.assertEqual(cluster.worker_pool.ends_of(A, EndKind.DONE), 2)
             await cluster.until_state(A, JobState.COMPLETED)
 
         self.play(body)
@@ -208,7 +208,7 @@
                 await asyncio.sleep(rest_s)
                 await cluster.submit(job_id, job(1, accelerators=8, work_s=6.0))
                 await cluster.until_state(job_id, JobState.COMPLETED)
-                self.assertEqual(cluster.floor.starts_of(job_id), 1, rest_s)
+                self.assertEqual(cluster.worker_pool.starts_of(job_id), 1, rest_s)
 
         self.play(body, entries=1, racks=1, workers=1)
 
@@ -226,11 +226,11 @@
             )
             await cluster.submit(A, request)
             await asyncio.sleep(1.5)
-            self.assertEqual(cluster.floor.starts_of(A), 0)
+            self.assertEqual(cluster.worker_pool.starts_of(A), 0)
             await asyncio.sleep(1.0)
-            self.assertEqual(cluster.floor.starts_of(A), 1)
+            self.assertEqual(cluster.worker_pool.starts_of(A), 1)
             await cluster.until_state(A, JobState.COMPLETED)
-            self.assertEqual(cluster.floor.starts_of(A), 3)
+            self.assertEqual(cluster.worker_pool.starts_of(A), 3)
 
         self.play(body)
 
@@ -283,23 +283,23 @@
     def test_urgent_work_within_the_guarantee_takes_room_back(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(32, work_s=60.0), queue="bulk", account="others")
-            await cluster.until(lambda: cluster.floor.starts_of(A) == 32)
+            await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 32)
             await cluster.submit(B, job(2, accelerators=8, gang=True), queue="urgent")
-            await cluster.until(lambda: cluster.floor.starts_of(B) == 2, 2.0)
-            self.assertEqual(cluster.floor.ends_of(A, EndKind.STOPPED), 16)
+            await cluster.until(lambda: cluster.worker_pool.starts_of(B) == 2, 2.0)
+            self.assertEqual(cluster.worker_pool.ends_of(A, EndKind.STOPPED), 16)
 
         self.play(body)
 
     def test_stopped_work_resumes_from_its_checkpoint(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(32, work_s=30.0, checkpoint=True), queue="bulk")
-            await cluster.until(lambda: cluster.floor.starts_of(A) == 32)
+            await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 32)
             await asyncio.sleep(4.0)
             await cluster.submit(B, job(1, accelerators=8), queue="urgent")
             await cluster.until_state(B, JobState.COMPLETED)
             await cluster.until_state(A, JobState.COMPLETED, 60.0)
-            self.assertTrue(all(float(saved) > 3.0 for _, _, saved in cluster.floor.resumed))
-            self.assertEqual(len(cluster.floor.resumed), 8)
+            self.assertTrue(all(float(saved) > 3.0 for _, _, saved in cluster.worker_pool.resumed))
+            self.assertEqual(len(cluster.worker_pool.resumed), 8)
 
         self.play(body)
 
@@ -307,10 +307,10 @@
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(32, work_s=60.0), queue="bulk")
             await asyncio.sleep(5.0)
-            self.assertEqual(cluster.floor.starts_of(A), 24)
+            self.assertEqual(cluster.worker_pool.starts_of(A), 24)
             await cluster.submit(B, job(1, accelerators=8), queue="urgent")
-            await cluster.until(lambda: cluster.floor.starts_of(B) == 1, 0.2)
-            self.assertEqual(cluster.floor.ends_of(A, EndKind.STOPPED), 0)
+            await cluster.until(lambda: cluster.worker_pool.starts_of(B) == 1, 0.2)
+            self.assertEqual(cluster.worker_pool.ends_of(A, EndKind.STOPPED), 0)
 
         self.play(body)
 
@@ -352,7 +352,7 @@
             await client.submit("split-1", 16, adjacent="rack", payload=plan)
             await cluster.until_state(job_id_of(ACCOUNT, "split-1"), JobState.COMPLETED)
             self.assertIs((await client.job("split-1")).state, CallerState.DONE)
-            self.assertEqual(cluster.floor.starts_of(job_id_of(ACCOUNT, "split-1")), 2)
+            self.assertEqual(cluster.worker_pool.starts_of(job_id_of(ACCOUNT, "split-1")), 2)
             await client.submit("split-2", 12, payload=payload(TaskPlan(work_s=60.0, gang=2)))
             await client.cancel("split-2")
             await cluster.until_state(job_id_of(ACCOUNT, "split-2"), JobState.CANCELLED)
@@ -373,7 +373,7 @@
             self.assertIs(wide.state, CallerState.QUEUED)
             self.assertIn("(too_wide)", wide.message or "")
             self.assertIn(WaitReason.TOO_WIDE.awaited, wide.message or "")
-            cluster.floor.add("r1-1", "hall-1")
+            cluster.worker_pool.add("r1-1", "hall-1")
             await cluster.until_state(job_id_of(ACCOUNT, "wide"), JobState.COMPLETED)
             self.assertIsNone((await client.job("wide")).message)
             client.close()
@@ -426,22 +426,24 @@
                     f"payout-{number}", 8, run_once=True, payload=plan, job_class="bulk"
                 )
             ids = [job_id_of(ACCOUNT, f"payout-{number}") for number in range(4)]
-            await cluster.until(lambda: all(cluster.floor.starts_of(each) for each in ids), 20.0)
+            await cluster.until(
+                lambda: all(cluster.worker_pool.starts_of(each) for each in ids), 20.0
+            )
             await cluster.submit(B, job(1, accelerators=8), queue="urgent")
             await cluster.until_state(B, JobState.COMPLETED)
             self.assertEqual(
-                [cluster.floor.ends_of(each, EndKind.STOPPED) for each in ids], [0] * 4
+                [cluster.worker_pool.ends_of(each, EndKind.STOPPED) for each in ids], [0] * 4
             )
             await client.submit(
                 "payout-9", 8, run_once=True, payload=payload(TaskPlan(60.0, room=8))
             )
             last = job_id_of(ACCOUNT, "payout-9")
-            await cluster.until(lambda: cluster.floor.starts_of(last) == 1)
-            run_ = next(run_ for run_ in cluster.floor.history if run_.task.job_id == last)
-            cluster.floor.crash(cluster.floor.workers[run_.worker], recorded=False)
+            await cluster.until(lambda: cluster.worker_pool.starts_of(last) == 1)
+            run_ = next(run_ for run_ in cluster.worker_pool.history if run_.task.job_id == last)
+            cluster.worker_pool.crash(cluster.worker_pool.workers[run_.worker], recorded=False)
             await cluster.until_state(last, JobState.FAILED, 40.0)
             self.assertIs((await client.job("payout-9")).state, CallerState.UNKNOWN)
-            self.assertEqual(cluster.floor.starts_of(last), 1)
+            self.assertEqual(cluster.worker_pool.starts_of(last), 1)
             client.close()
 
         self.play(body)
@@ -452,7 +454,7 @@
         async def body(cluster: PoolCluster) -> None:
             plan = TaskPlan(work_s=1.0, failures=99)
             await cluster.submit(A, lasting(2, plan=plan))
-            await cluster.until(lambda: cluster.floor.starts_of(A) >= 10)
+            await cluster.until(lambda: cluster.worker_pool.starts_of(A) >= 10)
             self.assertIs(await cluster.state(A), JobState.RUNNING)
             await cluster.cancel(A)
             await cluster.until_state(A, JobState.CANCELLED)
@@ -462,21 +464,21 @@
     def test_lasting_tasks_use_the_headroom(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, lasting(32), queue="bulk")
-            await cluster.until(lambda: cluster.floor.starts_of(A) == 32, 1.0)
+            await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 32, 1.0)
 
         self.play(body)
 
     def test_preemption_takes_no_more_than_a_step_may_miss(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, lasting(4, may_miss=1, accelerators=8), queue="bulk")
-            await cluster.until(lambda: cluster.floor.starts_of(A) == 4)
+            await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 4)
             await asyncio.sleep(3.0)
             await cluster.submit(B, job(1, accelerators=8, work_s=4.0), queue="urgent")
             await cluster.submit(C, job(1, accelerators=8, work_s=1.0), queue="urgent")
             await cluster.until_state(B, JobState.COMPLETED)
-            self.assertEqual(cluster.floor.ends_of(A, EndKind.STOPPED), 1)
+            self.assertEqual(cluster.worker_pool.ends_of(A, EndKind.STOPPED), 1)
             await cluster.until_state(C, JobState.COMPLETED)
-            self.assertEqual(cluster.floor.ends_of(A, EndKind.STOPPED), 1)
+            self.assertEqual(cluster.worker_pool.ends_of(A, EndKind.STOPPED), 1)
 
         self.play(body)
 
@@ -485,11 +487,11 @@
             serving = TaskPlan(lasts=True, tail_ms=60.0, work_s=0.2)
             filling = TaskPlan(lasts=True, harm_ms=80.0, work_s=0.2)
             await cluster.submit(A, lasting(1, plan=serving, target_ms=100))
-            await cluster.until(lambda: cluster.floor.starts_of(A) == 1)
+            await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 1)
             await cluster.submit(B, lasting(1, plan=filling, fills=True))
-            await cluster.until(lambda: cluster.floor.starts_of(B) == 1)
-            serving_run = next(run for run in cluster.floor.history if run.task.job_id == A)
-            filling_run = next(run for run in cluster.floor.history if run.task.job_id == B)
+            await cluster.until(lambda: cluster.worker_pool.starts_of(B) == 1)
+            serving_run = next(run for run in cluster.worker_pool.history if run.task.job_id == A)
+            filling_run = next(run for run in cluster.worker_pool.history if run.task.job_id == B)
             self.assertEqual(serving_run.worker, filling_run.worker)
             await cluster.until(lambda: filling_run.pace <= 50, 4.0)
 
@@ -506,18 +508,18 @@
             await cluster.submit(B, job(2, accelerators=8, gang=True))
             await cluster.until_state(A, JobState.COMPLETED, 60.0)
             await cluster.until_state(B, JobState.COMPLETED, 60.0)
-            places = {run.worker for run in cluster.floor.history}
+            places = {run.worker for run in cluster.worker_pool.history}
             self.assertEqual(places, {"i-0002", "i-0004"})
             self.assertLess(cluster.adviser.calls, 20)
             await cluster.stop()
-            self.assertEqual(cluster.floor.violations, [])
+            self.assertEqual(cluster.worker_pool.violations, [])
 
         run(main())
 
 
 class UpkeepTest(PoolTest):
     def order(self, cluster: PoolCluster, most: int = 1) -> None:
-        machines = [worker.machine for worker in cluster.floor.workers.values()]
+        machines = [worker.machine for worker in cluster.worker_pool.workers.values()]
         wave = {"wave": 1, "machines": machines, "deadline-s": 30, "max-tasks": most}
         cluster.store.put("op/wave/1", msgspec.json.encode(wave))
 
@@ -561,12 +563,12 @@
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(6, work_s=6.0))
             await cluster.submit(B, job(4, work_s=6.0, accelerators=4, gang=True))
-            await cluster.until(lambda: cluster.floor.starts_of(B) == 4)
+            await cluster.until(lambda: cluster.worker_pool.starts_of(B) == 4)
             await cluster.kill(cluster.leader_name)
             await cluster.until_state(A, JobState.COMPLETED)
             await cluster.until_state(B, JobState.COMPLETED)
-            self.assertEqual(cluster.floor.starts_of(A), 6)
-            self.assertEqual(cluster.floor.starts_of(B), 4)
+            self.assertEqual(cluster.worker_pool.starts_of(A), 6)
+            self.assertEqual(cluster.worker_pool.starts_of(B), 4)
 
         self.play(body)
 
@@ -605,7 +607,7 @@
     def test_all_entry_vms_die_and_come_back(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(6, work_s=8.0))
-            await cluster.until(lambda: cluster.floor.starts_of(A) == 6)
+            await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 6)
             await cluster.submit(B, job(2, work_s=1.0))
             for name in list(cluster.members):
                 await cluster.kill(name)
@@ -614,14 +616,14 @@
                 await cluster.add_entry(f"entry-{number + 1}")
             await cluster.until_state(A, JobState.COMPLETED)
             await cluster.until_state(B, JobState.COMPLETED)
-            self.assertEqual(cluster.floor.starts_of(A), 6)
+            self.assertEqual(cluster.worker_pool.starts_of(A), 6)
 
         self.play(body)
 
     def test_a_leader_cut_from_the_store_is_fenced_off(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(4, work_s=10.0))
-            await cluster.until(lambda: cluster.floor.starts_of(A) == 4)
+            await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 4)
             old = cluster.leader_name
             cluster.member(old).view.faults.silent = True
             other = next(name for name in cluster.members if name != old)
@@ -633,11 +635,11 @@
                 5.0,
             )
             await cluster.submit(B, job(2), at=other)
-            await cluster.until(lambda: cluster.floor.ends_of(B, EndKind.DONE) == 2, 5.0)
+            await cluster.until(lambda: cluster.worker_pool.ends_of(B, EndKind.DONE) == 2, 5.0)
             cluster.member(old).view.faults.silent = False
             await asyncio.sleep(12.0)
-            self.assertEqual(cluster.floor.starts_of(A), 4)
-            self.assertEqual(cluster.floor.ends_of(A, EndKind.DONE), 4)
+            self.assertEqual(cluster.worker_pool.starts_of(A), 4)
+            self.assertEqual(cluster.worker_pool.ends_of(A, EndKind.DONE), 4)
 
         self.play(body)
 
@@ -648,7 +650,7 @@
     def test_a_scheduler_that_fails_gives_way_to_the_next(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(4, work_s=4.0))
-            await cluster.until(lambda: cluster.floor.starts_of(A) == 4)
+            await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 4)
             leader = cluster.leader
             assert leader is not None and leader.scheduler is not None
             fence = leader.scheduler.fence
@@ -666,21 +668,21 @@
             await cluster.submit(B, job(2))
             await cluster.until_state(A, JobState.COMPLETED)
             await cluster.until_state(B, JobState.COMPLETED)
-            self.assertEqual(cluster.floor.starts_of(A), 4)
+            self.assertEqual(cluster.worker_pool.starts_of(A), 4)
 
         self.play(body)
 
     def test_a_look_that_fails_is_repeated(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(4, work_s=3.0))
-            await cluster.until(lambda: cluster.floor.starts_of(A) == 4)
+            await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 4)
             leader = cluster.leader
             assert leader is not None and leader.scheduler is not None
             cluster_state = leader.scheduler.cluster_state
             with unittest.mock.patch.object(cluster_state, "worker_reported", side_effect=KeyError):
                 await asyncio.sleep(4.0)
             await cluster.until_state(A, JobState.COMPLETED)
-            self.assertEqual(cluster.floor.starts_of(A), 4)
+            self.assertEqual(cluster.worker_pool.starts_of(A), 4)
 
         self.play(body)
 
@@ -702,14 +704,14 @@
     def test_what_runs_outlives_an_outage_of_the_store(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(4, work_s=12.0))
-            await cluster.until(lambda: cluster.floor.starts_of(A) == 4)
+            await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 4)
             for member in cluster.members.values():
                 member.view.faults.silent = True
             await asyncio.sleep(7.0)
             for member in cluster.members.values():
                 member.view.faults.silent = False
             await cluster.until_state(A, JobState.COMPLETED)
-            self.assertEqual(cluster.floor.starts_of(A), 4)
+            self.assertEqual(cluster.worker_pool.starts_of(A), 4)
 
         self.play(body)
 
@@ -724,7 +726,7 @@
                     await self.submit_as_clients_do(cluster, job_id, job(3, work_s=0.5))
                 for job_id in (A, B, C):
                     await cluster.until_state(job_id, JobState.COMPLETED)
-                    self.assertEqual(cluster.floor.starts_of(job_id), 3)
+                    self.assertEqual(cluster.worker_pool.starts_of(job_id), 3)
 
             with self.subTest(late_s=late_s):
                 self.play(body)
@@ -751,7 +753,7 @@
                 member.view.faults.silent = False
             await cluster.submit(C, job(1), at="entry-1")
             await cluster.until_state(C, JobState.COMPLETED)
-            self.assertEqual(cluster.floor.starts_of(B), 0)
+            self.assertEqual(cluster.worker_pool.starts_of(B), 0)
 
         self.play(body)
 
@@ -870,7 +872,7 @@
             for member in cluster.members.values():
                 member.view.faults.refusing = False
             await asyncio.sleep(5.0)
-            self.assertEqual(cluster.floor.starts_of(A), 0)
+            self.assertEqual(cluster.worker_pool.starts_of(A), 0)
 
         self.play(body)
 
@@ -926,16 +928,16 @@
             await cluster.until_state(A, JobState.COMPLETED)
             await cluster.submit(B, job(4, work_s=5.0))
             await asyncio.sleep(0.5)
-            for worker in cluster.floor.workers.values():
-                cluster.floor.lapse(worker)
+            for worker in cluster.worker_pool.workers.values():
+                cluster.worker_pool.expire_record(worker)
             await asyncio.sleep(2.0)
-            for worker in cluster.floor.workers.values():
-                cluster.floor.record(worker)
+            for worker in cluster.worker_pool.workers.values():
+                cluster.worker_pool.record(worker)
             await cluster.submit(C, job(24))
             await cluster.until_state(C, JobState.COMPLETED)
             await cluster.until_state(B, JobState.COMPLETED)
             for job_id, tasks in ((B, 4), (C, 24)):
-                self.assertEqual(cluster.floor.starts_of(job_id), tasks)
+                self.assertEqual(cluster.worker_pool.starts_of(job_id), tasks)
 
         self.play(body)
 
@@ -944,11 +946,11 @@
 
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(4, work_s=6.0, accelerators=8))
-            await cluster.until(lambda: cluster.floor.starts_of(A) == 4)
-            worker = next(iter(cluster.floor.workers.values()))
-            cluster.floor.crash(worker, recorded=False)
+            await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 4)
+            worker = next(iter(cluster.worker_pool.workers.values()))
+            cluster.worker_pool.crash(worker, recorded=False)
             await cluster.until_state(A, JobState.COMPLETED, 40.0)
-            self.assertEqual(cluster.floor.starts_of(A), 5)
+            self.assertEqual(cluster.worker_pool.starts_of(A), 5)
 
         self.play(body)
 
@@ -958,9 +960,11 @@
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(1, work_s=60.0, accelerators=8))
             await cluster.submit(B, job(1, work_s=60.0, accelerators=8))
-            await cluster.until(lambda: len(cluster.floor.history) == 2)
-            used = [cluster.floor.workers[run.worker] for run in cluster.floor.history]
-            hall = [w for w in cluster.floor.workers.values() if w.data_hall == used[0].data_hall]
+            await cluster.until(lambda: len(cluster.worker_pool.history) == 2)
+            used = [cluster.worker_pool.workers[run.worker] for run in cluster.worker_pool.history]
+            hall = [
+                w for w in cluster.worker_pool.workers.values() if w.data_hall == used[0].data_hall
+            ]
             self.assertGreater(len(hall), 2)
             used[0].unreachable = True
             await asyncio.sleep(6.0)
@@ -975,21 +979,21 @@
 
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(2, work_s=30.0, gang=True))
-            await cluster.until(lambda: cluster.floor.starts_of(A) == 2)
-            worker = cluster.floor.workers[cluster.floor.history[0].worker]
+            await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 2)
+            worker = cluster.worker_pool.workers[cluster.worker_pool.history[0].worker]
             worker.unreachable = True
-            await cluster.until(lambda: cluster.floor.ends_of(A, EndKind.LAPSED) >= 1, 20.0)
+            await cluster.until(lambda: cluster.worker_pool.ends_of(A, EndKind.LAPSED) >= 1, 20.0)
             worker.unreachable = False
             await cluster.until_state(A, JobState.COMPLETED, 60.0)
-            self.assertEqual(cluster.floor.starts_of(A), 4)
+            self.assertEqual(cluster.worker_pool.starts_of(A), 4)
 
         self.play(body)
 
     def test_a_worker_cut_off_runs_on_and_nothing_doubles(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(4, work_s=30.0, accelerators=8))
-            await cluster.until(lambda: cluster.floor.starts_of(A) == 4)
-            worker = next(iter(cluster.floor.workers.values()))
+            await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 4)
+            worker = next(iter(cluster.worker_pool.workers.values()))
             worker.unreachable = True
             await asyncio.sleep(15.0)
             worker.unreachable = False
@@ -1002,17 +1006,17 @@
 
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(4, work_s=30.0, accelerators=8))
-            await cluster.until(lambda: cluster.floor.starts_of(A) == 4, 20.0)
-            worker = next(iter(cluster.floor.workers.values()))
+            await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 4, 20.0)
+            worker = next(iter(cluster.worker_pool.workers.values()))
             worker.unreachable = True
-            cluster.floor.lapse(worker)
+            cluster.worker_pool.expire_record(worker)
             await asyncio.sleep(25.0)
             worker.unreachable = False
-            cluster.floor.record(worker)
+            cluster.worker_pool.record(worker)
             await cluster.until_state(A, JobState.COMPLETED, 60.0)
             await cluster.submit(B, job(4, accelerators=8), queue="urgent")
             await cluster.until_state(B, JobState.COMPLETED)
-            self.assertEqual(cluster.floor.starts_of(B), 4)
+            self.assertEqual(cluster.worker_pool.starts_of(B), 4)
 
         self.play(body)
 
@@ -1025,7 +1029,7 @@
             sessions = leader.scheduler._sessions
             self.assertGreater(len(sessions), 1)
             for worker_id in list(sessions):
-                cluster.floor.crash(cluster.floor.workers[worker_id], recorded=False)
+                cluster.worker_pool.crash(cluster.worker_pool.workers[worker_id], recorded=False)
             await cluster.until(lambda: not sessions, 3.0)
 
         self.play(body)
@@ -1033,13 +1037,13 @@
     def test_a_life_at_the_same_address_ends_the_one_before(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(4, work_s=6.0, accelerators=8))
-            await cluster.until(lambda: cluster.floor.starts_of(A) == 4)
-            worker = next(iter(cluster.floor.workers.values()))
-            cluster.floor.crash(worker, recorded=False)
-            life = cluster.floor.add(worker.rack, worker.data_hall)
+            await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 4)
+            worker = next(iter(cluster.worker_pool.workers.values()))
+            cluster.worker_pool.crash(worker, recorded=False)
+            life = cluster.worker_pool.add(worker.rack, worker.data_hall)
             life.address = worker.address
-            cluster.floor.record(life)
-            await cluster.until(lambda: cluster.floor.starts_of(A) == 5, 3.0)
+            cluster.worker_pool.record(life)
+            await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 5, 3.0)
 
         self.play(body)
 
@@ -1047,7 +1051,7 @@
         for late_s in (0.3, 2.0, 6.0):
 
             async def body(cluster: PoolCluster, late_s: float = late_s) -> None:
-                for worker in cluster.floor.workers.values():
+                for worker in cluster.worker_pool.workers.values():
                     worker.late_orders = 1
                     worker.late_s = late_s
                 await cluster.submit(A, job(4, work_s=3.0, accelerators=8))
@@ -1061,21 +1065,21 @@
     def test_a_draining_worker_gets_no_work_and_gives_back_what_would_die(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(4, work_s=8.0, accelerators=8, checkpoint=True))
-            await cluster.until(lambda: cluster.floor.starts_of(A) == 4)
+            await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 4)
             await asyncio.sleep(2.5)
-            worker = next(iter(cluster.floor.workers.values()))
-            cluster.floor.record(worker, remaining_ms=3000)
+            worker = next(iter(cluster.worker_pool.workers.values()))
+            cluster.worker_pool.record(worker, remaining_ms=3000)
             await cluster.until(lambda: not worker.runs, 3.0)
-            self.assertEqual(cluster.floor.ends_of(A, EndKind.STOPPED), 1)
-            cluster.floor.add("r1-1", "hall-1")
+            self.assertEqual(cluster.worker_pool.ends_of(A, EndKind.STOPPED), 1)
+            cluster.worker_pool.add("r1-1", "hall-1")
             await cluster.until_state(A, JobState.COMPLETED)
-            self.assertEqual(len(cluster.floor.resumed), 1)
+            self.assertEqual(len(cluster.worker_pool.resumed), 1)
 
         self.play(body)
 
     def test_a_worker_that_fails_everything_does_not_fail_jobs(self) -> None:
         async def body(cluster: PoolCluster) -> None:
-            worker = next(iter(cluster.floor.workers.values()))
+            worker = next(iter(cluster.worker_pool.workers.values()))
             worker.fails_all = True
             for number in range(8):
                 await cluster.submit(f"{number:016x}", job(2, work_s=0.5, accelerators=4))
@@ -1095,22 +1099,22 @@
             bulk = [f"{number:016x}" for number in range(4)]
             for job_id in bulk:
                 await cluster.submit(job_id, job(1, accelerators=8, work_s=60.0), queue="bulk")
-            await cluster.until(lambda: len(cluster.floor.history) == 4, 20.0)
-            for worker in cluster.floor.workers.values():
+            await cluster.until(lambda: len(cluster.worker_pool.history) == 4, 20.0)
+            for worker in cluster.worker_pool.workers.values():
                 worker.lost_stops, worker.late_s = 1, 5.0
             await cluster.submit(A, job(1, accelerators=8, work_s=1.0), queue="urgent")
             for number in range(10, 20):
                 await cluster.submit(f"{number:016x}", job(1), queue="bulk")
                 await asyncio.sleep(0.1)
             await cluster.until_state(A, JobState.COMPLETED)
-            stopped = sum(cluster.floor.ends_of(job_id, EndKind.STOPPED) for job_id in bulk)
+            stopped = sum(cluster.worker_pool.ends_of(job_id, EndKind.STOPPED) for job_id in bulk)
             self.assertEqual(stopped, 1)
 
         self.play(body)
 
     def test_a_busy_worker_is_left_alone(self) -> None:
         async def body(cluster: PoolCluster) -> None:
-            worker = next(iter(cluster.floor.workers.values()))
+            worker = next(iter(cluster.worker_pool.workers.values()))
             worker.busy = True
             await cluster.submit(A, job(3, accelerators=8, gang=True))
             await cluster.until_state(A, JobState.COMPLETED)
--- a/tests/test_renewals.py
+++ b/tests/test_renewals.py
@@ -31,14 +31,16 @@
     async def crash_a_worker(self, cluster: PoolCluster) -> None:
         """Runs a task on a worker that then crashes."""
         await cluster.submit(A, job(1, work_s=3.0))
-        await cluster.until(lambda: cluster.floor.starts_of(A) == 1)
-        cluster.floor.crash(cluster.floor.workers[cluster.floor.history[0].worker])
+        await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 1)
+        cluster.worker_pool.crash(
+            cluster.worker_pool.workers[cluster.worker_pool.history[0].worker]
+        )
 
     async def begun_again_after(self, cluster: PoolCluster, timeout_s: float) -> float:
         """Returns how long it takes until the lost task runs again."""
         loop = asyncio.get_running_loop()
         began = loop.time()
-        await cluster.until(lambda: cluster.floor.starts_of(A) == 2, timeout_s)
+        await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 2, timeout_s)
         return loop.time() - began
 
     def test_after_all_were_killed_a_lost_task_waits_for_one_lease(self) -> None:
@@ -67,7 +69,7 @@
     def test_no_vm_is_queried_while_every_worker_answers(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(4, work_s=12.0))
-            await cluster.until(lambda: cluster.floor.starts_of(A) == 4)
+            await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 4)
             await cluster.kill(cluster.leader_name)
             await cluster.until(lambda: cluster.leader is not None)
             leader = cluster.leader
--- a/tests/test_restarted.py
+++ b/tests/test_restarted.py
@@ -24,7 +24,7 @@
 
 from saddlestack.interfaces.workers import EndKind
 from saddlestack.standins.pool.cluster import PoolCluster, job
-from saddlestack.standins.pool.workers import FloorWorker
+from saddlestack.standins.pool.workers import PoolWorker
 from saddlestack.work import JobState
 from tests.test_pool import PoolTest
 
@@ -50,61 +50,63 @@
         *,
         workers: int = 1,
         entries: int = 2,
-        births: bool = True,
+        reports_start_time: bool = True,
     ) -> None:
         """Run a coroutine against a small deployment of one rack."""
-        self.play(body, entries=entries, racks=1, workers=workers, births=births)
+        self.play(
+            body, entries=entries, racks=1, workers=workers, reports_start_time=reports_start_time
+        )
 
-    async def late_start(self, cluster: PoolCluster) -> FloorWorker:
+    async def late_start(self, cluster: PoolCluster) -> PoolWorker:
         """A worker that has left the start of a task unanswered, and will carry it out late."""
         await asyncio.sleep(HEARD_S)
-        for worker in list(cluster.floor.workers.values()):
+        for worker in list(cluster.worker_pool.workers.values()):
             worker.late_orders, worker.late_s = 1, LATE_S
         await cluster.submit(SECOND, job(1, work_s=2 * LATE_S, accelerators=8))
         await asyncio.sleep(0.2)
-        return next(each for each in cluster.floor.workers.values() if not each.late_orders)
+        return next(each for each in cluster.worker_pool.workers.values() if not each.late_orders)
 
-    async def rested(self, cluster: PoolCluster) -> FloorWorker:
+    async def rested(self, cluster: PoolCluster) -> PoolWorker:
         """A worker that has told of some ends, and has nothing to do."""
         await cluster.submit(FIRST, job(ENDS_BEFORE, work_s=0.5))
         await cluster.until_state(FIRST, JobState.COMPLETED)
         await asyncio.sleep(HEARD_S)
-        return cluster.floor.present(cluster.floor.history[0].worker)
+        return cluster.worker_pool.latest_incarnation(cluster.worker_pool.history[0].worker)
 
-    async def at_work(self, cluster: PoolCluster, *, work_s: float = 3.0) -> FloorWorker:
+    async def at_work(self, cluster: PoolCluster, *, work_s: float = 3.0) -> PoolWorker:
         """The worker of a task that has begun."""
         await cluster.submit(SECOND, job(1, work_s=work_s))
-        await cluster.until(lambda: cluster.floor.starts_of(SECOND) == 1)
+        await cluster.until(lambda: cluster.worker_pool.starts_of(SECOND) == 1)
         await asyncio.sleep(0.2)
-        return cluster.floor.present(cluster.floor.history[-1].worker)
+        return cluster.worker_pool.latest_incarnation(cluster.worker_pool.history[-1].worker)
 
 
 class EndsTest(RestartCase):
     def test_the_ends_of_another_life_are_heard(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             worker = await self.rested(cluster)
-            cluster.floor.restart(worker)
+            cluster.worker_pool.restart(worker)
             await asyncio.sleep(HEARD_S)
             await cluster.submit(SECOND, job(4, work_s=2.5, gang=True))
             await cluster.until_state(SECOND, JobState.COMPLETED)
-            self.assertEqual(cluster.floor.starts_of(SECOND), 4)
+            self.assertEqual(cluster.worker_pool.starts_of(SECOND), 4)
 
         self.played(body)
 
     def test_a_step_begins_once_the_one_before_has_ended_on_another_life(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             worker = await self.rested(cluster)
-            cluster.floor.restart(worker)
+            cluster.worker_pool.restart(worker)
             await asyncio.sleep(HEARD_S)
             first = job(4, work_s=STEP_WORK_S)
             second = msgspec.structs.replace(first.steps[0], after=(0,))
             steps = (first.steps[0], second)
             await cluster.submit(SECOND, msgspec.structs.replace(first, steps=steps))
             began = asyncio.get_running_loop().time()
-            await cluster.until(lambda: cluster.floor.starts_of(SECOND) > 4)
+            await cluster.until(lambda: cluster.worker_pool.starts_of(SECOND) > 4)
             waited_s = asyncio.get_running_loop().time() - began
             self.assertLess(waited_s, STEP_WORK_S + SOON_S)
-            again = [run for run in cluster.floor.history if run.number > 1]
+            again = [run for run in cluster.worker_pool.history if run.number > 1]
             self.assertEqual([str(run.task) for run in again], [])
 
         self.played(body)
@@ -114,7 +116,7 @@
             await self.rested(cluster)
             await cluster.submit(SECOND, job(4, work_s=2.5, gang=True))
             await cluster.until_state(SECOND, JobState.COMPLETED)
-            self.assertEqual(cluster.floor.starts_of(SECOND), 4)
+            self.assertEqual(cluster.worker_pool.starts_of(SECOND), 4)
 
         self.played(body)
 
@@ -123,12 +125,12 @@
 
         async def body(cluster: PoolCluster) -> None:
             worker = await self.rested(cluster)
-            cluster.floor.restart(worker, recorded=False)
+            cluster.worker_pool.restart(worker, recorded=False)
             await cluster.submit(SECOND, job(4, work_s=0.5))
             await asyncio.sleep(1.0)
-            cluster.floor.record(cluster.floor.present(worker.worker_id))
+            cluster.worker_pool.record(cluster.worker_pool.latest_incarnation(worker.worker_id))
             await cluster.until_state(SECOND, JobState.COMPLETED)
-            self.assertEqual(cluster.floor.ends_of(SECOND, EndKind.DONE), 4)
+            self.assertEqual(cluster.worker_pool.ends_of(SECOND, EndKind.DONE), 4)
 
         self.played(body)
 
@@ -138,12 +140,12 @@
         async def body(cluster: PoolCluster) -> None:
             worker = await self.at_work(cluster)
             born, worker.born = worker.born, worker.born + 1
-            cluster.floor.record(worker)
+            cluster.worker_pool.record(worker)
             worker.born = born
             await asyncio.sleep(HEARD_S)
-            cluster.floor.record(worker)
+            cluster.worker_pool.record(worker)
             await cluster.until_state(SECOND, JobState.COMPLETED)
-            self.assertEqual(cluster.floor.starts_of(SECOND), 1)
+            self.assertEqual(cluster.worker_pool.starts_of(SECOND), 1)
 
         self.played(body)
 
@@ -151,29 +153,29 @@
 class ForeignRecordTest(RestartCase):
     """Another writer changes what a worker's record tells of its birth; the worker runs on."""
 
-    def at_work_through(self, *, births: bool, born: int) -> None:
+    def at_work_through(self, *, reports_start_time: bool, born: int) -> None:
         """Work goes on, and more is done, through a record that tells of another birth."""
 
         async def body(cluster: PoolCluster) -> None:
             worker = await self.at_work(cluster, work_s=4.0)
             true, worker.born = worker.born, born
-            cluster.floor.record(worker)
+            cluster.worker_pool.record(worker)
             worker.born = true
             await cluster.submit(FIRST, job(3, work_s=0.5))
             await asyncio.sleep(1.5)
-            cluster.floor.record(worker)
+            cluster.worker_pool.record(worker)
             await cluster.until_state(SECOND, JobState.COMPLETED)
             await cluster.until_state(FIRST, JobState.COMPLETED)
-            self.assertEqual(cluster.floor.starts_of(SECOND), 1)
-            self.assertEqual(cluster.floor.starts_of(FIRST), 3)
+            self.assertEqual(cluster.worker_pool.starts_of(SECOND), 1)
+            self.assertEqual(cluster.worker_pool.starts_of(FIRST), 3)
 
-        self.played(body, births=births)
+        self.played(body, reports_start_time=reports_start_time)
 
     def test_a_birth_where_the_worker_tells_none(self) -> None:
-        self.at_work_through(births=False, born=1_700)
+        self.at_work_through(reports_start_time=False, born=1_700)
 
     def test_no_birth_where_the_worker_tells_one(self) -> None:
-        self.at_work_through(births=True, born=0)
+        self.at_work_through(reports_start_time=True, born=0)
 
     def test_a_birth_that_a_new_leader_reads_where_the_worker_tells_none(self) -> None:
         """Seen in a soak: its work counted as the false life's, and its own ends as nobody's.
@@ -184,31 +186,31 @@
         async def body(cluster: PoolCluster) -> None:
             worker = await self.at_work(cluster, work_s=3.0)
             worker.born = 1_700
-            cluster.floor.record(worker)
+            cluster.worker_pool.record(worker)
             worker.born = 0
             await cluster.kill(cluster.leader_name)
             await cluster.until(lambda: cluster.leader is not None)
             await asyncio.sleep(0.5)
-            cluster.floor.record(worker)
+            cluster.worker_pool.record(worker)
             await asyncio.sleep(HEARD_S)
             await cluster.kill(cluster.leader_name)
             await cluster.until(lambda: cluster.leader is not None)
             await cluster.until_state(SECOND, JobState.COMPLETED)
-            self.assertEqual(cluster.floor.starts_of(SECOND), 1)
+            self.assertEqual(cluster.worker_pool.starts_of(SECOND), 1)
 
-        self.played(body, entries=4, births=False)
+        self.played(body, entries=4, reports_start_time=False)
 
     def test_another_birth(self) -> None:
-        self.at_work_through(births=True, born=1_700)
+        self.at_work_through(reports_start_time=True, born=1_700)
 
 
 class WorkTest(RestartCase):
     def test_what_a_life_ran_begins_again_once(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             worker = await self.at_work(cluster)
-            cluster.floor.restart(worker)
+            cluster.worker_pool.restart(worker)
             await cluster.until_state(SECOND, JobState.COMPLETED)
-            self.assertEqual(cluster.floor.starts_of(SECOND), 2)
+            self.assertEqual(cluster.worker_pool.starts_of(SECOND), 2)
 
         self.played(body)
 
@@ -217,10 +219,10 @@
             await self.rested(cluster)
             worker = await self.at_work(cluster)
             for _ in range(3):
-                worker = cluster.floor.restart(worker)
+                worker = cluster.worker_pool.restart(worker)
                 await asyncio.sleep(1.3)
             await cluster.until_state(SECOND, JobState.COMPLETED)
-            self.assertEqual(cluster.floor.ends_of(SECOND, EndKind.DONE), 1)
+            self.assertEqual(cluster.worker_pool.ends_of(SECOND, EndKind.DONE), 1)
 
         self.played(body)
 
@@ -229,10 +231,10 @@
 
         async def body(cluster: PoolCluster) -> None:
             late = await self.late_start(cluster)
-            cluster.floor.restart(late)
-            await cluster.until(lambda: cluster.floor.starts_of(SECOND) == 1)
+            cluster.worker_pool.restart(late)
+            await cluster.until(lambda: cluster.worker_pool.starts_of(SECOND) == 1)
             await cluster.until_state(SECOND, JobState.COMPLETED)
-            self.assertEqual(cluster.floor.starts_of(SECOND), 1)
+            self.assertEqual(cluster.worker_pool.starts_of(SECOND), 1)
 
         self.played(body, workers=2)
 
@@ -240,27 +242,27 @@
         async def body(cluster: PoolCluster) -> None:
             late = await self.late_start(cluster)
             await cluster.kill(cluster.leader_name)
-            cluster.floor.lapse(late)
-            life = cluster.floor.restart(late, recorded=False)
-            for worker in list(cluster.floor.workers.values()):
+            cluster.worker_pool.expire_record(late)
+            life = cluster.worker_pool.restart(late, recorded=False)
+            for worker in list(cluster.worker_pool.workers.values()):
                 worker.late_orders = 0
-            await cluster.until(lambda: cluster.floor.starts_of(SECOND) == 1)
-            cluster.floor.record(life)
+            await cluster.until(lambda: cluster.worker_pool.starts_of(SECOND) == 1)
+            cluster.worker_pool.record(life)
             await cluster.until_state(SECOND, JobState.COMPLETED)
-            self.assertEqual(cluster.floor.starts_of(SECOND), 1)
+            self.assertEqual(cluster.worker_pool.starts_of(SECOND), 1)
 
         self.played(body, workers=2, entries=3)
 
     def test_a_record_that_was_gone_meanwhile_is_another_lifes(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             late = await self.late_start(cluster)
-            cluster.floor.lapse(late)
-            life = cluster.floor.restart(late, recorded=False)
+            cluster.worker_pool.expire_record(late)
+            life = cluster.worker_pool.restart(late, recorded=False)
             await asyncio.sleep(HEARD_S)
-            cluster.floor.record(life)
-            await cluster.until(lambda: cluster.floor.starts_of(SECOND) == 1)
+            cluster.worker_pool.record(life)
+            await cluster.until(lambda: cluster.worker_pool.starts_of(SECOND) == 1)
             await cluster.until_state(SECOND, JobState.COMPLETED)
-            self.assertEqual(cluster.floor.starts_of(SECOND), 1)
+            self.assertEqual(cluster.worker_pool.starts_of(SECOND), 1)
 
         self.played(body, workers=2)
 
@@ -269,10 +271,10 @@
             await self.rested(cluster)
             worker = await self.at_work(cluster)
             await cluster.kill(cluster.leader_name)
-            cluster.floor.restart(worker)
+            cluster.worker_pool.restart(worker)
             await cluster.until(lambda: cluster.leader is not None)
             await cluster.until_state(SECOND, JobState.COMPLETED)
-            self.assertEqual(cluster.floor.starts_of(SECOND), 2)
+            self.assertEqual(cluster.worker_pool.starts_of(SECOND), 2)
 
         self.played(body, entries=3)
 
@@ -283,11 +285,11 @@
             worker = await self.at_work(cluster, work_s=60.0)
             worker.unreachable = True
             born, worker.born = worker.born, worker.born + 1
-            cluster.floor.record(worker)
+            cluster.worker_pool.record(worker)
             worker.born = born
-            cluster.floor.add(worker.rack, worker.data_hall)
+            cluster.worker_pool.add(worker.rack, worker.data_hall)
             await asyncio.sleep(cluster.times.hold_s)
-            self.assertEqual(cluster.floor.starts_of(SECOND), 1)
-            await cluster.until(lambda: cluster.floor.starts_of(SECOND) == 2)
+            self.assertEqual(cluster.worker_pool.starts_of(SECOND), 1)
+            await cluster.until(lambda: cluster.worker_pool.starts_of(SECOND) == 2)
 
         self.played(body)
--- a/tests/test_second_run.py
+++ b/tests/test_second_run.py
@@ -35,9 +35,9 @@
 from saddlestack.standins.loop import WALL_EPOCH_S, run
 from saddlestack.standins.pool import cluster as cluster_module
 from saddlestack.standins.pool.cluster import RETENTION_S, PoolCluster, job
-from saddlestack.standins.pool.orders import FloorOrders
+from saddlestack.standins.pool.orders import PoolWorkerOrders
 from saddlestack.standins.pool.store import StoreView
-from saddlestack.standins.pool.workers import CLOCK_START_MS, Floor, FloorWorker
+from saddlestack.standins.pool.workers import CLOCK_START_MS, PoolWorker, WorkerPool
 from saddlestack.work import JobRequest, JobState
 from tests.test_session import HEARTBEAT_S, TASK, Scene, SessionCase
 
@@ -88,7 +88,7 @@
 class TroubledOrders:
     """One VM's way to one worker, through all of this trouble."""
 
-    def __init__(self, trouble: Trouble, vm: str, inner: FloorOrders) -> None:
+    def __init__(self, trouble: Trouble, vm: str, inner: PoolWorkerOrders) -> None:
         self._trouble = trouble
         self._vm = vm
         self._inner = inner
@@ -188,21 +188,21 @@
 
     def _orders(self, name: str, record: WorkerRecord) -> TroubledOrders:
         inner = PoolCluster._orders(self, name, record)
-        assert isinstance(inner, FloorOrders)
+        assert isinstance(inner, PoolWorkerOrders)
         return TroubledOrders(self.trouble, name, inner)
 
     def others(self, vm: str) -> list[str]:
         """All VMs but one."""
         return [name for name in self.members if name != vm]
 
-    def cut_from_all_but(self, vm: str, worker: FloorWorker) -> None:
+    def cut_from_all_but(self, vm: str, worker: PoolWorker) -> None:
         """No VM but one reaches a worker."""
         self.trouble.cut |= {(name, worker.worker_id) for name in self.others(vm)}
 
-    def worker_of(self, job_id: str) -> FloorWorker:
+    def worker_of(self, job_id: str) -> PoolWorker:
         """Where the latest run of a job began."""
-        runs = [each for each in self.floor.history if each.task.job_id == job_id]
-        return self.floor.workers[runs[-1].worker]
+        runs = [each for each in self.worker_pool.history if each.task.job_id == job_id]
+        return self.worker_pool.workers[runs[-1].worker]
 
 
 class SecondRunCase(unittest.TestCase):
@@ -235,7 +235,7 @@
                 for vm in list(trouble.frozen):
                     trouble.thaw(vm)
                 await cluster.stop()
-            self.assertEqual(cluster.floor.violations, [])
+            self.assertEqual(cluster.worker_pool.violations, [])
 
         run(main())
 
@@ -254,7 +254,7 @@
 
         async def body(cluster: TroubledCluster) -> None:
             await cluster.submit(A, job(1, work_s=90.0, accelerators=8))
-            await cluster.until(lambda: cluster.floor.starts_of(A) == 1)
+            await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 1)
             await asyncio.sleep(5.0)
             old, worker = cluster.leader_name, cluster.worker_of(A)
             cluster.cut_from_all_but(old, worker)
@@ -280,7 +280,7 @@
 
         async def body(cluster: TroubledCluster) -> None:
             old = cluster.leader_name
-            worker = next(iter(cluster.floor.workers.values()))
+            worker = next(iter(cluster.worker_pool.workers.values()))
             cluster.cut_from_all_but(old, worker)
             sent: list[str] = []
 
@@ -293,9 +293,9 @@
             cluster.trouble.on_start = lose_the_first
             await cluster.submit(A, job(1, work_s=90.0, accelerators=8), at=cluster.others(old)[0])
             await cluster.until(lambda: bool(sent))
-            cluster.floor.add(worker.rack, worker.data_hall)
+            cluster.worker_pool.add(worker.rack, worker.data_hall)
             await asyncio.sleep(25.0)
-            self.assertEqual(cluster.floor.starts_of(A), 1)
+            self.assertEqual(cluster.worker_pool.starts_of(A), 1)
             cluster.trouble.thaw(old)
             await asyncio.sleep(3.0)
 
@@ -324,7 +324,7 @@
             await cluster.until(lambda: cluster.leader is not None)
             old = cluster.leader_name
             await cluster.submit(A, job(1, work_s=90.0, accelerators=8), at=old)
-            await cluster.until(lambda: cluster.floor.starts_of(A) == 1)
+            await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 1)
             cluster.cut_from_all_but(old, cluster.worker_of(A))
             cluster.member(old).view.faults.silent = True
             listed = [item.key for item in cluster.store.keys("saddlestack/members/")]
@@ -339,7 +339,7 @@
 class LeavingWorkerTest(SecondRunCase):
     def leave(
         self,
-        lost: Callable[[TroubledCluster, FloorWorker], None],
+        lost: Callable[[TroubledCluster, PoolWorker], None],
         record_lasts_s: float = LAPSE_HEARTBEATS * HEARTBEAT_S,
     ) -> None:
         """A worker that is late to leave, and cut off from the store, is not heard for a moment.
@@ -352,15 +352,15 @@
 
         async def body(cluster: TroubledCluster) -> None:
             await cluster.submit(A, job(1, work_s=90.0, accelerators=8))
-            await cluster.until(lambda: cluster.floor.starts_of(A) == 1)
+            await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 1)
             await asyncio.sleep(6.0)
             worker = cluster.worker_of(A)
             worker.lost_stops, worker.late_s = 100, 60.0
-            cluster.floor.record(worker, remaining_ms=round(NOTICE_S * 1000))
+            cluster.worker_pool.record(worker, remaining_ms=round(NOTICE_S * 1000))
             await asyncio.sleep(record_lasts_s - 0.2)
             lost(cluster, worker)
             await asyncio.sleep(0.3)
-            cluster.floor.lapse(worker)
+            cluster.worker_pool.expire_record(worker)
             await asyncio.sleep(1.3)
             cluster.trouble.resets.clear()
             cluster.trouble.cut.clear()
@@ -380,7 +380,7 @@
         run counted as over at once and started elsewhere, while it went on.
         """
 
-        def lost(cluster: TroubledCluster, worker: FloorWorker) -> None:
+        def lost(cluster: TroubledCluster, worker: PoolWorker) -> None:
             cluster.trouble.resets.add(worker.worker_id)
 
         self.leave(lost)
@@ -388,7 +388,7 @@
     def test_a_worker_out_of_reach_for_a_second_has_not_left(self) -> None:
         """The same where the path to it is lost for 1.5 s."""
 
-        def lost(cluster: TroubledCluster, worker: FloorWorker) -> None:
+        def lost(cluster: TroubledCluster, worker: PoolWorker) -> None:
             cluster.cut_from_all_but("", worker)
 
         self.leave(lost)
@@ -402,7 +402,7 @@
         one that has ended; what ran there is over with its lease.
         """
 
-        def lost(cluster: TroubledCluster, worker: FloorWorker) -> None:
+        def lost(cluster: TroubledCluster, worker: PoolWorker) -> None:
             cluster.cut_from_all_but("", worker)
 
         self.leave(lost, record_lasts_s=NOTICE_S + 0.2)
@@ -421,14 +421,14 @@
         out of reach; the leader counts 10.7 s from its last try, and starts the task elsewhere.
         """
 
-        def clock_ms(floor: Floor, worker: FloorWorker) -> int:
+        def clock_ms(worker_pool: WorkerPool, worker: PoolWorker) -> int:
             now = asyncio.get_running_loop().time()
             return CLOCK_START_MS + round(now * SLOW * 1000)
 
-        def extend(floor: Floor, worker: FloorWorker, deadline_ms: int) -> None:
+        def extend(worker_pool: WorkerPool, worker: PoolWorker, deadline_ms: int) -> None:
             now = asyncio.get_running_loop().time()
             until = (deadline_ms - CLOCK_START_MS) / 1000 / SLOW
-            longest = now + floor.times.hold_s / SLOW
+            longest = now + worker_pool.times.hold_s / SLOW
             worker.lease_until = max(worker.lease_until, min(until, longest))
 
         async def body(cluster: TroubledCluster) -> None:
@@ -440,13 +440,13 @@
             await cluster.submit(A, job(1, work_s=90.0, accelerators=8))
             await cluster.until(lambda: not worker.late_orders)
             worker.unreachable = True
-            cluster.floor.add(worker.rack, worker.data_hall)
+            cluster.worker_pool.add(worker.rack, worker.data_hall)
             await asyncio.sleep(20.0)
-            self.assertGreaterEqual(cluster.floor.starts_of(A), 2)
+            self.assertGreaterEqual(cluster.worker_pool.starts_of(A), 2)
 
         with (
-            unittest.mock.patch.object(Floor, "clock_ms", clock_ms),
-            unittest.mock.patch.object(Floor, "_extend", extend),
+            unittest.mock.patch.object(WorkerPool, "clock_ms", clock_ms),
+            unittest.mock.patch.object(WorkerPool, "_extend", extend),
         ):
             self.play(body, workers=1)
 
@@ -471,7 +471,7 @@
             )
             await cluster.submit(A, request)
             await cluster.until_state(A, JobState.COMPLETED, 60.0)
-            self.assertEqual(cluster.floor.starts_of(A), 40)
+            self.assertEqual(cluster.worker_pool.starts_of(A), 40)
             prefix = f"saddlestack/progress/{A}."
             await asyncio.sleep(RETENTION_S - 5.0)
             async with asyncio.timeout(10.0):
@@ -480,7 +480,7 @@
             self.assertNotEqual(cluster.store.keys(prefix), [])
             await cluster.kill(cluster.leader_name)
             await asyncio.sleep(20.0)
-            self.assertEqual(cluster.floor.starts_of(A), 40)
+            self.assertEqual(cluster.worker_pool.starts_of(A), 40)
             self.assertEqual(cluster.store.keys(prefix), [])
 
         self.play(body)
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -268,7 +268,7 @@
             for name in cluster.members:
                 await cluster.submit(f"{name[-1]:0>16}", job(1), at=name)
             await cluster.until_state(A, JobState.COMPLETED)
-            self.assertEqual(cluster.floor.starts_of(A), 4)
+            self.assertEqual(cluster.worker_pool.starts_of(A), 4)
 
         self.play(body)
 
--- a/tests/test_stale_beliefs.py
+++ b/tests/test_stale_beliefs.py
@@ -20,8 +20,8 @@
 from saddlestack.policy.cluster.records import OccurrenceRecord, TaskStatus
 from saddlestack.policy.cluster.state import ClusterState
 from saddlestack.standins.pool.cluster import PoolCluster, job
-from saddlestack.standins.pool.orders import FloorOrders
-from saddlestack.standins.pool.workers import CLOCK_START_MS, Floor, FloorWorker
+from saddlestack.standins.pool.orders import PoolWorkerOrders
+from saddlestack.standins.pool.workers import CLOCK_START_MS, PoolWorker, WorkerPool
 from saddlestack.work import JobState
 from tests.malformed import encoded
 from tests.test_entries import EntryCase, other_address
@@ -117,14 +117,14 @@
     def test_a_late_start_by_a_false_record_after_a_long_rest(self) -> None:
         """The clock was told 300 s ago and runs 2 % slow; a record claims all that it might say."""
 
-        def clock_ms(floor: Floor, worker: FloorWorker) -> int:
+        def clock_ms(worker_pool: WorkerPool, worker: PoolWorker) -> int:
             now = asyncio.get_running_loop().time()
             return CLOCK_START_MS + round(now * SLOW * 1000)
 
-        def extend(floor: Floor, worker: FloorWorker, deadline_ms: int) -> None:
+        def extend(worker_pool: WorkerPool, worker: PoolWorker, deadline_ms: int) -> None:
             now = asyncio.get_running_loop().time()
             until = (deadline_ms - CLOCK_START_MS) / 1000 / SLOW
-            longest = now + floor.times.hold_s / SLOW
+            longest = now + worker_pool.times.hold_s / SLOW
             worker.lease_until = max(worker.lease_until, min(until, longest))
 
         async def body(cluster: TroubledCluster) -> None:
@@ -133,20 +133,20 @@
             worker = cluster.worker_of(B)
             await asyncio.sleep(300.0)
             EntryCase().rewrite(
-                cluster, worker, clock_ms=cluster.floor.clock_ms(worker) + 3_600_000
+                cluster, worker, clock_ms=cluster.worker_pool.clock_ms(worker) + 3_600_000
             )
             await asyncio.sleep(HEARD_S)
             worker.late_orders, worker.late_s = 1, 5.0
             await cluster.submit(A, job(1, work_s=90.0, accelerators=8))
             await cluster.until(lambda: not worker.late_orders)
             worker.unreachable = True
-            cluster.floor.add(worker.rack, worker.data_hall)
+            cluster.worker_pool.add(worker.rack, worker.data_hall)
             await asyncio.sleep(20.0)
-            self.assertGreaterEqual(cluster.floor.starts_of(A), 2)
+            self.assertGreaterEqual(cluster.worker_pool.starts_of(A), 2)
 
         with (
-            unittest.mock.patch.object(Floor, "clock_ms", clock_ms),
-            unittest.mock.patch.object(Floor, "_extend", extend),
+            unittest.mock.patch.object(WorkerPool, "clock_ms", clock_ms),
+            unittest.mock.patch.object(WorkerPool, "_extend", extend),
         ):
             self.play(body, workers=1)
 
@@ -156,14 +156,14 @@
         """``leaves_s`` is kept after the worker says that it is ready: work is stopped for ever."""
 
         async def body(cluster: PoolCluster) -> None:
-            worker = next(iter(cluster.floor.workers.values()))
+            worker = next(iter(cluster.worker_pool.workers.values()))
             self.rewrite(cluster, worker, state="draining", remaining_ms=100)
             await asyncio.sleep(HEARD_S)
-            cluster.floor.record(worker)
+            cluster.worker_pool.record(worker)
             await asyncio.sleep(HEARD_S)
             await cluster.submit(A, job(1, work_s=3.0))
             await asyncio.sleep(10.0)
-            self.assertEqual(cluster.floor.starts_of(A), 1)
+            self.assertEqual(cluster.worker_pool.starts_of(A), 1)
             await cluster.until_state(A, JobState.COMPLETED)
 
         self.play(body, racks=1, workers=1)
@@ -185,8 +185,8 @@
                 while (worker.machine, 1) not in cluster.machines.done:
                     await asyncio.sleep(0.5)
                     if worker.up:
-                        cluster.floor.record(worker)
-            self.assertIs(cluster.floor.history[0].ended, EndKind.STOPPED)
+                        cluster.worker_pool.record(worker)
+            self.assertIs(cluster.worker_pool.history[0].ended, EndKind.STOPPED)
 
         self.play(body)
 
@@ -210,8 +210,8 @@
             cluster.store.put(key, to_msgpack(record))
             self.rewrite(cluster, worker, address=other_address(cluster, worker))
             await asyncio.sleep(5.0)
-            self.assertEqual(cluster.floor.violations, [])
-            self.assertEqual(cluster.floor.starts_of(A), 1)
+            self.assertEqual(cluster.worker_pool.violations, [])
+            self.assertEqual(cluster.worker_pool.starts_of(A), 1)
 
         self.play(body)
 
@@ -232,10 +232,10 @@
             known.record = replace(known.record, address="")
             worker.unreachable = True
             await asyncio.sleep(HOLD_S / 2)
-            self.assertEqual(cluster.floor.starts_of(A), 1)
+            self.assertEqual(cluster.worker_pool.starts_of(A), 1)
             await asyncio.sleep(HOLD_S)
-            self.assertEqual(cluster.floor.violations, [])
-            self.assertEqual(cluster.floor.starts_of(A), 2)
+            self.assertEqual(cluster.worker_pool.violations, [])
+            self.assertEqual(cluster.worker_pool.starts_of(A), 2)
 
         self.play(body)
 
@@ -247,10 +247,10 @@
         A busy answer counts as one of the life that is meant, since its record is listed; the 421
         after it is believed.
         """
-        reach = FloorOrders._reach
+        reach = PoolWorkerOrders._reach
         busy_s = 3.0
 
-        async def busy_at_first(orders: FloorOrders, timeout_s: float) -> None:
+        async def busy_at_first(orders: PoolWorkerOrders, timeout_s: float) -> None:
             foreign = orders.address != orders.worker.address
             if foreign:
                 began = seen.setdefault("began", asyncio.get_running_loop().time())
@@ -259,7 +259,7 @@
             await reach(orders, timeout_s)
 
         seen: dict[str, float] = {}
-        with unittest.mock.patch.object(FloorOrders, "_reach", busy_at_first):
+        with unittest.mock.patch.object(PoolWorkerOrders, "_reach", busy_at_first):
             self.test_a_record_of_another_writer_gives_no_address_to_an_inherited_run()
         self.assertTrue(seen)
 
@@ -294,7 +294,7 @@
             await asyncio.sleep(13.0)
             self.assertEqual(cluster.leader_name, old)
             await cluster.submit(A, job(1, work_s=90.0, accelerators=8), at=old)
-            await cluster.until(lambda: cluster.floor.starts_of(A) == 1)
+            await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 1)
             cluster.cut_from_all_but(old, cluster.worker_of(A))
             cluster.member(old).view.faults.silent = True
             await asyncio.sleep(25.0)
--- a/tests/test_wait_reports.py
+++ b/tests/test_wait_reports.py
@@ -237,7 +237,7 @@
                 for member in cluster.members.values()
             ]
             self.assertEqual(sorted(counts), [0, 0, 1])
-            cluster.floor.add("r1-1", "hall-1")
+            cluster.worker_pool.add("r1-1", "hall-1")
             await cluster.until_state(A, JobState.COMPLETED)
 
         self.play(body)
--- a/tests/test_waits_control.py
+++ b/tests/test_waits_control.py
@@ -34,7 +34,7 @@
 from saddlestack.kernel.clock import Clock
 from saddlestack.standins.loop import VirtualClock, run
 from saddlestack.standins.pool.cluster import RETENTION_S, PoolCluster, job
-from saddlestack.standins.pool.machines import FloorAdviser, FloorMachines
+from saddlestack.standins.pool.machines import PoolAdviser, PoolMachines
 from saddlestack.standins.pool.store import CALL_TIMEOUT_S, WATCH_SLACK_S, StoreState, StoreView
 from saddlestack.work import JobState
 from tests.support import bare_context
@@ -87,13 +87,15 @@
         """Run job A, on two workers, and job C."""
         await cluster.submit(A, job(2, work_s=20.0, accelerators=8))
         await cluster.submit(C, job(1, work_s=20.0))
-        await cluster.until(lambda: cluster.floor.starts_of(A) + cluster.floor.starts_of(C) == 3)
+        await cluster.until(
+            lambda: cluster.worker_pool.starts_of(A) + cluster.worker_pool.starts_of(C) == 3
+        )
         await asyncio.sleep(SOON_S)
 
     async def queue_two_records(self, cluster: PoolCluster) -> None:
         """Report two ends of A one after the other, so that one record waits behind another."""
-        last = next(run for run in cluster.floor.history if run.task.job_id == A)
-        worker = cluster.floor.workers[last.worker]
+        last = next(run for run in cluster.worker_pool.history if run.task.job_id == A)
+        worker = cluster.worker_pool.workers[last.worker]
         worker.lost_stops, worker.late_s = 1, SOON_S
         await cluster.cancel(A)
         await cluster.until(lambda: last.ended is not None)
@@ -105,7 +107,7 @@
             with writes_of_job_are_lost(A):
                 await self.queue_two_records(cluster)
                 await cluster.submit(B, job(2))
-                await cluster.until(lambda: cluster.floor.starts_of(B) == 2, SOON_S)
+                await cluster.until(lambda: cluster.worker_pool.starts_of(B) == 2, SOON_S)
             await cluster.until_state(A, JobState.CANCELLED)
             await cluster.until_state(B, JobState.COMPLETED)
 
@@ -117,7 +119,7 @@
             with writes_of_job_are_lost(A):
                 await self.queue_two_records(cluster)
                 await cluster.cancel(C)
-                runs = [run for run in cluster.floor.history if run.task.job_id == C]
+                runs = [run for run in cluster.worker_pool.history if run.task.job_id == C]
                 await cluster.until(lambda: runs[0].stopping_at is not None, SOON_S)
 
         self.play(body)
@@ -131,8 +133,10 @@
                 await self.queue_two_records(cluster)
                 await cluster.submit(B, job(1, work_s=0.5))
                 await cluster.until_state(B, JobState.COMPLETED, 3 * SOON_S)
-                worker = next(run.worker for run in cluster.floor.history if run.task.job_id == B)
-                ended = cluster.floor.workers[worker].ended
+                worker = next(
+                    run.worker for run in cluster.worker_pool.history if run.task.job_id == B
+                )
+                ended = cluster.worker_pool.workers[worker].ended
                 await cluster.submit("d" * 16, job(1, work_s=0.5))
                 await asyncio.sleep(2 * SOON_S)
                 self.assertEqual([end for end in ended if end.task.startswith(B)], [])
@@ -162,7 +166,7 @@
             await cluster.submit(A, request)
             with removals_are_lost():
                 await asyncio.sleep(6.0 + 2 * TICK_S)
-                self.assertEqual(cluster.floor.starts_of(A), 1)
+                self.assertEqual(cluster.worker_pool.starts_of(A), 1)
             await cluster.until(lambda: len(cluster.store.keys(REQUESTS)) == 1)
 
         self.play(body)
@@ -178,17 +182,17 @@
         async def main() -> None:
             cluster = PoolCluster(advised=frozenset({"normal"}))
             await cluster.start()
-            advise = FloorAdviser.advise
+            advise = PoolAdviser.advise
             failures = [KeyError()]
 
             async def fails_once(
-                self: FloorAdviser, step: str, workers: tuple[str, ...]
+                self: PoolAdviser, step: str, workers: tuple[str, ...]
             ) -> tuple[Leave, ...]:
                 if failures:
                     raise failures.pop()
                 return await advise(self, step, workers)
 
-            with unittest.mock.patch.object(FloorAdviser, "advise", fails_once):
+            with unittest.mock.patch.object(PoolAdviser, "advise", fails_once):
                 await cluster.submit(A, job(1, work_s=0.2))
                 await cluster.until_state(A, JobState.COMPLETED, 3.0)
             await cluster.stop()
@@ -237,9 +241,9 @@
             return outcome
 
         async def body(cluster: PoolCluster) -> None:
-            machines = [worker.machine for worker in cluster.floor.workers.values()]
+            machines = [worker.machine for worker in cluster.worker_pool.workers.values()]
             wave = {"wave": 1, "machines": machines, "deadline-s": 30, "max-tasks": 4}
-            with unittest.mock.patch.object(FloorMachines, "upkeep", refuse):
+            with unittest.mock.patch.object(PoolMachines, "upkeep", refuse):
                 cluster.store.put("op/wave/1", msgspec.json.encode(wave))
                 await asyncio.sleep(10.0)
                 await cluster.submit(A, job(4, accelerators=8, work_s=0.5))
@@ -286,7 +290,7 @@
                 await begun.wait()
                 swallowed = False
                 await cluster.submit(A, job(1, work_s=0.2))
-                await cluster.until(lambda: cluster.floor.starts_of(A) == 1, FOUND_WITHIN_S)
+                await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 1, FOUND_WITHIN_S)
 
         self.play(body)
 
--- a/tests/test_waits_orders.py
+++ b/tests/test_waits_orders.py
@@ -114,8 +114,8 @@
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(32, work_s=0.5))
             await cluster.until_state(A, JobState.COMPLETED)
-            worker = next(iter(cluster.floor.workers.values()))
-            cluster.floor.crash(worker)
+            worker = next(iter(cluster.worker_pool.workers.values()))
+            cluster.worker_pool.crash(worker)
             await cluster.submit(B, job(24, work_s=0.5))
             await cluster.until_state(B, JobState.COMPLETED, 4.0)
 
