--- a/src/saddlestack/standins/pool/cluster.py
+++ b/src/saddlestack/standins/pool/cluster.py
@@ -1,4 +1,4 @@
-"""Entry VMs, a store and workers in one process, on a clock that jumps."""
+"""Entry VMs, a store and workers in one process, on a virtual clock."""
 
 from __future__ import annotations
 
@@ -39,10 +39,13 @@
 class PoolCluster:
     """A small deployment on stand-ins.
 
-    :param entries: entry VMs.
-    :param racks: racks, one a data hall.
-    :param workers: workers a rack.
-    :ivar contacted_workers: workers that some VM has opened a way to.
+    :param entries: number of entry VMs.
+    :param racks: number of racks, each in a data hall of its own.
+    :param workers: number of workers per rack.
+    :param advised: queues whose starts need the adviser's approval.
+    :param members: entry VMs by name.
+    :param version: version of the configuration.
+    :ivar contacted_workers: incarnation names of the workers that some VM has created orders for.
     """
 
     entries: int = 3
@@ -58,8 +61,8 @@
     members: dict[str, _Member] = field(default_factory=dict)
     version: int = 0
     contacted_workers: set[str] = field(default_factory=set)
-    _lives: int = 0
-    _floor_task: asyncio.Task[None] | None = None
+    _vm_count: int = 0
+    _pool_task: asyncio.Task[None] | None = None
 
     def __post_init__(self) -> None:
         self.worker_pool = WorkerPool(self.store, SERVICE, self.times)
@@ -73,26 +76,26 @@
         for rack in range(self.racks):
             for _ in range(self.workers):
                 self.worker_pool.add(f"r{rack + 1}-1", f"hall-{rack + 1}")
-        self._floor_task = asyncio.get_running_loop().create_task(self.worker_pool.run())
+        self._pool_task = asyncio.get_running_loop().create_task(self.worker_pool.run())
         for number in range(self.entries):
             await self.add_entry(f"entry-{number + 1}")
         await self.until(lambda: self.leader is not None)
 
     async def stop(self) -> None:
-        """Stop everything."""
+        """Stop all entry VMs and the worker pool."""
         for name in list(self.members):
             await self.kill(name)
-        if self._floor_task is not None:
-            self._floor_task.cancel()
+        if self._pool_task is not None:
+            self._pool_task.cancel()
 
     async def add_entry(self, name: str) -> EntryVm:
         """Start an entry VM."""
-        self._lives += 1
+        self._vm_count += 1
         view = StoreView(self.store)
         vm = EntryVm(
             _settings(name, self.times),
             clock=VirtualClock(),
-            rng=random.Random(self.seed * 1000 + self._lives),
+            rng=random.Random(self.seed * 1000 + self._vm_count),
             store=view,
             orders=lambda record: self._orders(name, record),
             machines=self.machines,
@@ -103,7 +106,7 @@
         return vm
 
     async def kill(self, name: str) -> None:
-        """A process dies: nothing more leaves it."""
+        """Kill an entry VM: it sends nothing more to the store or the workers."""
         member = self.members.pop(name)
         member.view.faults.silent = True
         member.cut_from_workers = True
@@ -111,12 +114,12 @@
         await member.vm.stop()
 
     def member(self, name: str) -> _Member:
-        """An entry VM and its ways to the store and the workers."""
+        """An entry VM and its connections to the store and the workers."""
         return self.members[name]
 
     @property
     def leader(self) -> EntryVm | None:
-        """The entry VM that schedules, if its reading is done."""
+        """The entry VM whose scheduler has loaded its state and still leads, if any."""
         for member in self.members.values():
             scheduler = member.vm.scheduler
             if scheduler is not None and scheduler.loaded.is_set() and not scheduler.over:
@@ -125,13 +128,13 @@
 
     @property
     def leader_name(self) -> str:
-        """The name of the entry VM that schedules."""
+        """The name of the leader."""
         leader = self.leader
         assert leader is not None
         return leader.settings.vm
 
     def configure(self, *, guaranteed: int = GUARANTEED) -> None:
-        """Put a new version of the configuration into the store."""
+        """Write a new version of the configuration to the store."""
         self.version += 1
         document = pool_document(
             self.version, attempts=ATTEMPTS, guaranteed=guaranteed, advised=self.advised
@@ -139,7 +142,7 @@
         self.store.put("op/config", document)
 
     def evacuate(self, hall: str) -> None:
-        """Have nothing started in a data hall, as the operators do."""
+        """Order the evacuation of a data hall: nothing more starts there."""
         self.store.put(f"op/evacuate/{hall}", b"{}")
 
     def end_evacuation(self, hall: str) -> None:
@@ -147,7 +150,7 @@
         self.store.remove(f"op/evacuate/{hall}")
 
     def call(self, queue: str, *, account: str = ACCOUNT) -> ClientCall:
-        """A client's call about a queue."""
+        """Return a client's call to a queue."""
         priority = dict(QUEUES)[queue]
         return ClientCall(
             Queue(
@@ -175,26 +178,32 @@
         at: str | None = None,
         account: str = ACCOUNT,
     ) -> None:
-        """Hand a job in, at any entry VM."""
+        """Submit a job.
+
+        :param at: name of the entry VM; any if ``None``.
+        """
         name = at or next(iter(self.members))
         await self.members[name].vm.jobs.submit(self.call(queue, account=account), job_id, request)
 
     async def cancel(self, job_id: str, *, queue: str = "normal") -> bool:
-        """Cancel a job at any entry VM."""
+        """Cancel a job through any entry VM."""
         member = next(iter(self.members.values()))
         return await member.vm.jobs.cancel(self.call(queue), job_id)
 
     async def state(
         self, job_id: str, *, queue: str = "normal", at: str | None = None
     ) -> JobState | None:
-        """A job's state, as told by an entry VM."""
+        """Return the state of a job.
+
+        :param at: name of the entry VM that is asked; any if ``None``.
+        """
         name = at or next(iter(self.members))
         return await self.members[name].vm.jobs.state(self.call(queue), job_id)
 
     async def until(self, holds: Callable[[], bool], timeout_s: float = STARTED_S) -> None:
-        """Wait until something holds.
+        """Wait until a condition holds.
 
-        :raises TimeoutError: it does not, in time.
+        :raises TimeoutError: it does not hold within ``timeout_s``.
         """
         async with asyncio.timeout(timeout_s):
             while not holds():
@@ -203,9 +212,9 @@
     async def until_state(
         self, job_id: str, state: JobState, timeout_s: float = STARTED_S, queue: str = "normal"
     ) -> None:
-        """Wait until a job is told to be in a state.
+        """Wait until a job's published state is ``state``.
 
-        :raises TimeoutError: it is not, in time.
+        :raises TimeoutError: it is not within ``timeout_s``.
         """
         async with asyncio.timeout(timeout_s):
             while await self.state(job_id, queue=queue) is not state:
@@ -213,13 +222,15 @@
 
     def _orders(self, name: str, record: WorkerRecord) -> WorkerOrders:
         self.contacted_workers.add(record.worker_id)
-        life = record.worker_id
-        worker = self.worker_pool.workers.get(life) or self.worker_pool.latest_incarnation(life)
+        incarnation = record.worker_id
+        worker = self.worker_pool.workers.get(incarnation) or self.worker_pool.latest_incarnation(
+            incarnation
+        )
         return PoolWorkerOrders(
-            self.worker_pool, worker, lambda: self._passes(name), record.address, life
+            self.worker_pool, worker, lambda: self._is_connected(name), record.address, incarnation
         )
 
-    def _passes(self, name: str) -> bool:
+    def _is_connected(self, name: str) -> bool:
         member = self.members.get(name)
         return member is not None and not member.cut_from_workers
 
@@ -235,7 +246,12 @@
     same_rack: bool = False,
     crashes_s: float = 0.0,
 ) -> JobRequest:
-    """A job of one step whose tasks do so much work, or crash their workers."""
+    """Return a job of one step.
+
+    :param work_s: seconds of work of each task.
+    :param failures: number of runs of each task that fail.
+    :param crashes_s: seconds after which the first task crashes its worker; 0 for never.
+    """
     plan = TaskPlan(work_s, failures, accelerators, tasks if gang else 0, crashes_s=crashes_s)
     step = Step(
         count=tasks,
--- a/src/saddlestack/standins/pool/documents.py
+++ b/src/saddlestack/standins/pool/documents.py
@@ -1,4 +1,4 @@
-"""The operators' document of a stand-in pool, as the platform's store keeps it."""
+"""The configuration document of a stand-in pool, in the format of the platform's store."""
 
 from __future__ import annotations
 
@@ -16,10 +16,11 @@
 def pool_document(
     version: int, *, attempts: int, guaranteed: int, advised: Collection[str] = ()
 ) -> bytes:
-    """One queue a priority, and two client accounts.
+    """Return a document with one queue per priority and two client accounts.
 
-    :param guaranteed: accelerators that the first account owns.
-    :param advised: queues whose starts need the adviser's leave.
+    :param attempts: maximum number of attempts for a task.
+    :param guaranteed: accelerators that are guaranteed to the first account.
+    :param advised: queues whose starts need the adviser's approval.
     """
     routes = [
         {
--- a/src/saddlestack/standins/pool/machines.py
+++ b/src/saddlestack/standins/pool/machines.py
@@ -20,10 +20,14 @@
 
 @dataclass(slots=True)
 class PoolMachines:
-    """Takes machines down and brings them back; records who ordered what.
-
-    :param most_down: machines that were down at once.
-    :param lose_answers: so many orders are carried out and not answered.
+    """Takes machines down for upkeep and brings them back.
+
+    :param orders: time, machine, holder and fencing token of each order.
+    :param done: machine and wave of each upkeep that was begun.
+    :param down: number of machines that are down.
+    :param most_down: highest number of machines that were down at the same time.
+    :param lose_answers: number of orders that are carried out and not answered.
+    :param failing: whether every order fails.
     """
 
     worker_pool: WorkerPool
@@ -33,13 +37,13 @@
     most_down: int = 0
     lose_answers: int = 0
     failing: bool = False
-    _back: set[asyncio.Task[None]] = field(default_factory=set)
+    _returning: set[asyncio.Task[None]] = field(default_factory=set)
 
     async def upkeep(self, machine: str, wave: int, holder: str, fence: int) -> UpkeepOutcome:
-        """Take a machine down for its upkeep."""
+        """Take a machine down for its upkeep; it is back after ``UPKEEP_S``."""
         await asyncio.sleep(ANSWER_S)
         if self.failing:
-            raise MachinesUnavailable("down")
+            raise MachinesUnavailable("the machines interface is down")
         self.orders.append((_now(), machine, holder, fence))
         if (machine, wave) in self.done:
             return UpkeepOutcome.BEGUN
@@ -51,8 +55,8 @@
         self.down += 1
         self.most_down = max(self.most_down, self.down)
         task = asyncio.get_running_loop().create_task(self._return(worker))
-        self._back.add(task)
-        task.add_done_callback(self._back.discard)
+        self._returning.add(task)
+        task.add_done_callback(self._returning.discard)
         if self.lose_answers:
             self.lose_answers -= 1
             raise MachinesUnavailable("answer lost")
@@ -70,26 +74,30 @@
 
 @dataclass(slots=True)
 class PoolAdviser:
-    """Lets steps run on workers whose number is even, and records its tickets."""
+    """Approves workers with even numbers, and records its tickets.
+
+    :param tickets: step, worker and end of validity, by ticket.
+    :param failing: number of calls that fail.
+    """
 
     tickets: dict[str, tuple[str, str, float]] = field(default_factory=dict)
     calls: int = 0
     failing: int = 0
 
     async def advise(self, step: str, workers: tuple[str, ...]) -> tuple[Leave, ...]:
-        """The workers among these that may run a step."""
+        """Return approvals for those of the workers that may run a step."""
         self.calls += 1
         await asyncio.sleep(ANSWER_S * len(workers))
         if self.failing:
             self.failing -= 1
             raise AdviserUnavailable("429")
-        leaves = []
+        approvals = []
         for worker in workers:
             if int(worker.rpartition("-")[2]) % 2 == 0:
                 ticket = f"t-{len(self.tickets)}"
                 self.tickets[ticket] = (step, worker, _now() + VALID_S)
-                leaves.append(Leave(worker, ticket, VALID_S))
-        return tuple(leaves)
+                approvals.append(Leave(worker, ticket, VALID_S))
+        return tuple(approvals)
 
 
 def _now() -> float:
--- a/src/saddlestack/standins/pool/store.py
+++ b/src/saddlestack/standins/pool/store.py
@@ -1,7 +1,7 @@
-"""A stand-in for the platform's store: transactions, leases, watches, and their faults.
+"""A stand-in for the platform's store: transactions, leases, watches, and faults.
 
-:class:`StoreState` is the store itself; each VM has a :class:`StoreView` of it that can be
-cut off, refused, slowed, or made to lose answers, at once or with a late effect.
+:class:`StoreState` is the store itself. Each VM accesses it through a :class:`StoreView`, which can
+be partitioned, refuse or delay calls, or lose answers of writes that take effect at once or late.
 """
 
 from __future__ import annotations
@@ -52,9 +52,12 @@
 
 
 class StoreState:
-    """The keys, leases and history that all VMs see.
+    """The keys, leases and history that all VMs share.
 
-    :ivar observers: told of each change: the revision that it makes, and the key.
+    :ivar observers: called on each change with its revision and the changed item.
+    :ivar revision: revision of the latest transaction.
+    :ivar writes: number of transactions.
+    :ivar reads: number of other calls.
     """
 
     def __init__(self) -> None:
@@ -64,35 +67,36 @@
         self._history: list[_Event] = []
         self._forgotten = 0
         self._changed: dict[str, asyncio.Event] = {}
-        self._none_ends_before = math.inf
+        self._no_expiry_before = math.inf
         self.observers: list[Callable[[int, Item], None]] = []
         self.revision = 1
         self.writes = 0
         self.reads = 0
 
     def put(self, key: str, value: bytes) -> int:
-        """Write a key as the operator or a worker does."""
+        """Write a key, as the operator or a worker does; return its revision."""
         return self._apply((_Put(key, value, 0),), ())
 
     def remove(self, key: str) -> None:
-        """Remove a key as a worker's silence does."""
+        """Remove a key, as the expiry of a worker's record does."""
         if key in self._keys:
             self._apply((), (key,))
 
     def item(self, key: str) -> Item:
-        """A key; revision 0 where it is absent."""
+        """Return a key; its revision is 0 if it is absent."""
         self._expire()
         return self._item(key)
 
     def keys(self, prefix: str) -> list[Item]:
-        """All keys under a prefix."""
+        """Return all keys under a prefix, sorted."""
         self._expire()
         return [self._item(key) for key in sorted(self._keys) if key.startswith(prefix)]
 
     def transact(self, transaction: Transaction) -> Committed | Conflict:
-        """Make changes all together.
+        """Apply a transaction atomically.
 
-        :raises LeaseOver: a lease named in it has ended.
+        :raises LeaseExpired: a lease that it uses has expired or was ended.
+        :raises ValueError: it has more than :data:`MAX_ENTRIES` entries.
         """
         entries = len(transaction.expect) + len(transaction.puts) + len(transaction.deletes)
         if entries > MAX_ENTRIES:
@@ -108,17 +112,17 @@
         return Committed(self._apply(puts, transaction.deletes))
 
     def grant(self, ttl_s: float) -> int:
-        """A new lease."""
+        """Create a lease and return its id."""
         lease = next(self._lease_ids)
         until = _now() + ttl_s
         self._leases[lease] = _Lease(ttl_s, until)
-        self._none_ends_before = min(self._none_ends_before, until)
+        self._no_expiry_before = min(self._no_expiry_before, until)
         return lease
 
     def keep(self, lease: int) -> None:
         """Renew a lease.
 
-        :raises LeaseOver: it has ended.
+        :raises LeaseExpired: it has expired or was ended.
         """
         self._expire()
         if lease not in self._leases:
@@ -126,31 +130,31 @@
         self._leases[lease].until = _now() + self._leases[lease].ttl_s
 
     def end(self, lease: int) -> None:
-        """End a lease and its keys."""
+        """End a lease and remove its keys."""
         self._leases.pop(lease, None)
-        gone = tuple(key for key, kept in self._keys.items() if kept.lease == lease)
-        if gone:
-            self._apply((), gone)
+        removed = tuple(key for key, kept in self._keys.items() if kept.lease == lease)
+        if removed:
+            self._apply((), removed)
 
     def prolong_leases(self, seconds: float) -> None:
-        """Let all leases end later, as where they waited while the store was away."""
+        """Extend all leases, as if they were suspended while the store was unavailable."""
         for lease in self._leases.values():
             lease.until += seconds
 
     def forget_history(self) -> None:
-        """Watches from before now have to read everything again."""
+        """Drop the history up to now: earlier watches have to read everything again."""
         self.forget_until(self.revision)
         self._notify(*self._changed)
 
     def forget_until(self, revision: int) -> None:
-        """Watches from before a revision have to read everything again."""
+        """Drop the history up to a revision: earlier watches have to read everything again."""
         self._forgotten = max(self._forgotten, revision)
         del self._history[: self._first_after(revision)]
 
     def changes(self, prefix: str, after: int) -> list[Item]:
-        """What changed after a revision.
+        """Return the changes after a revision.
 
-        :raises HistoryGone: it is no longer known.
+        :raises HistoryGone: the history does not reach back that far.
         """
         self._expire()
         if after < self._forgotten:
@@ -159,9 +163,9 @@
         return [event.item for event in events if event.item.key.startswith(prefix)]
 
     async def until_changed(self, prefix: str, timeout_s: float) -> None:
-        """Wait for a change under a prefix, or until a lease may have ended."""
+        """Wait for a change under a prefix, the timeout, or the next possible expiry of a lease."""
         self._expire()
-        wait = min(timeout_s, max(0.001, self._none_ends_before - _now()))
+        wait = min(timeout_s, max(0.001, self._no_expiry_before - _now()))
         changed = self._changed.setdefault(prefix, asyncio.Event())
         try:
             async with asyncio.timeout(wait):
@@ -173,17 +177,17 @@
         self.revision += 1
         for put in puts:
             self._keys[put.key] = _Key(put.value, self.revision, put.lease)
-            self._note(Item(put.key, put.value, self.revision))
+            self._record_change(Item(put.key, put.value, self.revision))
         for key in deletes:
             if self._keys.pop(key, None) is not None:
-                self._note(Item(key, b"", 0))
+                self._record_change(Item(key, b"", 0))
         return self.revision
 
     def _item(self, key: str) -> Item:
         kept = self._keys.get(key)
         return Item(key, b"", 0) if kept is None else Item(key, kept.value, kept.revision)
 
-    def _note(self, item: Item) -> None:
+    def _record_change(self, item: Item) -> None:
         self._history.append(_Event(self.revision, item))
         for observer in self.observers:
             observer(self.revision, item)
@@ -194,16 +198,16 @@
             self._changed.pop(prefix).set()
 
     def _first_after(self, revision: int) -> int:
-        """Where in the history the changes after a revision begin."""
+        """Return the index in the history of the first change after a revision."""
         return bisect.bisect_right(self._history, revision, key=lambda event: event.revision)
 
     def _expire(self) -> None:
-        if _now() < self._none_ends_before:
+        if _now() < self._no_expiry_before:
             return
         for lease in [lease for lease, kept in self._leases.items() if kept.until <= _now()]:
             self.end(lease)
         ends = (kept.until for kept in self._leases.values())
-        self._none_ends_before = min(ends, default=math.inf)
+        self._no_expiry_before = min(ends, default=math.inf)
 
 
 @dataclass(frozen=True, slots=True)
@@ -217,15 +221,16 @@
 
 @dataclass(slots=True)
 class StoreFaults:
-    """Faults of one VM's way to the store.
-
-    :param silent: calls get no answer and have no effect; those under way never get one.
-    :param refusing: calls are refused at once.
-    :param slow_s: calls take this much longer.
-    :param lose_answers: so many writes are done, and not answered.
-    :param late_s: so much later are the writes done whose answers are lost.
-    :param stale: the VM's connections swallow all until it opens new ones.
-    :param slow_lists: by prefix, how much longer it takes to list it.
+    """Faults of one VM's connection to the store.
+
+    :param silent: whether calls get no answer and have no effect; a watch in progress gets no
+        answer either.
+    :param refusing: whether calls are refused at once.
+    :param slow_s: additional latency of calls.
+    :param lose_answers: number of writes that are applied and not answered.
+    :param late_s: delay of the writes whose answers are lost.
+    :param stale: whether the VM's connections are dead until it opens new ones.
+    :param slow_lists: additional latency of listings, by prefix.
     """
 
     silent: bool = False
@@ -237,16 +242,17 @@
     slow_lists: dict[str, float] = field(default_factory=dict)
 
     @property
-    def swallows(self) -> bool:
+    def is_unresponsive(self) -> bool:
         """Whether calls get no answer."""
         return self.silent or self.stale
 
 
 @dataclass(slots=True)
 class StoreView:
-    """One VM's way to the store: a :class:`saddlestack.interfaces.store.MetadataStore`.
+    """One VM's connection to the store, a :class:`saddlestack.interfaces.store.MetadataStore`.
 
-    :param check_s: a watch that waits sees after so long at most that its calls are swallowed.
+    :param check_s: interval at which a waiting watch checks for faults.
+    :param late: writes that are applied late.
     """
 
     state: StoreState
@@ -255,84 +261,84 @@
     late: set[asyncio.Task[None]] = field(default_factory=set)
 
     def reconnect(self) -> None:
-        """Use new connections from now on."""
+        """Open new connections, which ends a stale one."""
         self.faults.stale = False
 
     async def get(self, key: str) -> Item:
-        """A key; revision 0 where it is absent."""
-        await self._read()
+        """Return a key; its revision is 0 if it is absent."""
+        await self._begin_call()
         return self.state.item(key)
 
     async def list(self, prefix: str) -> Listing:
-        """All keys under a prefix."""
-        await self._read()
+        """Return all keys under a prefix."""
+        await self._begin_call()
         await asyncio.sleep(self.faults.slow_lists.get(prefix, 0.0))
         return Listing(tuple(self.state.keys(prefix)), self.state.revision)
 
     async def watch(self, prefix: str, after: int, wait_s: float) -> Listing:
-        """Changes after a revision."""
+        """Return the changes after a revision, or none after ``wait_s``."""
         until = _now() + wait_s
-        if not self.faults.swallows:
-            await self._read()
-        while not self.faults.swallows:
+        if not self.faults.is_unresponsive:
+            await self._begin_call()
+        while not self.faults.is_unresponsive:
             if self.faults.refusing:
-                await self._broken()
+                await self._raise_unavailable()
             items = self.state.changes(prefix, after)
             if items or _now() >= until:
                 return Listing(tuple(items), self.state.revision)
             await self.state.until_changed(prefix, min(self.check_s, until - _now()))
         await asyncio.sleep(until + WATCH_SLACK_S - _now())
-        raise StoreUnavailable("the watch was swallowed")
+        raise StoreUnavailable("no answer to the watch")
 
     async def transact(self, transaction: Transaction) -> Committed | Conflict:
-        """Make changes all together."""
-        if self.faults.swallows:
+        """Apply a transaction atomically."""
+        if self.faults.is_unresponsive:
             await asyncio.sleep(CALL_TIMEOUT_S)
             raise WriteInDoubt("silence")
-        await self._pass()
+        await self._wait_for_latency()
         if self.faults.lose_answers:
             self.faults.lose_answers -= 1
-            self._later(transaction)
+            self._apply_late(transaction)
             await asyncio.sleep(CALL_TIMEOUT_S)
-            raise WriteInDoubt("answer lost")
+            raise WriteInDoubt("the answer was lost")
         return self.state.transact(transaction)
 
     async def grant_lease(self, ttl_s: float) -> tuple[int, float]:
-        """A new lease."""
-        await self._read()
+        """Create a lease; return its id and its duration."""
+        await self._begin_call()
         return self.state.grant(ttl_s), ttl_s
 
     async def renew_lease(self, lease: int) -> None:
         """Renew a lease."""
-        await self._read()
+        await self._begin_call()
         self.state.keep(lease)
 
     async def end_lease(self, lease: int) -> None:
-        """End a lease and its keys."""
-        await self._read()
+        """End a lease and remove its keys."""
+        await self._begin_call()
         self.state.end(lease)
 
-    async def _read(self) -> None:
+    async def _begin_call(self) -> None:
         self.state.reads += 1
-        if self.faults.swallows:
-            await self._broken()
-        await self._pass()
+        if self.faults.is_unresponsive:
+            await self._raise_unavailable()
+        await self._wait_for_latency()
 
-    async def _pass(self) -> None:
+    async def _wait_for_latency(self) -> None:
         if self.faults.refusing:
-            await self._broken()
+            await self._raise_unavailable()
         await asyncio.sleep(ANSWER_S + self.faults.slow_s)
 
-    async def _broken(self) -> None:
-        await asyncio.sleep(CALL_TIMEOUT_S if self.faults.swallows else ANSWER_S)
-        raise StoreUnavailable("the store is cut off")
+    async def _raise_unavailable(self) -> None:
+        await asyncio.sleep(CALL_TIMEOUT_S if self.faults.is_unresponsive else ANSWER_S)
+        raise StoreUnavailable("the store is unreachable")
 
-    def _later(self, transaction: Transaction) -> None:
-        task = asyncio.get_running_loop().create_task(self._do_late(transaction))
+    def _apply_late(self, transaction: Transaction) -> None:
+        task = asyncio.get_running_loop().create_task(self._transact_late(transaction))
         self.late.add(task)
         task.add_done_callback(self.late.discard)
 
-    async def _do_late(self, transaction: Transaction) -> None:
+    async def _transact_late(self, transaction: Transaction) -> None:
         await asyncio.sleep(self.faults.late_s)
         try:
             self.state.transact(transaction)
--- a/tests/test_foreign_address.py
+++ b/tests/test_foreign_address.py
@@ -44,7 +44,7 @@
     def _orders(self, name: str, record: WorkerRecord) -> WorkerOrders:
         worker = self.worker_pool.workers[record.worker_id]
         return AddressedOrders(
-            self.worker_pool, worker, lambda: self._passes(name), address=record.address
+            self.worker_pool, worker, lambda: self._is_connected(name), address=record.address
         )
 
     def rewrite(self, worker: PoolWorker, address: str) -> None:
