--- a/src/saddlestack/standins/scenario/stage.py
+++ b/src/saddlestack/standins/scenario/context.py
@@ -14,7 +14,7 @@
     """An expectation of a scenario did not hold."""
 
 
-class Stage:
+class ScenarioContext:
     """The cluster of one scenario, and what was asked and answered so far.
 
     :param paused: the VM that was paused last.
--- a/src/saddlestack/standins/scenario/expectations.py
+++ b/src/saddlestack/standins/scenario/expectations.py
@@ -9,82 +9,84 @@
 from saddlestack.models import JobState
 from saddlestack.standins.cluster import OPERATOR
 from saddlestack.standins.promises import Said, Witness
+from saddlestack.standins.scenario.context import ScenarioContext, ScenarioFailed
 from saddlestack.standins.scenario.lines import Line
-from saddlestack.standins.scenario.stage import ScenarioFailed, Stage
 
 DEFAULT_WITHIN_S = 30.0
 POLL_S = 0.02
 
-Expectation = Callable[[Stage, Line], Awaitable[None]]
+Expectation = Callable[[ScenarioContext, Line], Awaitable[None]]
 """Holds one expectation against the stage."""
 
 
-async def expect_state(stage: Stage, line: Line) -> None:
+async def expect_state(context: ScenarioContext, line: Line) -> None:
     """expect done|unknown|cancelled|not_run JOB|all [within=30]"""
     state = JobState(line.words[0])
     within = line.number_of("within", DEFAULT_WITHIN_S)
-    for said in await _answered(stage, line, within):
+    for said in await _answered(context, line, within):
         got = said.refused or (said.view.state.value if said.view else "no answer")
         if got != state.value:
             raise ScenarioFailed(f"{said.job} is {got}, expected {state.value}")
 
 
-async def expect_answered(stage: Stage, line: Line) -> None:
+async def expect_answered(context: ScenarioContext, line: Line) -> None:
     """expect answered JOB|all [within=30]: done, or refused or given up honestly"""
-    await _answered(stage, line, line.number_of("within", DEFAULT_WITHIN_S))
+    await _answered(context, line, line.number_of("within", DEFAULT_WITHIN_S))
 
 
-async def expect_refused(stage: Stage, line: Line) -> None:
+async def expect_refused(context: ScenarioContext, line: Line) -> None:
     """expect refused JOB|all kind=KIND [within=30]"""
     kind = ErrorKind(line.options.get("kind", ErrorKind.STORE_UNAVAILABLE))
-    for said in await _answered(stage, line, line.number_of("within", DEFAULT_WITHIN_S)):
+    for said in await _answered(context, line, line.number_of("within", DEFAULT_WITHIN_S)):
         if said.refused != kind.value:
             got = said.refused or (said.view and said.view.state)
             raise ScenarioFailed(f"{said.job} is {got}, expected refused as {kind}")
 
 
-async def _answered(stage: Stage, line: Line, within: float) -> list[Said]:
+async def _answered(context: ScenarioContext, line: Line, within: float) -> list[Said]:
     which = line.word(1, "a job")
-    if which != "all" and which not in stage.requests:
+    if which != "all" and which not in context.requests:
         raise invalid(f"{which} was not submitted")
-    jobs = list(stage.requests) if which == "all" else [which]
-    tasks = [task for job in jobs for task in stage.requests[job]]
+    jobs = list(context.requests) if which == "all" else [which]
+    tasks = [task for job in jobs for task in context.requests[job]]
     _, late = await asyncio.wait(tasks, timeout=within)
     if late:
         raise ScenarioFailed(f"{len(late)} of {len(tasks)} not answered after {within:g} s")
-    return [said for job in jobs for said in stage.answers[job]]
+    return [said for job in jobs for said in context.answers[job]]
 
 
-async def expect_started(stage: Stage, line: Line) -> None:
+async def expect_started(context: ScenarioContext, line: Line) -> None:
     """expect started JOB [within=8.5]: some part of it runs at an endpoint"""
     job = line.word(1, "a job")
     within = line.number_of("within", 8.5)
     await _until(
-        lambda: Witness(stage.cluster.endpoints).started(job), within, f"{job} did not start"
+        lambda: Witness(context.cluster.endpoints).started(job), within, f"{job} did not start"
     )
 
 
-async def expect_starts(stage: Stage, line: Line) -> None:
+async def expect_starts(context: ScenarioContext, line: Line) -> None:
     """expect starts JOB COUNT: fresh starts so far"""
     job = line.word(1, "a job")
-    count = Witness(stage.cluster.endpoints).starts(job)
+    count = Witness(context.cluster.endpoints).starts(job)
     if count != int(line.word(2, "a count")):
         raise ScenarioFailed(f"{job} started {count} times")
 
 
-async def expect_owner(stage: Stage, line: Line) -> None:
+async def expect_owner(context: ScenarioContext, line: Line) -> None:
     """expect owner CELL [within=5]: the cell is scheduled"""
     cell = line.word(1, "a cell")
     within = line.number_of("within", 5.0)
-    await _until(lambda: stage.cluster.owner(cell) is not None, within, f"{cell} has no scheduler")
+    await _until(
+        lambda: context.cluster.owner(cell) is not None, within, f"{cell} has no scheduler"
+    )
 
 
-async def expect_revision(stage: Stage, line: Line) -> None:
+async def expect_revision(context: ScenarioContext, line: Line) -> None:
     """expect revision N [within=5]: in force on every live VM"""
     revision = int(line.word(1, "a revision"))
 
     def everywhere() -> bool:
-        documents = [e.daemon.configuration.document for e in stage.cluster.live()]
+        documents = [e.daemon.configuration.document for e in context.cluster.live()]
         return all(document.revision == revision for document in documents)
 
     await _until(
@@ -92,53 +94,53 @@
     )
 
 
-async def expect_confirmed(stage: Stage, line: Line) -> None:
+async def expect_confirmed(context: ScenarioContext, line: Line) -> None:
     """expect confirmed NAME OUTCOME"""
     name, outcome = line.word(1, "a plan"), line.word(2, "an outcome")
-    if stage.confirms.get(name) != outcome:
-        raise ScenarioFailed(f"plan {name} was {stage.confirms.get(name)}, not {outcome}")
+    if context.confirms.get(name) != outcome:
+        raise ScenarioFailed(f"plan {name} was {context.confirms.get(name)}, not {outcome}")
 
 
-async def expect_audited(stage: Stage, line: Line) -> None:
+async def expect_audited(context: ScenarioContext, line: Line) -> None:
     """expect audited NAME OUTCOME [by=liis]: the audit trail has it"""
-    plan = stage.plans[line.word(1, "a plan")]
+    plan = context.plans[line.word(1, "a plan")]
     outcome, who = line.word(2, "an outcome"), line.options.get("by", OPERATOR)
     for _ in range(100):
-        records = await stage.cluster.operator().audit(limit=200)
+        records = await context.cluster.operator().audit(limit=200)
         if any((r.plan, r.outcome, r.who) == (plan.plan, outcome, who) for r in records):
             return
         await asyncio.sleep(0.1)
     raise ScenarioFailed(f"the audit trail lacks {outcome} of {line.words[1]} by {who}")
 
 
-async def expect_formable(stage: Stage, line: Line) -> None:
+async def expect_formable(context: ScenarioContext, line: Line) -> None:
     """expect formable ACCOUNT [within=5]"""
     name = line.word(1, "an account")
 
     def formable() -> bool:
-        schedulers = [s for e in stage.cluster.live() for s in e.daemon.ownership.schedulers]
+        schedulers = [s for e in context.cluster.live() for s in e.daemon.ownership.schedulers]
         found = [g for s in schedulers for g in s.status().guarantees if g.account == name]
         return bool(found) and all(g.formable for g in found)
 
     await _until(formable, line.number_of("within", 5.0), f"{name}'s guarantee can't be formed")
 
 
-async def expect_store(stage: Stage, line: Line) -> None:
+async def expect_store(context: ScenarioContext, line: Line) -> None:
     """expect store writes_per_job=X | limited=N: calls stayed under the budget"""
-    counters = stage.cluster.store.counters
+    counters = context.cluster.store.counters
     if counters.limited > line.number_of("limited", 0):
         raise ScenarioFailed(f"{counters.limited} calls were over the store's rate")
     most = line.number_of("writes_per_job", float("inf"))
-    jobs = max(len(stage.requests), 1)
+    jobs = max(len(context.requests), 1)
     if counters.writes / jobs > most:
         raise ScenarioFailed(f"{counters.writes} writes for {jobs} jobs")
 
 
-async def expect_urgent(stage: Stage, line: Line) -> None:
+async def expect_urgent(context: ScenarioContext, line: Line) -> None:
     """expect urgent p99=8.5: start delay of the jobs answered so far"""
     delays = sorted(
         said.view.started - said.view.submitted
-        for said in stage.said
+        for said in context.said
         if said.view is not None and said.view.started is not None
     )
     if not delays:
--- a/src/saddlestack/standins/scenario/play.py
+++ b/src/saddlestack/standins/scenario/play.py
@@ -14,8 +14,8 @@
 from saddlestack.standins.cluster import Cluster
 from saddlestack.standins.endpoint import GRACE_S
 from saddlestack.standins.promises import Promise, Said
+from saddlestack.standins.scenario.context import ScenarioContext, ScenarioFailed
 from saddlestack.standins.scenario.lines import Line, split
-from saddlestack.standins.scenario.stage import ScenarioFailed, Stage
 from saddlestack.standins.scenario.verbs import VERBS
 
 LEASE_S = 6.0
@@ -63,7 +63,7 @@
     def __init__(self, name: str, lines: list[Line], seed: int = 1) -> None:
         self.name = name
         self._lines = lines
-        self._stage = Stage(seed)
+        self._context = ScenarioContext(seed)
         self._revisions: dict[str, int] = {}
 
     @property
@@ -72,12 +72,12 @@
 
         :raises SaddlestackError: not started yet.
         """
-        return self._stage.cluster
+        return self._context.cluster
 
     @property
     def said(self) -> list[Said]:
         """What callers were told."""
-        return self._stage.said
+        return self._context.said
 
     async def play(self) -> Outcome:
         """Play all lines, then hold the promises.
@@ -91,7 +91,7 @@
         try:
             for line in self._lines:
                 try:
-                    result = VERBS[line.verb](self._stage, line)
+                    result = VERBS[line.verb](self._context, line)
                     if inspect.isawaitable(result):
                         await result
                 except SaddlestackError as error:
@@ -100,27 +100,27 @@
                 except (ScenarioFailed, TimeoutError) as error:
                     outcome.failures.append(f"{self.name}:{line.number}: {error}")
                     break
-                if self._stage.started is not None and watcher is None:
+                if self._context.started is not None and watcher is None:
                     watcher = loop.create_task(self._watch_revisions(outcome))
-            outcome.promises = self._hold()
+            outcome.promises = self._check_invariants()
         finally:
-            for task in [*self._stage.work, *([watcher] if watcher else [])]:
+            for task in [*self._context.work, *([watcher] if watcher else [])]:
                 task.cancel()
-            if self._stage.started is not None:
-                await self._stage.started.stop()
+            if self._context.started is not None:
+                await self._context.started.stop()
         outcome.seconds = loop.time() - began
         return outcome
 
-    def _hold(self) -> list[Promise]:
-        if self._stage.started is None:
+    def _check_invariants(self) -> list[Promise]:
+        if self._context.started is None:
             return []
         now = asyncio.get_running_loop().time()
         checks = promises.check(
-            self._stage.started.endpoints, self._stage.said, alone_s=ALONE_S, now=now
+            self._context.started.endpoints, self._context.said, alone_s=ALONE_S, now=now
         )
-        return [*checks, Promise("a leaving endpoint got no new work", self._late_work())]
+        return [*checks, Promise("a leaving endpoint got no new work", self._find_late_starts())]
 
-    def _late_work(self) -> tuple[str, ...]:
+    def _find_late_starts(self) -> tuple[str, ...]:
         """Starts on an endpoint more than three seconds after it said that it leaves."""
         return tuple(
             f"{name} was given {entry.job} at {entry.at:.1f}"
@@ -134,7 +134,7 @@
     async def _watch_revisions(self, outcome: Outcome) -> None:
         """No VM may ever have an older configuration in force than it had."""
         while True:
-            for entry in self._stage.cluster.live():
+            for entry in self._context.cluster.live():
                 key = f"{entry.name}#{entry.incarnation}"
                 revision = entry.daemon.configuration.document.revision
                 if revision < self._revisions.get(key, 0):
--- a/src/saddlestack/standins/scenario/verbs.py
+++ b/src/saddlestack/standins/scenario/verbs.py
@@ -20,18 +20,18 @@
 )
 from saddlestack.standins.cluster import account as account_named
 from saddlestack.standins.promises import Said
+from saddlestack.standins.scenario.context import ScenarioContext, ScenarioFailed
 from saddlestack.standins.scenario.expectations import EXPECTATIONS
 from saddlestack.standins.scenario.lines import Line, number
-from saddlestack.standins.scenario.stage import ScenarioFailed, Stage
 
 DEFAULT_WAIT_S = 300.0
 OPERATORS = {OPERATOR: OPERATOR_TOKEN, SECOND_OPERATOR: SECOND_TOKEN}
 
-Verb = Callable[[Stage, Line], Awaitable[None] | None]
+Verb = Callable[[ScenarioContext, Line], Awaitable[None] | None]
 """Plays one line."""
 
 
-async def start(stage: Stage, line: Line) -> None:
+async def start(context: ScenarioContext, line: Line) -> None:
     """start HALL... [entries=2] [workers=8] [racks=1] [lag=1]"""
     names = line.words or ("ulemiste",)
     workers = int(line.number_of("workers", 8))
@@ -39,65 +39,67 @@
     halls = tuple(
         DataHall(name=name, racks=racks(name[:2] + name[-1], count, workers)) for name in names
     )
-    stage.started = Cluster(
+    context.started = Cluster(
         halls,
         entries=int(line.number_of("entries", 2)),
-        seed=stage.seed,
+        seed=context.seed,
         lag_s=line.number_of("lag", 1.0),
     )
-    await stage.cluster.start()
+    await context.cluster.start()
 
 
-def account(stage: Stage, line: Line) -> None:
+def account(context: ScenarioContext, line: Line) -> None:
     """account NAME [SHAPE...]"""
     name = line.word(0, "a name")
-    stage.accounts[name] = account_named(name, *line.words[1:])
+    context.accounts[name] = account_named(name, *line.words[1:])
 
 
-async def configure(stage: Stage, line: Line) -> None:
+async def configure(context: ScenarioContext, line: Line) -> None:
     """configure: plan and confirm halls and accounts"""
-    await stage.cluster.configure(tuple(stage.accounts.values()))
+    await context.cluster.configure(tuple(context.accounts.values()))
 
 
-async def submit(stage: Stage, line: Line) -> None:
+async def submit(context: ScenarioContext, line: Line) -> None:
     """submit ACCOUNT REQUEST ACCELERATORS [class=] [seconds=] [via=] [wait=] [run_once]"""
     account_, request = line.word(0, "an account"), line.word(1, "a request")
     accelerators = int(number(line.word(2, "accelerators"), "accelerators"))
-    _begin(stage, line, account_, request, accelerators)
+    _begin(context, line, account_, request, accelerators)
     await asyncio.sleep(0)
 
 
-async def burst(stage: Stage, line: Line) -> None:
+async def burst(context: ScenarioContext, line: Line) -> None:
     """burst ACCOUNT PREFIX COUNT [accelerators=1] [over=0] and the options of submit"""
     account_, prefix = line.word(0, "an account"), line.word(1, "a prefix")
     count = int(number(line.word(2, "a count"), "count"))
     pause = line.number_of("over", 0.0) / max(count, 1)
     accelerators = int(line.number_of("accelerators", 1))
     for each in range(1, count + 1):
-        _begin(stage, line, account_, f"{prefix}-{each:04d}", accelerators)
+        _begin(context, line, account_, f"{prefix}-{each:04d}", accelerators)
         if pause:
             await asyncio.sleep(pause)
 
 
-def _begin(stage: Stage, line: Line, account_: str, request: str, accelerators: int) -> None:
+def _begin(
+    context: ScenarioContext, line: Line, account_: str, request: str, accelerators: int
+) -> None:
     said = Said(f"{account_}/{request}")
-    stage.said.append(said)
-    stage.answers.setdefault(said.job, []).append(said)
+    context.said.append(said)
+    context.answers.setdefault(said.job, []).append(said)
     task = asyncio.get_running_loop().create_task(
-        _request(stage, line, said, account_, request, accelerators)
+        _request(context, line, said, account_, request, accelerators)
     )
-    stage.requests.setdefault(said.job, []).append(task)
-    stage.work.append(task)
+    context.requests.setdefault(said.job, []).append(task)
+    context.work.append(task)
 
 
 async def _request(
-    stage: Stage, line: Line, said: Said, account_: str, request: str, accelerators: int
+    context: ScenarioContext, line: Line, said: Said, account_: str, request: str, accelerators: int
 ) -> None:
     via = line.options.get("via")
     where: dict[str, str] = {}
     if via is not None:
-        where = {"vm": via} if via in stage.cluster.entries else {"hall": via}
-    client = stage.cluster.client(token_of(account_), **where)
+        where = {"vm": via} if via in context.cluster.entries else {"hall": via}
+    client = context.cluster.client(token_of(account_), **where)
     seconds = line.number_of("seconds", 1.0)
     try:
         said.view = await client.submit(
@@ -118,13 +120,13 @@
         client.close()
 
 
-async def cancel(stage: Stage, line: Line) -> None:
+async def cancel(context: ScenarioContext, line: Line) -> None:
     """cancel ACCOUNT REQUEST"""
     account_, request = line.word(0, "an account"), line.word(1, "a request")
-    await stage.cluster.client(token_of(account_)).cancel(request)
+    await context.cluster.client(token_of(account_)).cancel(request)
 
 
-async def plan(stage: Stage, line: Line) -> None:
+async def plan(context: ScenarioContext, line: Line) -> None:
     """plan NAME ACCOUNT SHAPE... [by=liis] [at=VM]"""
     name, account_ = line.word(0, "a name"), line.word(1, "an account")
     made = Account(
@@ -132,75 +134,75 @@
         guarantees=tuple(parse_guarantee(text) for text in line.words[2:]),
         tokens=account_named(account_).tokens,
     )
-    client = _operator(stage, line)
-    stage.plans[name] = await client.plan(Intent(accounts=(made,)))
+    client = _operator(context, line)
+    context.plans[name] = await client.plan(Intent(accounts=(made,)))
 
 
-async def confirm(stage: Stage, line: Line) -> None:
+async def confirm(context: ScenarioContext, line: Line) -> None:
     """confirm NAME [by=liis] [at=VM] [wait=0]; the outcome is kept under the name"""
     name = line.word(0, "the name of a plan")
-    client = _operator(stage, line)
+    client = _operator(context, line)
     try:
-        made = await client.confirm(stage.plans[name], wait=line.number_of("wait", 0.0))
-        stage.confirms[name] = "accepted"
+        made = await client.confirm(context.plans[name], wait=line.number_of("wait", 0.0))
+        context.confirms[name] = "accepted"
         if line.number_of("wait", 0.0) and made.behind:
             raise ScenarioFailed(f"not in force on {', '.join(made.behind)}")
     except SaddlestackError as error:
-        stage.confirms[name] = error.kind.value
+        context.confirms[name] = error.kind.value
 
 
-def _operator(stage: Stage, line: Line) -> AsyncClient:
+def _operator(context: ScenarioContext, line: Line) -> AsyncClient:
     token = OPERATORS[line.options.get("by", OPERATOR)]
     where = {"vm": line.options["at"]} if "at" in line.options else {}
-    return stage.cluster.client(token, **where)
+    return context.cluster.client(token, **where)
 
 
-async def kill(stage: Stage, line: Line) -> None:
+async def kill(context: ScenarioContext, line: Line) -> None:
     """kill VM | kill owner CELL"""
-    await stage.cluster.kill(_vm(stage, line))
+    await context.cluster.kill(_vm(context, line))
 
 
-def pause(stage: Stage, line: Line) -> None:
+def pause(context: ScenarioContext, line: Line) -> None:
     """pause VM | pause owner CELL"""
-    name = _vm(stage, line)
-    stage.paused = name
-    stage.cluster.freeze(name)
+    name = _vm(context, line)
+    context.paused = name
+    context.cluster.freeze(name)
 
 
-def resume(stage: Stage, line: Line) -> None:
+def resume(context: ScenarioContext, line: Line) -> None:
     """resume [VM]: the VM paused last, where none is named"""
-    stage.cluster.thaw(line.words[0] if line.words else stage.paused)
+    context.cluster.thaw(line.words[0] if line.words else context.paused)
 
 
-async def drain(stage: Stage, line: Line) -> None:
+async def drain(context: ScenarioContext, line: Line) -> None:
     """drain VM | drain owner CELL [background]"""
-    name = _vm(stage, line)
-    work = asyncio.get_running_loop().create_task(stage.cluster.drain(name))
+    name = _vm(context, line)
+    work = asyncio.get_running_loop().create_task(context.cluster.drain(name))
     if line.flag("background"):
-        stage.work.append(work)
+        context.work.append(work)
     else:
         await work
 
 
-async def restart(stage: Stage, line: Line) -> None:
+async def restart(context: ScenarioContext, line: Line) -> None:
     """restart VM: the killed or drained VM's daemon, under its old name"""
-    await stage.cluster.restart(line.word(0, "a VM"))
+    await context.cluster.restart(line.word(0, "a VM"))
 
 
-def cut(stage: Stage, line: Line) -> None:
+def cut(context: ScenarioContext, line: Line) -> None:
     """cut PLACE PLACE: halls, or `platform`"""
-    stage.cluster.network.cut(line.word(0, "a place"), line.word(1, "another place"))
+    context.cluster.network.cut(line.word(0, "a place"), line.word(1, "another place"))
 
 
-def heal(stage: Stage, line: Line) -> None:
+def heal(context: ScenarioContext, line: Line) -> None:
     """heal: every cut"""
-    stage.cluster.network.heal()
+    context.cluster.network.heal()
 
 
-def store(stage: Stage, line: Line) -> None:
+def store(context: ScenarioContext, line: Line) -> None:
     """store up | down | slow S | lose_answers N | lose_writes N"""
     what = line.word(0, "a fault")
-    faults = stage.cluster.store.faults
+    faults = context.cluster.store.faults
     if what in {"up", "down"}:
         faults.down = what == "down"
         faults.slow_s = 0.0
@@ -212,21 +214,21 @@
         raise invalid(f"no fault {what!r} of the store")
 
 
-def vms(stage: Stage, line: Line) -> None:
+def vms(context: ScenarioContext, line: Line) -> None:
     """vms up | down"""
-    stage.cluster.vms.down = line.word(0, "up or down") == "down"
+    context.cluster.vms.down = line.word(0, "up or down") == "down"
 
 
-async def endpoint(stage: Stage, line: Line) -> None:
+async def endpoint(context: ScenarioContext, line: Line) -> None:
     """endpoint NAME lose | restart | leave | delay S | truncate N | cross N | lose_answers N"""
-    endpoint = stage.cluster.endpoints.get(line.word(0, "a name"))
+    endpoint = context.cluster.endpoints.get(line.word(0, "a name"))
     if endpoint is None:
         raise invalid(f"no endpoint {line.words[0]}")
     what = line.word(1, "what happens")
     if what == "lose":
         endpoint.lose()
     elif what == "restart":
-        await stage.cluster.restart_endpoint(line.words[0])
+        await context.cluster.restart_endpoint(line.words[0])
     elif what == "leave":
         await endpoint.leave()
     elif what == "delay":
@@ -237,64 +239,64 @@
         raise invalid(f"endpoints can't {what!r}")
 
 
-def trap(stage: Stage, line: Line) -> None:
+def trap(context: ScenarioContext, line: Line) -> None:
     """trap prepare|start|done|KEY JOB kill|pause CELL: strike its scheduler at that moment"""
     event, job = line.word(0, "an event"), line.word(1, "a job")
     action, cell = line.word(2, "kill or pause"), line.word(3, "a cell")
 
     def strike(seen: str, seen_job: str) -> None:
         if seen == event and job in {seen_job, "any"}:
-            _disarm(stage)
-            _strike(stage, action, cell)
+            _disarm(context)
+            _strike(context, action, cell)
 
-    for endpoint in stage.cluster.endpoints.values():
+    for endpoint in context.cluster.endpoints.values():
         endpoint.on_event = strike
-    stage.cluster.store.on_write = lambda key: strike(key.partition("/")[0], "any")
+    context.cluster.store.on_write = lambda key: strike(key.partition("/")[0], "any")
 
 
-def _disarm(stage: Stage) -> None:
-    for endpoint in stage.cluster.endpoints.values():
+def _disarm(context: ScenarioContext) -> None:
+    for endpoint in context.cluster.endpoints.values():
         endpoint.on_event = None
-    stage.cluster.store.on_write = None
+    context.cluster.store.on_write = None
 
 
-def _strike(stage: Stage, action: str, cell: str) -> None:
-    owner = stage.cluster.owner(cell)
+def _strike(context: ScenarioContext, action: str, cell: str) -> None:
+    owner = context.cluster.owner(cell)
     if owner is None:
         return
-    stage.paused = owner.name
+    context.paused = owner.name
     if action == "pause":
-        stage.cluster.freeze(owner.name)
+        context.cluster.freeze(owner.name)
         return
     owner.process.kill()
     owner.alive = False
-    stage.work.append(asyncio.get_running_loop().create_task(stage.cluster.kill(owner.name)))
+    context.work.append(asyncio.get_running_loop().create_task(context.cluster.kill(owner.name)))
 
 
-def _vm(stage: Stage, line: Line) -> str:
+def _vm(context: ScenarioContext, line: Line) -> str:
     name = line.word(0, "a VM")
     if name != "owner":
-        if name not in stage.cluster.entries:
+        if name not in context.cluster.entries:
             raise invalid(f"no entry VM {name}")
         return name
-    owner = stage.cluster.owner(line.word(1, "a cell"))
+    owner = context.cluster.owner(line.word(1, "a cell"))
     if owner is None:
         raise ScenarioFailed(f"cell {line.words[1]} has no scheduler")
     return owner.name
 
 
-async def wait(stage: Stage, line: Line) -> None:
+async def wait(context: ScenarioContext, line: Line) -> None:
     """wait SECONDS"""
     await asyncio.sleep(number(line.word(0, "seconds"), "seconds"))
 
 
-async def expect(stage: Stage, line: Line) -> None:
+async def expect(context: ScenarioContext, line: Line) -> None:
     """expect WHAT ...: see docs/scenarios.md"""
     what = line.word(0, "what")
     check = EXPECTATIONS.get(what)
     if check is None:
         raise invalid(f"can't expect {what!r}; there are {', '.join(EXPECTATIONS)}")
-    await check(stage, line)
+    await check(context, line)
 
 
 VERBS: dict[str, Verb] = {
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -58,13 +58,13 @@
     def test_a_broken_promise_fails_the_scenario(self) -> None:
         text = "start ulemiste entries=1\naccount depots\nconfigure\nsubmit depots r-1 1 run_once\n"
         scenario = Scenario("x", parse(text + "expect done depots/r-1\n", "x"))
-        check_promises = scenario._hold
+        check_invariants = scenario._check_invariants
 
         def check_duplicated_history() -> list[object]:
             for endpoint in scenario.cluster.endpoints.values():
                 endpoint.history.extend(list(endpoint.history))
-            return list(check_promises())
+            return list(check_invariants())
 
-        scenario._hold = check_duplicated_history  # type: ignore[method-assign, assignment]
+        scenario._check_invariants = check_duplicated_history  # type: ignore[method-assign, assignment]
         outcome = run(scenario.play())
         self.assertFalse(outcome.held)
