--- a/tests/soak_support.py
+++ b/tests/soak_support.py
@@ -10,7 +10,6 @@
 
 from saddlestack.interfaces.workers import EndKind, StartOrder, StartReply, WorkerReport
 from saddlestack.soak.gangs import GangHub
-from saddlestack.soak.life import Arrival, WorkerIncarnation
 from saddlestack.soak.messages import (
     GangEnded,
     GangMessage,
@@ -20,6 +19,7 @@
     RunEnded,
 )
 from saddlestack.soak.shape import ShapeTimes
+from saddlestack.soak.worker_incarnation import Arrival, WorkerIncarnation
 from saddlestack.standins.loop import run
 from saddlestack.standins.pool.workers import TaskPlan, payload
 
@@ -104,7 +104,7 @@
         """Stop a run."""
         self.incarnations[worker].stop(task(index), number, fence, Arrival(now()))
 
-    async def look(
+    async def poll(
         self, *, worker: int = 0, seen: int = 0, wait_s: float = 0.0, fence: int = 1
     ) -> WorkerReport:
         """Look, without a renewal."""
