--- a/tests/test_crashing_task.py
+++ b/tests/test_crashing_task.py
@@ -30,7 +30,7 @@
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(CRASHING, job(1, accelerators=8, crashes_s=AT_ONCE_S))
             await asyncio.sleep(LONG_S)
-            self.assertLessEqual(cluster.floor.starts_of(CRASHING), MOST_STARTS)
+            self.assertLessEqual(cluster.worker_pool.starts_of(CRASHING), MOST_STARTS)
             self.assertIs(await cluster.state(CRASHING), JobState.FAILED)
 
         self.play(body, racks=2, workers=4)
@@ -41,14 +41,16 @@
             for number in range(8):
                 crash_count = number + 1
                 try:
-                    await cluster.until(lambda n=crash_count: len(cluster.floor.crashed) >= n, 15.0)  # type: ignore[misc]
+                    await cluster.until(
+                        lambda n=crash_count: len(cluster.worker_pool.crashed) >= n, 15.0
+                    )  # type: ignore[misc]
                 except TimeoutError:
                     break
                 name = cluster.leader_name
                 await cluster.kill(name)
                 await cluster.add_entry(name)
                 await cluster.until(lambda: cluster.leader is not None)
-            self.assertLessEqual(cluster.floor.starts_of(CRASHING), MOST_STARTS)
+            self.assertLessEqual(cluster.worker_pool.starts_of(CRASHING), MOST_STARTS)
             await cluster.until_state(CRASHING, JobState.FAILED)
 
         self.play(body, racks=2, workers=4)
@@ -60,6 +62,6 @@
             await cluster.until_state(SOUND, JobState.COMPLETED, LONG_S)
             await cluster.until_state(CRASHING, JobState.FAILED, LONG_S)
             max_lost = 8
-            self.assertLessEqual(len(cluster.floor.died_beside), max_lost)
+            self.assertLessEqual(len(cluster.worker_pool.lost_with_worker), max_lost)
 
         self.play(body, racks=1, workers=4)
--- a/tests/test_stale_records.py
+++ b/tests/test_stale_records.py
@@ -20,8 +20,8 @@
 from saddlestack.policy.cluster.records import OccurrenceRecord, TaskStatus
 from saddlestack.policy.cluster.state import ClusterState
 from saddlestack.standins.pool.cluster import PoolCluster, job
-from saddlestack.standins.pool.orders import FloorOrders
-from saddlestack.standins.pool.workers import CLOCK_START_MS, Floor, FloorWorker
+from saddlestack.standins.pool.orders import PoolWorkerOrders
+from saddlestack.standins.pool.workers import CLOCK_START_MS, PoolWorker, WorkerPool
 from saddlestack.work import JobState
 from tests.malformed import encoded
 from tests.test_entries import EntryCase, other_address
@@ -120,14 +120,14 @@
     def test_a_late_start_by_a_false_record_after_a_long_idle_time(self) -> None:
         """The clock, reported 300 s ago, runs 2 % slow; a record claims the latest time allowed."""
 
-        def clock_ms(floor: Floor, worker: FloorWorker) -> int:
+        def clock_ms(worker_pool: WorkerPool, worker: PoolWorker) -> int:
             now = asyncio.get_running_loop().time()
             return CLOCK_START_MS + round(now * SLOW * 1000)
 
-        def extend(floor: Floor, worker: FloorWorker, deadline_ms: int) -> None:
+        def extend(worker_pool: WorkerPool, worker: PoolWorker, deadline_ms: int) -> None:
             now = asyncio.get_running_loop().time()
             until = (deadline_ms - CLOCK_START_MS) / 1000 / SLOW
-            longest = now + floor.times.hold_s / SLOW
+            longest = now + worker_pool.times.hold_s / SLOW
             worker.lease_until = max(worker.lease_until, min(until, longest))
 
         async def body(cluster: FaultyCluster) -> None:
@@ -136,20 +136,20 @@
             worker = cluster.worker_of(B)
             await asyncio.sleep(300.0)
             EntryCase().rewrite(
-                cluster, worker, clock_ms=cluster.floor.clock_ms(worker) + 3_600_000
+                cluster, worker, clock_ms=cluster.worker_pool.clock_ms(worker) + 3_600_000
             )
             await asyncio.sleep(RECORD_DELAY_S)
             worker.late_orders, worker.late_s = 1, 5.0
             await cluster.submit(A, job(1, work_s=90.0, accelerators=8))
             await cluster.until(lambda: not worker.late_orders)
             worker.unreachable = True
-            cluster.floor.add(worker.rack, worker.data_hall)
+            cluster.worker_pool.add(worker.rack, worker.data_hall)
             await asyncio.sleep(20.0)
-            self.assertGreaterEqual(cluster.floor.starts_of(A), 2)
+            self.assertGreaterEqual(cluster.worker_pool.starts_of(A), 2)
 
         with (
-            unittest.mock.patch.object(Floor, "clock_ms", clock_ms),
-            unittest.mock.patch.object(Floor, "_extend", extend),
+            unittest.mock.patch.object(WorkerPool, "clock_ms", clock_ms),
+            unittest.mock.patch.object(WorkerPool, "_extend", extend),
         ):
             self.play(body, workers=1)
 
@@ -159,14 +159,14 @@
         """A kept ``leaves_s`` would stop all work on a worker that is ready again."""
 
         async def body(cluster: PoolCluster) -> None:
-            worker = next(iter(cluster.floor.workers.values()))
+            worker = next(iter(cluster.worker_pool.workers.values()))
             self.rewrite(cluster, worker, state="draining", remaining_ms=100)
             await asyncio.sleep(RECORD_DELAY_S)
-            cluster.floor.record(worker)
+            cluster.worker_pool.record(worker)
             await asyncio.sleep(RECORD_DELAY_S)
             await cluster.submit(A, job(1, work_s=3.0))
             await asyncio.sleep(10.0)
-            self.assertEqual(cluster.floor.starts_of(A), 1)
+            self.assertEqual(cluster.worker_pool.starts_of(A), 1)
             await cluster.until_state(A, JobState.COMPLETED)
 
         self.play(body, racks=1, workers=1)
@@ -189,8 +189,8 @@
                 while (worker.machine, 1) not in cluster.machines.done:
                     await asyncio.sleep(0.5)
                     if worker.up:
-                        cluster.floor.record(worker)
-            self.assertIs(cluster.floor.history[0].ended, EndKind.STOPPED)
+                        cluster.worker_pool.record(worker)
+            self.assertIs(cluster.worker_pool.history[0].ended, EndKind.STOPPED)
 
         self.play(body)
 
@@ -215,8 +215,8 @@
             cluster.store.put(key, to_msgpack(record))
             self.rewrite(cluster, worker, address=other_address(cluster, worker))
             await asyncio.sleep(5.0)
-            self.assertEqual(cluster.floor.violations, [])
-            self.assertEqual(cluster.floor.starts_of(A), 1)
+            self.assertEqual(cluster.worker_pool.violations, [])
+            self.assertEqual(cluster.worker_pool.starts_of(A), 1)
 
         self.play(body)
 
@@ -237,10 +237,10 @@
             known.record = replace(known.record, address="")
             worker.unreachable = True
             await asyncio.sleep(HOLD_S / 2)
-            self.assertEqual(cluster.floor.starts_of(A), 1)
+            self.assertEqual(cluster.worker_pool.starts_of(A), 1)
             await asyncio.sleep(HOLD_S)
-            self.assertEqual(cluster.floor.violations, [])
-            self.assertEqual(cluster.floor.starts_of(A), 2)
+            self.assertEqual(cluster.worker_pool.violations, [])
+            self.assertEqual(cluster.worker_pool.starts_of(A), 2)
 
         self.play(body)
 
@@ -252,10 +252,10 @@
         If the busy answer counted as one of the expected incarnation, since its record is listed,
         the 421 after it would be trusted.
         """
-        reach = FloorOrders._reach
+        reach = PoolWorkerOrders._reach
         busy_s = 3.0
 
-        async def busy_at_first(orders: FloorOrders, timeout_s: float) -> None:
+        async def busy_at_first(orders: PoolWorkerOrders, timeout_s: float) -> None:
             is_other_address = orders.address != orders.worker.address
             if is_other_address:
                 started_s = seen.setdefault("began", asyncio.get_running_loop().time())
@@ -264,7 +264,7 @@
             await reach(orders, timeout_s)
 
         seen: dict[str, float] = {}
-        with unittest.mock.patch.object(FloorOrders, "_reach", busy_at_first):
+        with unittest.mock.patch.object(PoolWorkerOrders, "_reach", busy_at_first):
             self.test_a_record_of_another_writer_gives_no_address_to_an_inherited_run()
         self.assertTrue(seen)
 
@@ -300,7 +300,7 @@
             await asyncio.sleep(13.0)
             self.assertEqual(cluster.leader_name, old)
             await cluster.submit(A, job(1, work_s=90.0, accelerators=8), at=old)
-            await cluster.until(lambda: cluster.floor.starts_of(A) == 1)
+            await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 1)
             cluster.isolate_except(old, cluster.worker_of(A))
             cluster.member(old).view.faults.silent = True
             await asyncio.sleep(25.0)
