--- a/tests/simulation/__main__.py
+++ b/tests/simulation/__main__.py
@@ -1,4 +1,7 @@
-"""Plays seeded days by hand: ``PYTHONHASHSEED=0 python -m tests.simulation FIRST COUNT``."""
+"""Runs seeded days from the command line.
+
+Usage: ``PYTHONHASHSEED=0 python -m tests.simulation FIRST COUNT``.
+"""
 
 from __future__ import annotations
 
@@ -14,9 +17,9 @@
 
 @dataclass(slots=True)
 class Summary:
-    """What all days together had.
+    """Totals over all days.
 
-    :param still: days with a standstill that nothing explains.
+    :param still: days with a stall that no rule explains.
     """
 
     days: int = 0
@@ -27,7 +30,7 @@
     longest_s: float = 0.0
 
     def add(self, verdict: Verdict) -> None:
-        """Count a day."""
+        """Add the verdict on one day."""
         found = verdict.standstills
         self.days += 1
         self.broken += bool(verdict.broken)
@@ -81,7 +84,7 @@
 
 
 def main() -> None:
-    """Play days."""
+    """Run the days that the options select."""
     options = _options()
     only = [kind for kind in options.only.split(",") if kind]
     named = frozenset(kind for kind in options.jobs.split(",") if kind)
--- a/tests/simulation/day.py
+++ b/tests/simulation/day.py
@@ -1,4 +1,4 @@
-"""A seeded day: a steady mix of jobs, random faults, and the verdict."""
+"""A seeded day: a steady mix of jobs, random faults, and the verdict on what happened."""
 
 from __future__ import annotations
 
@@ -32,13 +32,13 @@
 FIRST_S = 4.0
 SETTLE_S = 80.0
 BACK_S = (1.0, 5.0)
-"""After a crash under a task a new life comes."""
+"""Range of the time after which a worker that a task crashed is replaced."""
 FULL_ROOM = 8
 SUSPENDED_S = (1.0, 3.0, 6.0, 12.0, 20.0)
 GREY_EARLY_S = 0.02
-"""So soon fails what a faulty worker starts without doing any of it."""
+"""Time after which a faulty worker fails a run without having done any of its work."""
 CALM_S = 20.0
-"""So long after its last trouble a day goes on at least: leases that were granted have lapsed."""
+"""A day goes on at least this long after its last fault, so that all granted leases expire."""
 SHOWN_EVENTS = {
     "start", "stop", "ended", "run_over", "run_absent", "lease_wait", "worker_left",
     "start_refused", "worker_replaced", "worker_silent", "elected", "deposed", "displaced",
@@ -48,9 +48,11 @@
 
 @dataclass(slots=True)
 class Verdict:
-    """How a day went.
+    """The outcome of a day.
 
-    :param broken: every broken promise, standstills without an explanation among them.
+    :param broken: every violated invariant, including each stall that no rule explains.
+    :param lines: runs, faults and log lines that concern the violations.
+    :param unfinished: accepted jobs that are not over at the end.
     """
 
     seed: int
@@ -65,10 +67,10 @@
 
 @dataclass(slots=True)
 class Flavour:
-    """Which faults a day has, and how many a second.
+    """The kinds of faults of a day, with their rates per second, and its jobs.
 
     :param early_removal: workers remove their records up to 2 s before they end.
-    :param kinds: of jobs that it has besides.
+    :param kinds: additional kinds of jobs.
     """
 
     rates: dict[str, float]
@@ -79,7 +81,7 @@
 
 
 class _Log(logging.Handler):
-    """Keeps the control logs of a day."""
+    """Collects the log records of the control plane."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -125,7 +127,7 @@
 
 @dataclass
 class Day:
-    """Plays one day."""
+    """Runs one day."""
 
     seed: int
     flavour: Flavour
@@ -138,14 +140,14 @@
         self.rng = random.Random(self.seed * 7 + 1)
         self.site = Deployment(self.shape, self.seed)
         self.told = ToldJudge(self.site, self.accounts)
-        self.site.workers.on_crash = self._crashed_under
+        self.site.workers.on_crash = self._replace_crashed_worker
         self.judge = StandstillJudge(self.site, self.jobs)
         self.kinds = JobsByName(self.flavour.kinds, self.shape, self.seed)
         self.ends_s = FIRST_S + self.flavour.seconds
         self.ask_s = self.ends_s + CALM_S
 
     def play(self) -> Verdict:
-        """Play it to its end, and judge."""
+        """Run the day to its end and return the verdict."""
         handler = _Log()
         logger = logging.getLogger("saddlestack")
         before = (logger.handlers, logger.level, logger.propagate)
@@ -162,12 +164,14 @@
         site = self.site
         site.start()
         self.judge.begin()
-        site.world.call_later(FIRST_S / 2, self._next_job)
+        site.world.call_later(FIRST_S / 2, self._submit_next_job)
         for kind, rate in sorted(self.flavour.rates.items()):
-            site.world.call_later(FIRST_S + self.rng.expovariate(rate), self._next, kind, rate)
+            site.world.call_later(
+                FIRST_S + self.rng.expovariate(rate), self._next_fault, kind, rate
+            )
         site.timeline.run(self.ends_s)
         broken = site.workers.broken
-        site.timeline.run(self.ends_s + SETTLE_S, lambda: bool(broken) or self._settled())
+        site.timeline.run(self.ends_s + SETTLE_S, lambda: bool(broken) or self._is_settled())
         if site.world.errors:
             raise RuntimeError(site.world.errors[0])
         found = site.workers.judge() + self.told.broken
@@ -183,8 +187,8 @@
             self.judge.found,
         )
 
-    def _settled(self) -> bool:
-        """Whether all that was accepted is over; asked once a second."""
+    def _is_settled(self) -> bool:
+        """Whether all accepted jobs are over; evaluated once a second."""
         now = self.site.world.time()
         if now < self.ask_s:
             return False
@@ -192,7 +196,7 @@
         return not self.site.unfinished()
 
     def _lines(self, handler: _Log, found: list[str]) -> list[str]:
-        """The log lines that name the tasks of broken promises, their workers, and changes."""
+        """The log lines about the tasks of violations and their workers, and the faults."""
         if not found:
             return []
         names = {text.partition("[")[2].split(" ", 1)[0] for text in found}
@@ -207,9 +211,7 @@
                 lines.append(f"{at:9.3f} {vm} " + " ".join(f"{k}={v}" for k, v in fields.items()))
         return lines
 
-    # Jobs
-
-    def _next_job(self) -> None:
+    def _submit_next_job(self) -> None:
         rng = self.rng
         if self.site.world.time() > self.ends_s:
             return
@@ -219,65 +221,63 @@
         job = self.kinds.changed(HandedIn(queue, request), now)
         self.jobs[job_id] = (job.queue, job.request)
         self.accounts[job_id] = job.account
-        self._hand_in(job_id)
+        self._submit(job_id)
         for _ in range(rng.choice((0, 0, 0, 1, 2))):
-            self.site.world.call_later(rng.uniform(0.0, 8.0), self._hand_in, job_id)
+            self.site.world.call_later(rng.uniform(0.0, 8.0), self._submit, job_id)
         if request.steps[0].long_running:
-            self.site.world.call_later(rng.uniform(5.0, 30.0), self._cancel_surely, job_id)
+            self.site.world.call_later(rng.uniform(5.0, 30.0), self._cancel_repeatedly, job_id)
         elif rng.random() < 0.08:
             self.site.world.call_later(rng.uniform(0.2, 10.0), self._cancel, job_id)
-        self.site.world.call_later(rng.expovariate(self.flavour.jobs_per_s), self._next_job)
+        self.site.world.call_later(rng.expovariate(self.flavour.jobs_per_s), self._submit_next_job)
 
-    def _hand_in(self, job_id: str) -> None:
+    def _submit(self, job_id: str) -> None:
         queue, request = self.jobs[job_id]
         if self.site.vms:
             account = self.accounts[job_id]
-            self.site.submit(self._any_vm(), job_id, queue, request, account)
+            self.site.submit(self._random_vm(), job_id, queue, request, account)
 
     def _cancel(self, job_id: str) -> None:
         if self.site.vms:
             queue, account = self.jobs[job_id][0], self.accounts[job_id]
-            self.site.cancel(self._any_vm(), job_id, queue, account)
+            self.site.cancel(self._random_vm(), job_id, queue, account)
 
-    def _cancel_surely(self, job_id: str) -> None:
-        """Cancel a job again and again, until well after the last trouble."""
+    def _cancel_repeatedly(self, job_id: str) -> None:
+        """Cancel a job repeatedly until well after the last fault."""
         self._cancel(job_id)
         if self.site.world.time() < self.ends_s + CALM_S:
-            self.site.world.call_later(4.0, self._cancel_surely, job_id)
+            self.site.world.call_later(4.0, self._cancel_repeatedly, job_id)
 
-    def _any_vm(self) -> Vm:
+    def _random_vm(self) -> Vm:
         return self.rng.choice(list(self.site.vms.values()))
 
-    # Trouble
-
-    def _next(self, kind: str, rate: float) -> None:
+    def _next_fault(self, kind: str, rate: float) -> None:
         if self.site.world.time() > self.ends_s:
             return
         getattr(self, f"_{kind}")()
-        self.site.world.call_later(self.rng.expovariate(rate), self._next, kind, rate)
+        self.site.world.call_later(self.rng.expovariate(rate), self._next_fault, kind, rate)
 
-    def _note(self, text: str) -> None:
+    def _log_fault(self, text: str) -> None:
         self.trouble.append(f"{self.site.world.time():9.3f} -- {text}")
 
-    def _often_leader(self) -> Vm | None:
+    def _random_vm_or_leader(self) -> Vm | None:
         if not self.site.vms:
             return None
         leader = self.site.leader
-        return leader if leader is not None and self.rng.random() < 0.75 else self._any_vm()
+        return leader if leader is not None and self.rng.random() < 0.75 else self._random_vm()
 
-    def _beats(self) -> Heartbeats | None:
+    def _random_heartbeats(self) -> Heartbeats | None:
         beats = [b for b in self.site.heartbeats.values() if b.worker.up and not b.removed]
         return self.rng.choice(beats) if beats else None
 
     def _freeze(self) -> None:
-        vm, seconds = self._often_leader(), self.rng.choice((0.3, 1.0, 2.0, 5.0, 8.0, 14.0))
+        vm, seconds = self._random_vm_or_leader(), self.rng.choice((0.3, 1.0, 2.0, 5.0, 8.0, 14.0))
         if vm is not None:
             seconds *= self.rng.uniform(0.2, 1.0)
-            self._note(f"{vm.name} stands still for {seconds:.3f} s")
+            self._log_fault(f"{vm.name} stands still for {seconds:.3f} s")
             vm.loop.stand_still(seconds)
 
     def _slow_vm(self) -> None:
-        vm, rng = self._often_leader(), self.rng
+        vm, rng = self._random_vm_or_leader(), self.rng
         if vm is None:
             return
         until = self.site.world.time() + rng.uniform(1.0, 12.0)
@@ -288,31 +288,31 @@
             longest_s=rng.choice((0.05, 0.3, 1.0, 4.0)),
             step_s=rng.choice((0.0, 0.005, 0.05, 0.3)),
         )
-        self._note(f"{vm.name} is slow: {vm.loop.slowness}")
+        self._log_fault(f"{vm.name} is slow: {vm.loop.slowness}")
 
     def _worker_way(self) -> None:
         rng = self.rng
-        beats = self._beats()
+        beats = self._random_heartbeats()
         kind = rng.choice(("cut", "mute", "reset", "busy", "slow", "lossy", "late", "late"))
-        vm = ANY if rng.random() < 0.4 or not self.site.vms else self._some_vm()
-        others: list[str] = [ANY] if rng.random() < 0.15 else self._some_workers(beats)
+        vm = ANY if rng.random() < 0.4 or not self.site.vms else self._random_vm_name()
+        others: list[str] = [ANY] if rng.random() < 0.15 else self._random_worker_ids(beats)
         until = self.site.world.time() + rng.choice((0.3, 1.0, 3.0, 8.0, 14.0, 25.0))
         strength = rng.choice((0.1, 0.3, 0.7, 3.0)) if kind == "slow" else rng.uniform(0.1, 0.9)
-        self._note(f"{kind} {vm} to {others} until {until:.3f} ({strength:.2f})")
+        self._log_fault(f"{kind} {vm} to {others} until {until:.3f} ({strength:.2f})")
         for other in others:
-            self.site.ways.add(Fault(kind, vm, self._way_to(other), until, strength))
+            self.site.ways.add(Fault(kind, vm, self._random_link_to(other), until, strength))
 
-    def _way_to(self, other: str) -> str:
-        """All orders to a worker, or one kind of them."""
+    def _random_link_to(self, other: str) -> str:
+        """Select all orders to a worker, or one kind of them."""
         kind = self.rng.choice(("", "", "/start", "/stop", "/hold"))
         return other if other == ANY else other + kind
 
-    def _some_vm(self) -> str:
-        vm = self._often_leader()
+    def _random_vm_name(self) -> str:
+        vm = self._random_vm_or_leader()
         return ANY if vm is None else vm.name
 
-    def _some_workers(self, beats: Heartbeats | None) -> list[str]:
-        """One worker, or all of its rack or its hall."""
+    def _random_worker_ids(self, beats: Heartbeats | None) -> list[str]:
+        """Select one worker, or all of its rack or its data hall."""
         if beats is None:
             return []
         one, choice = beats.worker, self.rng.random()
@@ -326,18 +326,23 @@
     def _store_way(self) -> None:
         rng = self.rng
         kind = rng.choice(("cut", "mute", "reset", "busy", "slow", "lossy", "late"))
-        vm = ANY if rng.random() < 0.3 or not self.site.vms else self._some_vm()
+        vm = ANY if rng.random() < 0.3 or not self.site.vms else self._random_vm_name()
         until = self.site.world.time() + rng.choice((0.3, 1.0, 2.5, 6.0, 12.0))
         strength = rng.choice((0.05, 0.3, 1.0)) if kind == "slow" else rng.uniform(0.1, 0.9)
-        self._note(f"{kind} {vm} to store until {until:.3f} ({strength:.2f})")
+        self._log_fault(f"{kind} {vm} to store until {until:.3f} ({strength:.2f})")
         self.site.ways.add(Fault(kind, vm, STORE, until, strength))
 
     def _store_down(self) -> None:
-        """The store is away for all; leases wait or run out, records lapse or not."""
+        """The store is unavailable to all.
+
+        Leases are extended by the outage or expire, and the workers' records expire or not.
+        """
         rng, now = self.rng, self.site.world.time()
         seconds = rng.uniform(0.5, 15.0)
         waits, lapse = rng.random() < 0.5, rng.random() < 0.5
-        self._note(f"store is down for {seconds:.3f} s, leases wait {waits}, records lapse {lapse}")
+        self._log_fault(
+            f"store is down for {seconds:.3f} s, leases wait {waits}, records lapse {lapse}"
+        )
         self.site.ways.add(Fault("cut", ANY, STORE, now + seconds))
         if waits:
             self.site.store.stretch_leases(seconds)
@@ -361,123 +366,123 @@
         self.site.store.forget_history()
 
     def _lease_lost(self) -> None:
-        """The leader's key goes; the same VM may take it again."""
+        """The leader's key is removed; the same VM may acquire it again."""
         lease = self.site.store.lease_of("saddlestack/leader")
         if lease:
-            self._note("the leader's lease ends")
+            self._log_fault("the leader's lease ends")
             self.site.store.end(lease)
 
     def _restart(self) -> None:
-        vm = self._often_leader()
+        vm = self._random_vm_or_leader()
         if vm is None or len(self.site.vms) < 2:
             return
-        self._note(f"{vm.name} dies")
+        self._log_fault(f"{vm.name} dies")
         self.site.kill(vm.name)
         later_s = self.rng.choice((0.05, 0.5, 2.0, 6.0))
-        self.site.world.call_later(later_s, self._restarted, vm.name, vm.hall)
+        self.site.world.call_later(later_s, self._start_again, vm.name, vm.hall)
 
     def _all_restart(self) -> None:
-        """All VMs die at once, and start again one after the other."""
-        self._note("all VMs die")
+        """All VMs crash at once and restart one after the other."""
+        self._log_fault("all VMs die")
         later_s = self.rng.choice((0.05, 1.0, 4.0))
         for vm in list(self.site.vms.values()):
             self.site.kill(vm.name)
-            self.site.world.call_later(later_s, self._restarted, vm.name, vm.hall)
+            self.site.world.call_later(later_s, self._start_again, vm.name, vm.hall)
             later_s += self.rng.choice((0.0, 0.3, 2.0))
 
-    def _restarted(self, name: str, hall: str) -> None:
+    def _start_again(self, name: str, hall: str) -> None:
         if name not in self.site.vms:
-            self._note(f"{name} starts")
+            self._log_fault(f"{name} starts")
             self.site.add_vm(name, hall)
 
     def _drain(self) -> None:
-        rng, beats = self.rng, self._beats()
+        rng, beats = self.rng, self._random_heartbeats()
         if beats is None or beats.leaves_s is not None:
             return
-        for worker_id in self._some_workers(beats) if rng.random() < 0.4 else [""]:
+        for worker_id in self._random_worker_ids(beats) if rng.random() < 0.4 else [""]:
             one = self.site.heartbeats.get(worker_id, beats)
             if one.leaves_s is not None or one.removed:
                 continue
             drain_s = rng.choice((0.5, 2.0, 4.0, 6.0))
             longer_s = rng.choice((0.0, 0.3, 1.0, 4.0, 7.0))
             early_s = rng.uniform(0.0, 2.0) if self.flavour.early_removal else 0.0
-            self._note(f"{one.worker.worker_id} drains {drain_s}, serves on {longer_s}")
+            self._log_fault(f"{one.worker.worker_id} drains {drain_s}, serves on {longer_s}")
             self.site.drain(one, drain_s, longer_s, early_s)
             self._replace(one, drain_s + longer_s)
 
     def _leave_badly(self) -> None:
-        """A worker that drains is out of reach of VMs, or of the store, near its announced end."""
-        rng, beats = self.rng, self._beats()
+        """A draining worker loses its link to the VMs, or to the store, near its announced end."""
+        rng, beats = self.rng, self._random_heartbeats()
         if beats is None or beats.leaves_s is not None:
             return
         drain_s, longer_s = rng.choice((0.5, 1.5, 3.0)), rng.choice((0.0, 0.5, 2.0, 7.0, 12.0))
         early_s = rng.uniform(0.0, 2.0) if self.flavour.early_removal else 0.0
         worker_id = beats.worker.worker_id
-        self._note(f"{worker_id} drains {drain_s}, serves on {longer_s}, badly")
+        self._log_fault(f"{worker_id} drains {drain_s}, serves on {longer_s}, badly")
         self.site.drain(beats, drain_s, longer_s, early_s)
         self._replace(beats, drain_s + longer_s)
         begins_s = max(0.0, drain_s + rng.uniform(-1.0, longer_s))
         if rng.random() < 0.6:
             store_s = rng.uniform(0.0, drain_s)
             until = self.site.world.time() + store_s + rng.uniform(2.0, 12.0)
-            self.site.world.call_later(store_s, self._cut_store, beats, until)
+            self.site.world.call_later(store_s, self._cut_worker_from_store, beats, until)
             lapses_s = store_s + LAPSE_HEARTBEATS * HEARTBEAT_S
             begins_s = max(0.0, lapses_s + rng.uniform(-1.5, 0.5))
-        self.site.world.call_later(begins_s, self._cut_worker, worker_id)
+        self.site.world.call_later(begins_s, self._disturb_worker_link, worker_id)
         if rng.random() < 0.6:
             until = self.site.world.time() + drain_s + longer_s
             self.site.ways.add(
                 Fault(rng.choice(("cut", "late")), ANY, f"{worker_id}/stop", until, 1.0)
             )
 
-    def _cut_worker(self, worker_id: str) -> None:
+    def _disturb_worker_link(self, worker_id: str) -> None:
         kind = self.rng.choice(("cut", "mute", "reset", "slow", "late"))
-        vm = ANY if self.rng.random() < 0.4 else self._some_vm()
+        vm = ANY if self.rng.random() < 0.4 else self._random_vm_name()
         until = self.site.world.time() + self.rng.choice((0.7, 1.5, 4.0, 12.0))
-        self._note(f"{kind} {vm} to {worker_id} until {until:.3f}")
-        self.site.ways.add(Fault(kind, vm, self._way_to(worker_id), until, 1.0))
+        self._log_fault(f"{kind} {vm} to {worker_id} until {until:.3f}")
+        self.site.ways.add(Fault(kind, vm, self._random_link_to(worker_id), until, 1.0))
 
-    def _cut_store(self, beats: Heartbeats, until: float) -> None:
-        self._note(f"{beats.worker.worker_id} does not reach the store until {until:.3f}")
+    def _cut_worker_from_store(self, beats: Heartbeats, until: float) -> None:
+        self._log_fault(f"{beats.worker.worker_id} does not reach the store until {until:.3f}")
         beats.cut_until = max(beats.cut_until, until)
 
     def _busy_worker_way(self) -> None:
-        """A worker that runs something has trouble with its leader."""
+        """The link to a worker that runs something has a fault."""
         busy = [each for each in self.site.workers.lives.values() if each.up and each.runs]
         if busy:
-            self._cut_worker(self.rng.choice(busy).worker_id)
+            self._disturb_worker_link(self.rng.choice(busy).worker_id)
 
     def _unannounced(self) -> None:
-        """A worker removes its record and serves on for a while."""
-        beats = self._beats()
+        """A worker removes its record and continues to serve for a while."""
+        beats = self._random_heartbeats()
         if beats is not None:
             longer_s = self.rng.uniform(0.5, 9.0)
-            self._note(f"{beats.worker.worker_id} goes unannounced, serves on {longer_s:.3f}")
+            self._log_fault(f"{beats.worker.worker_id} goes unannounced, serves on {longer_s:.3f}")
             self.site.remove_record(beats)
             self.site.world.call_later(longer_s, self.site.end_worker, beats)
             self._replace(beats, longer_s)
 
     def _crash(self) -> None:
-        beats = self._beats()
+        beats = self._random_heartbeats()
         if beats is not None:
-            self._note(f"{beats.worker.worker_id} crashes")
+            self._log_fault(f"{beats.worker.worker_id} crashes")
             self.site.end_worker(beats)
             self._replace(beats, 0.0)
 
     def _rack_crash(self) -> None:
-        """All workers of a rack crash by themselves at the same moment."""
-        beats = self._beats()
+        """All workers of a rack crash at the same time, without a task as the cause."""
+        beats = self._random_heartbeats()
         if beats is None:
             return
         rack = beats.worker.rack
-        self._note(f"all workers of {rack} crash")
+        self._log_fault(f"all workers of {rack} crash")
         for one in list(self.site.heartbeats.values()):
             if one.worker.up and one.worker.rack == rack:
                 self.site.end_worker(one)
                 self._replace(one, 1.0)
 
-    def _crashed_under(self, worker: SimWorker) -> None:
-        """A task crashes its worker; a new life comes at the same address."""
+    def _replace_crashed_worker(self, worker: SimWorker) -> None:
+        """Replace a worker that a task crashed by a new one at the same address."""
         beats = self.site.heartbeats[worker.worker_id]
         self.site.end_worker(beats)
         back_s = self.rng.uniform(*BACK_S)
@@ -485,12 +490,12 @@
         self.site.world.call_later(back_s, self.site.add_worker, *place)
 
     def _shrink(self) -> None:
-        """A worker that guards nothing has less room for a while, and tells so."""
-        beats = self._beats()
+        """Reduce a worker's capacity for a while and report it; the worker doesn't enforce it."""
+        beats = self._random_heartbeats()
         if beats is None:
             return
         room = self.rng.randint(1, FULL_ROOM - 1)
-        self._note(f"{beats.worker.worker_id} has room for {room}")
+        self._log_fault(f"{beats.worker.worker_id} has room for {room}")
         self._resize(beats, room)
         self.site.world.call_later(self.rng.uniform(1.0, 15.0), self._resize, beats, FULL_ROOM)
 
@@ -499,87 +504,87 @@
         self.site.write(beats)
 
     def _suspend(self) -> None:
-        """A VM is suspended: its steady clock and its timers do not count the time."""
-        vm = self._often_leader()
+        """A VM is suspended: its monotonic clock and its timers do not count the time."""
+        vm = self._random_vm_or_leader()
         seconds = self.rng.choice(SUSPENDED_S) * self.rng.uniform(0.5, 1.0)
         if vm is None or vm.loop.stands_until > self.site.world.time():
             return
-        self._note(f"{vm.name} is suspended for {seconds:.3f} s")
+        self._log_fault(f"{vm.name} is suspended for {seconds:.3f} s")
         over = self.told.over()
         vm.loop.suspend(seconds)
         self.site.world.call_later(seconds, self.told.ask, vm, over)
 
     def _reborn(self) -> None:
-        """A worker starts again under its id, often before anybody has missed it."""
-        beats = self._beats()
+        """A worker restarts under its ID, often before its absence is detected."""
+        beats = self._random_heartbeats()
         if beats is not None:
-            self._note(f"{beats.worker.life} starts again")
+            self._log_fault(f"{beats.worker.life} starts again")
             self.site.end_worker(beats)
             later_s = self.rng.choice((0.0, 0.05, 0.3, 1.0, 4.0))
             self.site.world.call_later(later_s, self.site.restart_worker, beats)
 
     def _grey(self) -> None:
-        """A worker fails all that it starts for a while, early or late, and looks healthy."""
-        beats, rng = self._beats(), self.rng
+        """A worker fails every run for a while, early or late, but seems healthy otherwise."""
+        beats, rng = self._random_heartbeats(), self.rng
         if beats is not None:
             worker = beats.worker
             worker.grey_s = rng.choice((GREY_EARLY_S, rng.uniform(0.5, 4.0)))
             worker.grey_until = self.site.world.time() + rng.uniform(3.0, 15.0)
-            self._note(f"{worker.life} fails all after {worker.grey_s:.3f} s"
+            self._log_fault(f"{worker.life} fails all after {worker.grey_s:.3f} s"
                        f" until {worker.grey_until:.3f}")  # fmt: skip
 
     def _hang(self) -> None:
-        """What a worker starts makes no progress for a while."""
-        beats = self._beats()
+        """Runs that a worker starts make no progress for a while."""
+        beats = self._random_heartbeats()
         if beats is not None:
             worker = beats.worker
             worker.hangs_until = self.site.world.time() + self.rng.uniform(3.0, 15.0)
-            self._note(f"work on {worker.life} hangs until {worker.hangs_until:.3f}")
+            self._log_fault(f"work on {worker.life} hangs until {worker.hangs_until:.3f}")
 
     def _failing(self) -> None:
-        """All jobs that one client account hands in for a while fail by their own fault."""
+        """Jobs that one client account submits for a while fail by their own fault."""
         until = self.site.world.time() + self.rng.uniform(2.0, 8.0)
-        self._note(f"jobs of {OTHER_ACCOUNT} fail until {until:.3f}")
+        self._log_fault(f"jobs of {OTHER_ACCOUNT} fail until {until:.3f}")
         self.kinds.fail_until(until)
 
     def _replace(self, beats: Heartbeats, after_s: float) -> None:
-        """Later a new life comes, often at the same address."""
+        """Add a new worker later, often at the same address."""
         old, later_s = beats.worker, after_s + self.rng.choice((0.1, 1.0, 4.0))
         address = old.address if self.rng.random() < 0.7 else ""
         self.site.world.call_later(later_s, self.site.add_worker, old.rack, old.hall, address)
 
     def _store_cut(self) -> None:
-        """Workers do not reach the store, which loses their records, and serve on."""
-        beats = self._beats()
+        """Workers cannot reach the store, so their records expire, but they continue to serve."""
+        beats = self._random_heartbeats()
         until = self.site.world.time() + self.rng.choice((1.5, 3.0, 5.0, 9.0, 20.0))
-        for worker_id in self._some_workers(beats):
+        for worker_id in self._random_worker_ids(beats):
             one = self.site.heartbeats[worker_id]
             one.cut_until = max(one.cut_until, until)
-            self._note(f"{worker_id} does not reach the store until {until:.3f}")
+            self._log_fault(f"{worker_id} does not reach the store until {until:.3f}")
 
     def _foreign(self) -> None:
-        """Another writer changes a worker's entry, until the worker writes it again."""
-        rng, beats = self.rng, self._beats()
+        """Another writer changes a worker's record until the worker writes it again."""
+        rng, beats = self.rng, self._random_heartbeats()
         if beats is None:
             return
         self._overwrite(beats, rng.choice(FOREIGN))
 
     def _readdressed(self) -> None:
-        """Another writer gives a worker's entry the address of some life, past ones included."""
-        beats = self._beats()
+        """Another writer puts the address of any incarnation so far in a worker's record."""
+        beats = self._random_heartbeats()
         if beats is not None:
             life = self.rng.choice(list(self.site.workers.lives.values()))
             self._overwrite(beats, {"address": life.address})
 
     def _erased(self) -> None:
-        """Another writer removes a worker's entry, until the worker writes it again."""
-        beats = self._beats()
+        """Another writer removes a worker's record until the worker writes it again."""
+        beats = self._random_heartbeats()
         if beats is not None:
-            self._note(f"the entry of {beats.worker.worker_id} is removed")
+            self._log_fault(f"the entry of {beats.worker.worker_id} is removed")
             self.site.store.remove(f"servers/{beats.worker.worker_id}")
 
     def _overwrite(self, beats: Heartbeats, change: dict[str, object] | None) -> None:
-        self._note(f"the entry of {beats.worker.worker_id} is changed: {change}")
+        self._log_fault(f"the entry of {beats.worker.worker_id} is changed: {change}")
         self.site.overwrite(beats, change)
         self.site.world.call_later(self.rng.uniform(0.1, 12.0), self.site.write, beats)
 
@@ -596,7 +601,7 @@
     {"clock-ms": 1_000_000_000},
     {"state": "draining", "remaining-ms": 0},
 )
-"""What another writer makes of an entry: bytes that cannot be read, or other fields."""
+"""Changes by another writer: fields to overwrite, or ``None`` for unreadable bytes."""
 
 
 def _job(rng: random.Random, now_ms: int) -> tuple[str, JobRequest]:
@@ -653,7 +658,7 @@
     "leave_badly": 0.4,
     "busy_worker_way": 0.8,
 }
-"""Kinds of trouble that days draw, and how often each comes at most."""
+"""Kinds of faults that the seed of a day may select, each with its highest rate per second."""
 BY_NAME_A_SECOND = {
     "erased": 0.2,
     "reborn": 0.5,
@@ -665,7 +670,10 @@
     "shrink": 0.4,
     "suspend": 0.25,
 }
-"""Kinds that come by name alone, so that seeds go on naming the days that they named."""
+"""Kinds of faults that a day has only where ``only`` names them, with their rates per second.
+
+They are not drawn by the seed, so that existing seeds keep producing the same days.
+"""
 
 
 def day_of(
@@ -677,12 +685,12 @@
     calm: bool = False,
     kinds: JobKinds | None = None,
 ) -> Day:
-    """The day that a seed names.
+    """Return the day that a seed defines.
 
-    :param only: kinds of trouble that it has, each as often as may be; chance where there are none.
-    :param removes_early: workers may remove their records before they end.
-    :param calm: it has no troubles but those named in ``only``.
-    :param kinds: kinds of jobs that it has besides.
+    :param only: kinds of faults, each at its highest rate; if empty, the seed selects them.
+    :param removes_early: whether workers may remove their records before they end.
+    :param calm: no faults but those in ``only``.
+    :param kinds: additional kinds of jobs.
     """
     rng = random.Random(seed)
     drawn = rng.sample(sorted(MOST_A_SECOND), rng.choice((2, 3, 4, 6, len(MOST_A_SECOND))))
--- a/tests/simulation/demand.py
+++ b/tests/simulation/demand.py
@@ -1,4 +1,4 @@
-"""What of a job could run now, as far as the ends of its runs at the workers tell."""
+"""Finds the steps of a job that could run now, from the runs that ended at the workers."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def startable(job_id: str, request: JobRequest, wall_ms: float, history: History) -> Iterator[Step]:
-    """The steps of a job with tasks left to run: due, and with the steps before them done."""
+    """Yield the unfinished steps of a job that are due and whose predecessors are done."""
     for occurrence in range(request.occurrences):
         if request.due_ms(occurrence) > wall_ms:
             return
@@ -29,7 +29,7 @@
 
 
 def _is_done(step: Step, names: Iterator[TaskName], history: History) -> bool:
-    """Whether all tasks of a step are done; those of a gang are done together."""
+    """Whether all tasks of a step are done; one done member of a gang is enough."""
     if step.long_running:
         return False
     ended = (_has_end(history.get(name, ())) for name in names)
@@ -37,5 +37,5 @@
 
 
 def _has_end(runs: Sequence[SimRun]) -> bool:
-    """Whether a run ended done; an end counts for nothing once the worker's lease has lapsed."""
+    """Whether a run ended done; an end is void once the worker's lease has expired."""
     return any(run.how is EndKind.DONE and not run.lapsed for run in runs)
--- a/tests/simulation/deployment.py
+++ b/tests/simulation/deployment.py
@@ -1,4 +1,4 @@
-"""Entry VMs, workers and a store on one virtual clock, and what may happen to each of them."""
+"""Entry VMs, workers and a store on one virtual clock, with operations that disturb them."""
 
 from __future__ import annotations
 
@@ -32,11 +32,11 @@
 
 @dataclass(slots=True)
 class Shape:
-    """What a deployment consists of.
+    """The size and the settings of a deployment.
 
-    :param tells_clock: workers write their clock with each heartbeat.
-    :param retention_s: for how long a job that is over stays known.
-    :param stop_s: the longest that a stop takes.
+    :param tells_clock: whether workers write their clock with each heartbeat.
+    :param retention_s: how long a job that is over is kept.
+    :param stop_s: the longest time that a stop takes.
     """
 
     entries: int = 3
@@ -51,7 +51,7 @@
 
 @dataclass(slots=True, eq=False)
 class Vm:
-    """One life of an entry VM."""
+    """One incarnation of an entry VM."""
 
     name: str
     hall: str
@@ -67,11 +67,15 @@
 
 @dataclass(slots=True, eq=False)
 class Heartbeats:
-    """What a worker's life tells the store.
-
-    :param cut_until: it does not reach the store before.
-    :param written_s: when its record was last written...
-    :param written: ...and as what.
+    """The heartbeats of one incarnation of a worker to the store.
+
+    :param cut_until: until then it cannot reach the store.
+    :param written_s: when its record was last written.
+    :param written: the value that was last written.
+    :param leaves_s: the announced end of a draining worker.
+    :param told_ms: the worker's clock in its record.
+    :param remaining_ms: the remaining time in the record of a draining worker.
+    :param removed: whether the worker has removed its record.
     """
 
     worker: SimWorker
@@ -85,13 +89,13 @@
 
 
 class _NullServer:
-    """A server that nobody reaches: clients' calls are made in-process."""
+    """A server without sockets: client calls are made in-process."""
 
     def __init__(self, *args: object, **kwargs: object) -> None:
         pass
 
     async def start(self, *args: object) -> None:
-        """Listen nowhere."""
+        """Do nothing: there is no socket."""
 
     async def stop(self) -> None:
         """Nothing is open."""
@@ -104,19 +108,19 @@
 
 
 class _Time:
-    """Numbers for incarnations that repeat with the seed."""
+    """A clock for incarnation numbers that are the same each time a seed is run."""
 
     def __init__(self) -> None:
         self._numbers = itertools.count(1)
 
     def time_ns(self) -> int:
-        """A number that rises."""
+        """Return the next number of a rising sequence."""
         return next(self._numbers) * 1_000_000
 
 
 @dataclass
 class Deployment:
-    """Everything of one simulated day."""
+    """The VMs, workers, links and store of one simulated day."""
 
     shape: Shape
     seed: int
@@ -131,7 +135,7 @@
         self.ways = Ways(self.world, random.Random(self.rng.random()))
         self.store = WatchedStore(self.world)
         self.workers = Workers(self.world, random.Random(self.rng.random()), self.shape.stop_s)
-        self._lives = itertools.count(1)
+        self._incarnations = itertools.count(1)
         self._patches = [
             unittest.mock.patch.object(entry_module, "HttpServer", _NullServer),
             unittest.mock.patch.object(entry_module, "time", _Time()),
@@ -154,7 +158,7 @@
         self.timeline.run(0.001)
 
     def close(self) -> None:
-        """End everything."""
+        """Remove the patches and close all loops."""
         for patch in self._patches:
             patch.stop()
         self.timeline.close()
@@ -167,13 +171,11 @@
             self.add_worker(f"r{rack + 1}-1", f"hall-{rack % self.shape.halls + 1}")
         for number in range(self.shape.entries):
             self.add_vm(f"entry-{number + 1}", f"hall-{number % self.shape.halls + 1}")
-        self.world.call_later(LAPSE_CHECK_S, self._lapse)
-
-    # VMs
+        self.world.call_later(LAPSE_CHECK_S, self._expire_records)
 
     def add_vm(self, name: str, hall: str) -> None:
-        """Start a VM, under a name that may have been another life's."""
-        life = next(self._lives)
+        """Start a VM; its name may have been used by an earlier incarnation."""
+        life = next(self._incarnations)
         loop = self.timeline.loop(name, random.Random(self.seed * 1000 + life))
         vm = Vm(name, hall, loop)
         self.vms[name] = vm
@@ -190,7 +192,7 @@
         await vm.entry.start()
 
     def kill(self, name: str) -> None:
-        """A VM's process dies; what it has sent arrives."""
+        """Kill a VM's process; messages that it has sent still arrive."""
         self.timeline.drop(self.vms.pop(name).loop)
 
     @property
@@ -200,18 +202,16 @@
 
     @property
     def latest_leader(self) -> Vm | None:
-        """The VM of the latest term; one whose term is over may not know it yet."""
+        """The VM of the latest term; a VM of an earlier term may still consider itself leader."""
         return max((vm for vm in self.vms.values() if vm.leads), key=_fence, default=None)
 
     def _orders(self, vm: str, record: WorkerRecord) -> SimOrders:
         return SimOrders(self.ways, self.workers, vm, record.worker_id, record.address)
 
-    # Clients
-
     def submit(
         self, vm: Vm, job_id: str, queue: str, request: JobRequest, account: str = ACCOUNT
     ) -> None:
-        """Hand a job in."""
+        """Submit a job."""
         if vm.entry is not None:
             vm.loop.create_task(self._submit(vm, job_id, client_call(queue, account), request))
 
@@ -236,7 +236,10 @@
             return
 
     def unfinished(self) -> list[str]:
-        """Accepted jobs that the leader knows of and does not show as over."""
+        """Acknowledged jobs that the leader knows and doesn't publish as over.
+
+        Without a leader, all acknowledged jobs.
+        """
         leader = self.leader
         if leader is None or leader.entry is None or leader.entry.scheduler is None:
             return sorted(self.acknowledged)
@@ -244,26 +247,24 @@
         final = (None, JobState.COMPLETED, JobState.FAILED, JobState.CANCELLED)
         return sorted(job for job in self.acknowledged if state(job) not in final)
 
-    # Workers
-
     def add_worker(self, rack: str, hall: str, address: str = "") -> SimWorker:
-        """A new life of a worker, which tells the store of itself."""
+        """Add a worker and start its heartbeats."""
         worker = self.workers.add(rack, hall, address)
-        self._tell(Heartbeats(worker))
+        self._register(Heartbeats(worker))
         return worker
 
     def restart_worker(self, beats: Heartbeats) -> None:
-        """A worker whose life has ended starts again under its id, at its address."""
+        """Restart a worker that has ended under the same ID and address."""
         old = beats.worker
         worker = self.workers.add(old.rack, old.hall, old.address, old.worker_id)
-        self._tell(Heartbeats(worker, beats.cut_until))
+        self._register(Heartbeats(worker, beats.cut_until))
 
-    def _tell(self, beats: Heartbeats) -> None:
+    def _register(self, beats: Heartbeats) -> None:
         self.heartbeats[beats.worker.worker_id] = beats
-        self._beat(beats)
+        self._heartbeat(beats)
 
     def write(self, beats: Heartbeats) -> bool:
-        """Write a worker's record; ``False`` where the store is not reached."""
+        """Write a worker's record; return ``False`` if it is not written."""
         now, worker = self.world.time(), beats.worker
         if now < beats.cut_until or not worker.up or beats.removed:
             return False
@@ -278,14 +279,14 @@
         return True
 
     def overwrite(self, beats: Heartbeats, change: dict[str, object] | None) -> None:
-        """Another writer changes a worker's entry; ``None`` makes it unreadable."""
+        """Change a worker's record as another writer; ``None`` makes it unreadable."""
         key = f"servers/{beats.worker.worker_id}"
         if self.store.item(key).revision:
             record = self._record(beats)
             self.store.put(key, b"\xff" if change is None else msgspec.json.encode(record | change))
 
     def is_listed(self, beats: Heartbeats) -> bool:
-        """Whether a worker's entry is in the store as the worker wrote it."""
+        """Whether the store holds a worker's record as the worker wrote it."""
         return self.store.peek(f"servers/{beats.worker.worker_id}") == beats.written
 
     def _record(self, beats: Heartbeats) -> dict[str, Any]:
@@ -313,16 +314,18 @@
             record["remaining-ms"] = beats.remaining_ms
         return record
 
-    def _beat(self, beats: Heartbeats) -> None:
+    def _heartbeat(self, beats: Heartbeats) -> None:
         if not beats.worker.up or beats.removed:
             return
         self.write(beats)
-        self.world.call_later(HEARTBEAT_S * self.rng.uniform(0.9, 1.1), self._beat, beats)
+        self.world.call_later(HEARTBEAT_S * self.rng.uniform(0.9, 1.1), self._heartbeat, beats)
 
     def drain(self, beats: Heartbeats, drain_s: float, longer_s: float, early_s: float) -> None:
-        """A worker announces its end, serves on for longer than that, and ends.
+        """Let a worker announce its end and end later.
 
-        :param early_s: so long before its end it removes its record.
+        :param drain_s: time to the announced end.
+        :param longer_s: how long it continues to serve after the announced end.
+        :param early_s: how long before its actual end it removes its record.
         """
         beats.leaves_s = self.world.time() + drain_s
         if not self.write(beats):
@@ -333,7 +336,7 @@
         self.world.call_later(left_s, self.end_worker, beats)
 
     def remove_record(self, beats: Heartbeats) -> None:
-        """A worker removes its record, if it reaches the store; else the record lapses."""
+        """Remove a worker's record if it reaches the store; otherwise the record expires."""
         beats.removed = True
         if self.heartbeats[beats.worker.worker_id] is not beats:
             return
@@ -341,16 +344,16 @@
             self.store.remove(f"servers/{beats.worker.worker_id}")
 
     def end_worker(self, beats: Heartbeats) -> None:
-        """A worker's life ends."""
+        """End an incarnation of a worker."""
         if beats.worker.up:
             self.workers.end(beats.worker)
 
-    def _lapse(self) -> None:
+    def _expire_records(self) -> None:
         now = self.world.time()
         for beats in self.heartbeats.values():
             if now - beats.written_s > LAPSE_HEARTBEATS * HEARTBEAT_S:
                 self.store.remove(f"servers/{beats.worker.worker_id}")
-        self.world.call_later(LAPSE_CHECK_S, self._lapse)
+        self.world.call_later(LAPSE_CHECK_S, self._expire_records)
 
 
 def _settings(vm: Vm, retention_s: float) -> EntrySettings:
@@ -371,7 +374,7 @@
 
 
 def client_call(queue: str, account: str) -> ClientCall:
-    """A client's call about a queue."""
+    """Return a client call for a queue."""
     return ClientCall(
         Queue(
             name=queue,
@@ -397,7 +400,7 @@
 
 
 def running_loop_name() -> str:
-    """The process that runs now."""
+    """The name of the process whose loop is running."""
     try:
         loop = asyncio.get_running_loop()
     except RuntimeError:
--- a/tests/simulation/jobs.py
+++ b/tests/simulation/jobs.py
@@ -1,4 +1,7 @@
-"""Kinds of jobs that days have by name alone, so that seeds go on naming the days they named."""
+"""Kinds of jobs that a day has only where its options name them.
+
+They are not drawn by the seed, so that existing seeds keep producing the same days.
+"""
 
 from __future__ import annotations
 
@@ -13,21 +16,21 @@
 from tests.simulation.workers import Plan
 
 OTHER_ACCOUNT = "others"
-"""The client account whose jobs fail, among those of another one."""
+"""The client account that submits the failing jobs."""
 KINDS = ("near", "rack_gangs", "per_worker")
 KIND_SHARE = 0.6
-"""Share of the jobs of a day that are of a kind where it is named and possible."""
+"""Share of the jobs of a day that are of a named kind, where the job allows it."""
 LARGEST_GANG = 16
-"""Accelerators of a gang of one rack: each rack of two workers holds it."""
+"""The most accelerators of a gang of one rack: a rack of two workers holds it."""
 CRASHES_S = (0.3, 2.0)
-"""A task that crashes its workers does so within this time."""
+"""Choices for the time within which a crashing task crashes its worker."""
 EARLY_S = (0.02, 0.2, 0.8)
-"""A job that fails early does so this long after its start."""
+"""Choices for the time after its start at which an early failure occurs."""
 
 
 @dataclass(frozen=True, slots=True)
 class HandedIn:
-    """A job as its client hands it in."""
+    """A job as its client submits it."""
 
     queue: str
     request: JobRequest
@@ -36,13 +39,13 @@
 
 @dataclass(frozen=True, slots=True)
 class JobKinds:
-    """Which jobs a day has besides.
+    """The additional kinds of jobs of a day.
 
-    :param named: some of ``near`` (data on one rack; work elsewhere takes longer), ``rack_gangs``
-        (gangs of one rack) and ``per_worker`` (few tasks on one worker).
-    :param failing: share of the jobs that one client account hands in and whose every task fails
-        once by its own fault.
-    :param crashing: share of the jobs one of whose tasks crashes each worker that starts it.
+    :param named: some of ``near`` (data on one rack; work on others takes longer), ``rack_gangs``
+        (gangs of one rack) and ``per_worker`` (a limit of tasks per worker).
+    :param failing: share of the jobs that :data:`OTHER_ACCOUNT` submits and each task of which
+        fails once by its own fault.
+    :param crashing: share of the jobs with one task that crashes each worker that starts it.
     """
 
     named: frozenset[str] = frozenset()
@@ -52,7 +55,7 @@
 
 @dataclass(slots=True)
 class JobsByName:
-    """Makes jobs of the kinds that a day names; where it names none, jobs stay as they are."""
+    """Changes jobs to the kinds that a day names; where it names none, jobs stay unchanged."""
 
     kinds: JobKinds
     shape: Shape
@@ -64,11 +67,11 @@
         self._rng = random.Random(self.seed * 11 + 3)
 
     def fail_until(self, until: float) -> None:
-        """What the other client account hands in before fails."""
+        """Let jobs fail that :data:`OTHER_ACCOUNT` submits before a time."""
         self._fails_until = until
 
     def changed(self, job: HandedIn, now: float) -> HandedIn:
-        """A job as this day has it."""
+        """The job with the changes of this day."""
         request = job.request
         for kind in KINDS:
             if kind in self.kinds.named and self._rng.random() < KIND_SHARE:
--- a/tests/simulation/loops.py
+++ b/tests/simulation/loops.py
@@ -1,4 +1,4 @@
-"""Event loops that share one virtual clock, and of which each may stand still for a while."""
+"""Event loops that share one virtual clock, and each of which may be paused for a while."""
 
 from __future__ import annotations
 
@@ -14,17 +14,18 @@
 from saddlestack.standins.loop import WALL_EPOCH_S
 
 LAST_TURNS = 12
-"""Turns in which cancelled tasks have ended."""
+"""Number of loop iterations after which cancelled tasks have ended."""
 
 
 @dataclass(slots=True)
 class Slowness:
-    """How a VM's processor treats it for a while.
+    """How a VM is slowed down for a while, as by a busy processor.
 
-    :param turn_stall: chance that it stands still before a turn of its event loop.
-    :param line_stall: chance that it stands still where it reads the clock.
-    :param longest_s: the longest stall.
-    :param step_s: the longest time that each turn takes besides.
+    :param until: virtual time at which it ends.
+    :param turn_stall: chance of a pause before an iteration of its event loop.
+    :param line_stall: chance of a pause where it reads the clock.
+    :param longest_s: the longest such pause.
+    :param step_s: the longest time that is added to each iteration.
     """
 
     until: float = 0.0
@@ -35,7 +36,7 @@
 
 
 class _NoSelector(selectors.SelectSelector):
-    """There are no sockets: nothing is ever ready, and nothing is waited for."""
+    """A selector without sockets: it never waits and nothing is ever ready."""
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         return []
@@ -44,8 +45,11 @@
 class SharedLoop(asyncio.SelectorEventLoop):
     """An event loop on the clock of a :class:`Timeline`.
 
-    What stands still between two lines of one turn is told by the clock: what the turn does later
-    is done later, and the next turn waits for that moment.
+    A pause in the middle of an iteration shows as a jump of the clock: the rest of the iteration
+    happens at the later time, and the next iteration is not run before it.
+
+    :ivar stands_until: virtual time until which the loop is paused.
+    :ivar suspended_s: total length of all suspensions.
     """
 
     def __init__(self, timeline: Timeline, name: str, rng: random.Random) -> None:
@@ -57,34 +61,34 @@
         self.slowness = Slowness()
         self._timeline = timeline
         self._rng = rng
-        self._late_s = 0.0
-        self._turning = False
+        self._delay_s = 0.0
+        self._in_turn = False
         self.stands_until = 0.0
         self.suspended_s = 0.0
 
     def suspend(self, seconds: float) -> None:
-        """Do nothing for a while that this loop's clock and its timers do not count."""
+        """Pause the loop; its clock and its timers do not count the time."""
         self.stand_still(seconds)
         self.suspended_s += seconds
 
     def time(self) -> float:
-        """The virtual time as this loop's process sees it: without its suspensions."""
+        """The virtual time as this loop's process measures it: without its suspensions."""
         slow = self.slowness
-        slowed = self._turning and slow.line_stall and self._timeline.now < slow.until
+        slowed = self._in_turn and slow.line_stall and self._timeline.now < slow.until
         if slowed and self._rng.random() < slow.line_stall:
-            self._late_s += self._rng.uniform(0.0, slow.longest_s)
-        return self._timeline.now + self._late_s - self.suspended_s
+            self._delay_s += self._rng.uniform(0.0, slow.longest_s)
+        return self._timeline.now + self._delay_s - self.suspended_s
 
     def world_s(self) -> float:
-        """The virtual time of all, as this loop's process lives it."""
+        """The shared virtual time, with the delays of this loop's current iteration."""
         return self.time() + self.suspended_s
 
     def stand_still(self, seconds: float) -> None:
-        """Do nothing for a while."""
+        """Pause the loop; its clock goes on."""
         self.stands_until = max(self.stands_until, self._timeline.now + seconds)
 
     def next_s(self) -> float:
-        """When the next turn is due; infinite where nothing is to be done."""
+        """When the next iteration is due; infinite where nothing is scheduled."""
         ready: Any = self._ready  # type: ignore[attr-defined]
         timers: Any = self._scheduled  # type: ignore[attr-defined]
         if ready:
@@ -94,7 +98,7 @@
         return math.inf
 
     def end(self) -> None:
-        """End all tasks, so that none is left to be collected."""
+        """Cancel all tasks, so that none is left to be collected, and close the loop."""
         self.slowness = Slowness()
         for _ in range(LAST_TURNS):
             for task in asyncio.all_tasks(self):
@@ -103,26 +107,26 @@
         self.close()
 
     def turn(self) -> None:
-        """Run what is ready, once."""
+        """Run one iteration of the loop."""
         slow = self.slowness
         if self._timeline.now < slow.until and self._rng.random() < slow.turn_stall:
             self.stand_still(self._rng.uniform(0.0, slow.longest_s))
             return
-        self._turning = True
+        self._in_turn = True
         try:
             self.stop()
             self.run_forever()
         finally:
-            self._turning = False
+            self._in_turn = False
         if self._timeline.now < slow.until and slow.step_s:
-            self._late_s += self._rng.uniform(0.0, slow.step_s)
-        if self._late_s:
-            self.stand_still(self._late_s)
-            self._late_s = 0.0
+            self._delay_s += self._rng.uniform(0.0, slow.step_s)
+        if self._delay_s:
+            self.stand_still(self._delay_s)
+            self._delay_s = 0.0
 
 
 class Timeline:
-    """One virtual clock, and the loops that live on it."""
+    """One virtual clock and the loops that run on it."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -130,19 +134,19 @@
         self._dropped: list[SharedLoop] = []
 
     def loop(self, name: str, rng: random.Random) -> SharedLoop:
-        """A new loop."""
+        """Create a loop."""
         loop = SharedLoop(self, name, rng)
         self.loops.append(loop)
         return loop
 
     def drop(self, loop: SharedLoop) -> None:
-        """A process dies: nothing of it runs any more."""
+        """Stop running a loop, as when its process dies."""
         loop.dead = True
         self.loops.remove(loop)
         self._dropped.append(loop)
 
     def run(self, until: float, ended: Callable[[], bool] = lambda: False) -> None:
-        """Let time pass."""
+        """Advance the clock to a time, or until a condition holds."""
         while not ended():
             due = [(loop.next_s(), loop) for loop in self.loops]
             first = min(at for at, _ in due)
@@ -155,7 +159,7 @@
                     loop.turn()
 
     def close(self) -> None:
-        """Free what the loops hold."""
+        """Close all loops."""
         for loop in [*self.loops, *self._dropped]:
             loop.dead = True
             loop.end()
@@ -165,7 +169,7 @@
     """A VM's clock on a :class:`Timeline`."""
 
     def now(self) -> float:
-        """Seconds that count suspensions."""
+        """Seconds, suspensions included."""
         return asyncio.get_running_loop().time() + self.suspended_s()
 
     def suspended_s(self) -> float:
@@ -174,5 +178,5 @@
         return loop.suspended_s if isinstance(loop, SharedLoop) else 0.0
 
     def wall(self) -> float:
-        """A wall time, which is right also after a suspension."""
+        """Wall-clock time, which is correct also after a suspension."""
         return WALL_EPOCH_S + self.now()
--- a/tests/simulation/scene.py
+++ b/tests/simulation/scene.py
@@ -1,4 +1,4 @@
-"""A deployment with the judge of standstills, for tests that hand in jobs of their own."""
+"""A simulated deployment with stall detection, for tests that submit their own jobs."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from tests.simulation.workers import Plan
 
 BEGINS_S = 2.0
-"""Workers and a leader are there by then."""
+"""Workers are registered and a leader is elected by then."""
 JOB = "a" * 16
 OTHER = "b" * 16
 ROOM = 8
@@ -20,19 +20,19 @@
 
 
 def job(step: Step, work_s: float = 0.5, **more: int) -> JobRequest:
-    """A job of one step, or of two that follow each other."""
+    """A job of one step."""
     plan = Plan(work_s, step.needs.accelerators, step.count if step.gang else 0)
     payload = msgspec.json.encode(plan).decode()
     return JobRequest(payload=payload, steps=(step,), **more)
 
 
 def tasks(count: int, accelerators: int = 1, **more: bool) -> Step:
-    """A step."""
+    """A step of some tasks with the given number of accelerators each."""
     return Step(count=count, needs=Resources(500, 512, accelerators), **more)
 
 
 class SceneTest(unittest.TestCase):
-    """Twelve workers of eight accelerators in four racks, three VMs, and the judge."""
+    """Twelve workers of eight accelerators in four racks, three VMs, and a stall detector."""
 
     def setUp(self) -> None:
         self.site = Deployment(Shape(), seed=1)
@@ -62,6 +62,6 @@
         return self.judge.found
 
     def crash_worker_of(self, job_id: str) -> None:
-        """The life of the worker ends that began the latest run of a job."""
+        """End the incarnation of the worker that started the latest run of a job."""
         run = next(r for r in reversed(self.site.workers.begun) if r.task.job_id == job_id)
         self.site.end_worker(self.site.heartbeats[run.worker.worker_id])
--- a/tests/simulation/told.py
+++ b/tests/simulation/told.py
@@ -1,4 +1,4 @@
-"""What a VM tells of jobs right after a suspension: no job that is over may be told of as open."""
+"""Checks that a VM that was suspended reports no job as open that has finished meanwhile."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from tests.simulation.deployment import Deployment, Vm, client_call
 
 ASKED = 3
-"""Jobs that are asked for at a time."""
+"""The most jobs queried after one suspension."""
 OPEN = frozenset({JobState.QUEUED, JobState.RUNNING})
 
 
 class ToldJudge:
-    """Asks VMs that wake for jobs that others have shown as over meanwhile.
+    """Queries VMs that resume for jobs that the leader has published as finished meanwhile.
 
     :param accounts: the client account of each job.
     """
@@ -26,7 +26,7 @@
         self.broken: list[str] = []
 
     def over(self) -> set[str]:
-        """The jobs that the present leader shows as over."""
+        """The jobs that the current leader publishes as finished."""
         leader = self._site.latest_leader
         scheduler = None if leader is None or leader.entry is None else leader.entry.scheduler
         if scheduler is None:
@@ -35,9 +35,9 @@
         return {job_id for job_id in known if scheduler.state(job_id) in FINAL_STATES}
 
     def ask(self, vm: Vm, before: set[str]) -> None:
-        """A VM goes on: it is asked for jobs that have come to an end while it was suspended.
+        """Query a VM that resumes for jobs that finished while it was suspended.
 
-        :param before: jobs that were over already.
+        :param before: jobs that had finished before the suspension.
         """
         if self._site.vms.get(vm.name) is not vm:
             return
--- a/tests/simulation/troubles.py
+++ b/tests/simulation/troubles.py
@@ -1,30 +1,31 @@
-"""What is wrong with the leader, the store and the workers at a moment, and what that excuses.
+"""The faults of the leader, the store and the workers at a time, and the stalls they explain.
 
-A standstill is explained where one of these rules held at a moment of it; the rules are asked anew
-at each look, and a job that stands for as long again after the last of them is not explained by
-it. So none of them needs time for what follows a trouble: 3 s of standing have it already.
+A stall is explained if one of these rules held at any time during it. The rules are evaluated anew
+at each scan, and a job that stays stalled for as long again after the last of them held is not
+explained by it. So no rule adds time for recovery from a fault: the 3 s that a job has to be
+stalled include it already.
 
 ``NO_LEADER``
     No VM schedules: nobody can start anything.
 ``LEADER``
-    The VM that schedules stands still or is slow, by the day's trouble.
+    The VM that schedules is paused or slowed down by a fault of the day.
 ``STORE``
-    The way from a scheduling VM to the store has trouble: what starts has to be written first.
+    The link from a scheduling VM to the store has a fault: a start has to be written first.
 ``DOUBT``
-    A run of the job, or the order for one, is at a worker that the leader cannot ask now: it has
-    ended its life, or the leader's way there has trouble, or its entry in the store is not as it
-    wrote it. The leader has no proof that the run is over, and a second run would be a doubled
-    one. It holds no longer than the leases do: ``DOUBT_S`` after the order, or after the run's end
-    where the worker ran it, and ``INHERITED_S`` after the term began, since leaders before may have
-    granted more. So does a run that the store has as given to such a worker, though no order for
-    it left: a leader that came since cannot know that.
+    A run of the job, or the order for one, is at a worker that the leader cannot reach now: its
+    incarnation has ended, or the leader's link to it has a fault, or its record in the store is
+    not as it wrote it. The leader has no proof that the run is over, and a second run might run at
+    the same time. The rule holds no longer than the leases do: ``DOUBT_S`` after the order, or
+    after the run's end where the worker ran it, and ``INHERITED_S`` after the term began, since
+    earlier leaders may have granted more. The same holds for a run that the store has as assigned
+    to such a worker although no order was sent: a later leader cannot know that.
 ``OUT_OF_REACH``
-    Half of the accelerators of all workers that live is held, those out of reach among them, though
-    less is of those that serve.
+    Half of the accelerators of all running workers, unreachable ones included, is in use, although
+    less than half is on the workers that serve.
 
-A way that is slow, but answers within the shortest time-out there, is no trouble. Besides, a worker
-that takes nothing now counts as neither free nor used (see :meth:`Troubles.counts`); of one that is
-looked at, while orders of other kinds do not reach it, the free room counts for no job.
+A link that is slow but answers within the shortest timeout used there is not a fault. A worker that
+accepts no work now counts as neither free nor used (see :meth:`Troubles.counts`). The free capacity
+of a worker that can be polled but that other kinds of orders do not reach counts for no job.
 """
 
 from __future__ import annotations
@@ -47,15 +48,15 @@
 from tests.simulation.workers import HOLD_S, SimWorker
 
 LONGEST_LEASE_S = HOLD_S * CLOCK_DRIFT + LAPSE_SLACK_S
-"""For so long a leader counts a lease that it has granted."""
+"""How long a leader assumes that a lease it granted is held."""
 DOUBT_S = LONGEST_LEASE_S + LONG_POLL_S + LONG_POLL_SLACK_S
-"""The last lease may leave for a worker with a look that began just before it fell silent."""
+"""The last lease may be sent with a poll that began just before the worker became unreachable."""
 INHERITED_S = LEASE_S + RENEWAL_GRACE_S + LONGEST_LEASE_S
-"""For so long from its beginning a leader counts the leases of leaders before."""
+"""How long from its beginning a term assumes that leases of earlier leaders are held."""
 
 
 class Rule(enum.StrEnum):
-    """Why a job may stand, see the module."""
+    """Why a job may be stalled, see the module's docstring."""
 
     NO_LEADER = "no leader"
     LEADER = "leader in trouble"
@@ -66,10 +67,10 @@
 
 @dataclass(slots=True)
 class Troubles:
-    """What is wrong at one moment.
+    """The faults at one time.
 
     :param leader: the VM of the latest term, if one schedules.
-    :param term_began_s: since when it was seen to do so.
+    :param term_began_s: when it was first observed to schedule.
     """
 
     site: Deployment
@@ -87,21 +88,21 @@
             yield Rule.LEADER
         if self._has_fault({STORE}, CALL_TIMEOUT_S):
             yield Rule.STORE
-        if not self._whole_pool().is_mostly_free:
+        if not self._usage_of_all_workers().is_mostly_free:
             yield Rule.OUT_OF_REACH
 
     def of_job(self, job_id: str) -> Iterator[Rule]:
         """The rules that hold for one job."""
-        if any(self._in_doubt(job_id)) or any(self._inherited(job_id)):
+        if any(self._unreachable_ordered(job_id)) or any(self._unreachable_assigned(job_id)):
             yield Rule.DOUBT
 
     def counts(self, worker: SimWorker) -> bool:
         """Whether a worker counts as part of the pool now.
 
-        Not one that leaves, that the leader cannot look at, or that fails what it starts by its own
-        fault: the last for as long as the longest quarantine after its last such failure. Nor one
-        whose address another life has had at the same time: days bring that about where a worker
-        leaves later than it was to, and no deployment does.
+        A worker doesn't count if it is draining, if the leader cannot poll it, or if it fails runs
+        by its own fault; the last for as long as the longest quarantine after the last such
+        failure. Neither does one whose address another incarnation used at the same time: this
+        happens on simulated days where a worker leaves late, but in no deployment.
         """
         if worker.shares_address:
             return False
@@ -110,32 +111,36 @@
             return False
         if self.now < max(worker.grey_until, worker.failed_s + LONGEST_QUARANTINE_S):
             return False
-        return worker.up and self.site.is_listed(beats) and not self._is_cut_off(worker, ("/hold",))
+        return (
+            worker.up
+            and self.site.is_listed(beats)
+            and not self._has_link_fault(worker, ("/hold",))
+        )
 
     def serves(self, worker: SimWorker) -> bool:
-        """Whether a worker counts, and what it has free may be used."""
+        """Whether a worker counts and its free capacity may be used."""
         return self.counts(worker) and not self.keeps_from(worker)
 
     def keeps_from(self, worker: SimWorker) -> bool:
-        """Whether the leader cannot ask a worker now."""
+        """Whether the leader cannot reach a worker now."""
         if not worker.up:
             return True
         beats = self.site.heartbeats[worker.worker_id]
         if beats.worker is not worker or not self.site.is_listed(beats):
             return True
-        return self._is_cut_off(worker, ("/start", "/stop", "/hold"))
+        return self._has_link_fault(worker, ("/start", "/stop", "/hold"))
 
-    def _is_cut_off(self, worker: SimWorker, kinds: tuple[str, ...]) -> bool:
-        """Whether the way to a worker has trouble, for all orders or for one of some kinds."""
+    def _has_link_fault(self, worker: SimWorker, kinds: tuple[str, ...]) -> bool:
+        """Whether the link to a worker has a fault, for all orders or for one of some kinds."""
         name = worker.worker_id
         return self._has_fault({name, *(name + kind for kind in kinds)}, POLL_TIMEOUT_S)
 
-    def _whole_pool(self) -> PoolUsage:
+    def _usage_of_all_workers(self) -> PoolUsage:
         alive = [worker for worker in self.site.workers.lives.values() if worker.up]
         total = sum(worker.room for worker in alive)
         return PoolUsage(total - sum(worker.free for worker in alive), total)
 
-    def _in_doubt(self, job_id: str) -> Iterator[bool]:
+    def _unreachable_ordered(self, job_id: str) -> Iterator[bool]:
         last_s = self.term_began_s + INHERITED_S
         workers = self.site.workers
         for order in workers.orders.get(job_id, ()):
@@ -145,8 +150,8 @@
             if not settled and self.now < max(last_s, ended_s + DOUBT_S):
                 yield self.keeps_from(order.worker)
 
-    def _inherited(self, job_id: str) -> Iterator[bool]:
-        """Whether the leader cannot ask the workers that earlier ones gave runs of a job."""
+    def _unreachable_assigned(self, job_id: str) -> Iterator[bool]:
+        """Whether the leader cannot reach workers with runs that earlier leaders assigned."""
         if self.now >= self.term_began_s + INHERITED_S:
             return
         for value in self.site.store.peek_under(progress_key(f"{job_id}.")):
@@ -157,20 +162,20 @@
                         yield self.keeps_from(worker)
 
     def _has_fault(self, others: set[str], timeout_s: float) -> bool:
-        """Whether the way of a VM that schedules to something has trouble.
+        """Whether a link from a scheduling VM to one of some targets has a fault.
 
-        :param timeout_s: the shortest that it waits there for an answer.
+        :param timeout_s: the shortest timeout of calls on that link.
         """
         leaders = {vm.name for vm in self.site.vms.values() if vm.leads} | {ANY}
         return any(
             fault.until > self.now
             and fault.vm in leaders
             and fault.other in (others | {ANY})
-            and not _is_harmless(fault, timeout_s)
+            and not _is_in_time(fault, timeout_s)
             for fault in self.site.ways.faults
         )
 
 
-def _is_harmless(fault: Fault, timeout_s: float) -> bool:
-    """Whether every call is answered in time all the same."""
+def _is_in_time(fault: Fault, timeout_s: float) -> bool:
+    """Whether every call is answered in time despite a fault."""
     return fault.kind == "slow" and 2 * (fault.strength + TRIP_S) < timeout_s
--- a/tests/simulation/ways.py
+++ b/tests/simulation/ways.py
@@ -1,7 +1,7 @@
-"""The ways between a VM, the workers, the store and the other VMs, with their faults.
+"""The links between a VM, the workers, the store and the other VMs, with their faults.
 
-Calls leave and arrive at moments of their own: they overtake each other, get lost on either way, or
-are carried out seconds late. Answers reach a VM that stands still when it goes on.
+Requests and answers take individual times: calls overtake each other, get lost in either direction,
+or are carried out seconds late. Answers reach a paused VM when it resumes.
 """
 
 from __future__ import annotations
@@ -49,17 +49,19 @@
 ANY = "*"
 TRIP_S = 0.002
 MOST_HOPS = 3
-"""An answer that is ready wakes its reader after some turns of the loop, or at once: where a VM
-stood still, its time-out comes first or last."""
+"""An answer wakes its reader at once or after some iterations of the loop, so that after a pause
+of the VM either the answer or the timeout may come first."""
 
 
 @dataclass(slots=True)
 class Fate:
-    """What becomes of one call.
+    """The outcome of one call.
 
-    :param arrives: its request does.
-    :param answers: its answer does.
-    :param late_s: it is carried out so much later, and not answered.
+    :param out_s: time until its request arrives.
+    :param back_s: time until its answer arrives.
+    :param arrives: whether its request arrives.
+    :param answers: whether its answer arrives.
+    :param late_s: if positive, the call is carried out this much later and is not answered.
     """
 
     out_s: float
@@ -73,8 +75,9 @@
 
 @dataclass(slots=True)
 class Fault:
-    """Trouble of the ways that match, until some time.
+    """A fault of all matching links until some time.
 
+    :param vm: the calling VM, or :data:`ANY`.
     :param other: a worker, or one kind of its orders as ``worker/start``; the store; a VM.
     :param kind: ``cut``, ``mute`` (answers get lost), ``reset``, ``busy``, ``slow``, ``lossy`` or
         ``late``.
@@ -89,30 +92,30 @@
 
 @dataclass(slots=True)
 class Ways:
-    """Draws the fate of each call."""
+    """Draws the outcome of each call from the current faults."""
 
     world: SharedLoop
     rng: random.Random
     faults: list[Fault] = field(default_factory=list)
 
     def add(self, fault: Fault) -> None:
-        """Trouble begins."""
+        """Add a fault."""
         now = self.world.time()
         self.faults = [each for each in self.faults if each.until > now]
         self.faults.append(fault)
 
     def fate(self, vm: str, other: str) -> Fate:
-        """What becomes of a call that leaves now."""
+        """Draw the outcome of a call that is sent now."""
         rng, now = self.rng, self.world.time()
         others = (ANY, other, other.partition("/")[0])
         fate = Fate(rng.uniform(0.0, TRIP_S), rng.uniform(0.0, TRIP_S))
         for fault in self.faults:
             if fault.until <= now or fault.vm not in (ANY, vm) or fault.other not in others:
                 continue
-            self._harm(fate, fault)
+            self._apply(fate, fault)
         return fate
 
-    def _harm(self, fate: Fate, fault: Fault) -> None:
+    def _apply(self, fate: Fate, fault: Fault) -> None:
         rng = self.rng
         match fault.kind:
             case "cut":
@@ -136,7 +139,7 @@
 
 @dataclass(slots=True)
 class Call:
-    """A call of a VM that waits for its answer."""
+    """A call whose VM waits for the answer."""
 
     loop: SharedLoop
     world: SharedLoop
@@ -144,7 +147,7 @@
     future: asyncio.Future[Any]
 
     def answer(self, value: object, back_s: float) -> None:
-        """Let an answer reach the VM."""
+        """Deliver an answer to the VM."""
         self.world.call_later(back_s, self._arrive, value, self.rng.randrange(MOST_HOPS))
 
     def _arrive(self, value: object, hops: int) -> None:
@@ -162,7 +165,7 @@
 
 
 Carry = Callable[[Callable[[object], None]], None]
-"""Carries a call out, and is given what takes its answer."""
+"""Carries out a call; its argument receives the answer."""
 
 
 async def _call(
@@ -170,7 +173,7 @@
 ) -> Any:
     """Make a call.
 
-    :param refused: the error that a reset or a refusal shows as.
+    :param refused: makes the error that a reset raises.
     :raises TimeoutError: no answer.
     """
     loop = asyncio.get_running_loop()
@@ -198,10 +201,10 @@
 
 
 class SimOrders:
-    """One VM's way to one life of a worker.
+    """One VM's link to one incarnation of a worker.
 
-    :param life: its name. Where it tells a birth no other life is given its orders; otherwise any
-        life of the worker's id takes them.
+    :param life: the incarnation name. If it has a start time, no other incarnation receives the
+        orders; otherwise any incarnation with the worker's ID does.
     """
 
     def __init__(self, ways: Ways, workers: Workers, vm: str, life: str, address: str) -> None:
@@ -220,7 +223,7 @@
         noted = self._workers.note_order(self._worker, order, sent)
 
         def carry(reply: Callable[[object], None]) -> None:
-            self._reach()
+            self._check_worker()
             reply(self._workers.start(self._worker, order, self._vm, sent))
 
         reply: StartReply = await self._order("start", timeout_s, carry)
@@ -231,22 +234,22 @@
         """Stop a run."""
 
         def carry(reply: Callable[[object], None]) -> None:
-            self._reach()
+            self._check_worker()
             self._workers.stop(self._worker, task, run, fence)
             reply(None)
 
         await self._order("stop", timeout_s, carry)
 
     async def pace(self, task: str, run: int, percent: int, fence: int, timeout_s: float) -> None:
-        """Nothing here serves, so nothing is paced."""
+        """Do nothing: no simulated work is paced."""
 
     async def hold(
         self, fence: int, deadline_ms: int | None, seen: int, wait_s: float, timeout_s: float
     ) -> WorkerReport:
-        """Renew the lease, acknowledge ends, and look."""
+        """Renew the lease, acknowledge ends, and poll."""
 
         def carry(reply: Callable[[object], None]) -> None:
-            self._reach()
+            self._check_worker()
             self._workers.hold(self._worker, fence, deadline_ms, seen, wait_s, reply)
 
         report: WorkerReport = await self._order("hold", timeout_s, carry)
@@ -254,13 +257,13 @@
         return report
 
     def close(self) -> None:
-        """Nothing is kept open."""
+        """Do nothing: no connection is open."""
 
-    def _reach(self) -> None:
-        """See that this life of the worker is there.
+    def _check_worker(self) -> None:
+        """Check that this incarnation of the worker is up.
 
-        :raises WorkerReplaced: another one is, at its address.
-        :raises WorkerUnreachable: none is.
+        :raises WorkerReplaced: another incarnation is up at its address.
+        :raises WorkerUnreachable: none is up there.
         """
         lives = [each for each in self._workers.lives.values() if each.address == self._address]
         alive = next((each for each in lives if each.up), None)
@@ -292,7 +295,7 @@
 
 @dataclass(slots=True, eq=False)
 class _Watch:
-    """A watch that waits for a change."""
+    """A watch request that waits for a change."""
 
     prefix: str
     after: int
@@ -301,7 +304,7 @@
 
 
 class WatchedStore(StoreState):
-    """The store itself; watches wait for its changes."""
+    """The state of the store, with watches that wait for changes."""
 
     def __init__(self, world: SharedLoop) -> None:
         super().__init__()
@@ -309,41 +312,41 @@
         self._watches: list[_Watch] = []
 
     def grant(self, ttl_s: float) -> int:
-        """A new lease, whose end is told at once."""
+        """Grant a lease; watches are notified as soon as it expires."""
         lease = super().grant(ttl_s)
-        self._world.call_later(ttl_s, self._see_lease, lease)
+        self._world.call_later(ttl_s, self._check_lease, lease)
         return lease
 
     def watch(self, watch: _Watch, wait_s: float) -> None:
-        """Answer once something has changed, or after some time."""
-        if self._told(watch, last=False):
+        """Answer a watch once something has changed, at the latest after ``wait_s``."""
+        if self._answer_watch(watch, last=False):
             return
         self._watches.append(watch)
-        self._world.call_later(wait_s, self._told, watch, True)
+        self._world.call_later(wait_s, self._answer_watch, watch, True)
 
     def stretch_leases(self, seconds: float) -> None:
-        """Leases wait while the store is down."""
+        """Extend all leases, as for the time of an outage."""
         for lease in self._leases.values():
             lease.until += seconds
 
     def lease_of(self, key: str) -> int:
-        """The lease that a key hangs on; 0 where there is none."""
+        """The lease that a key is attached to; 0 where there is none."""
         kept = self._keys.get(key)
         return 0 if kept is None else kept.lease
 
     def peek(self, key: str) -> bytes:
-        """The value of a key as it stands, for who only looks on; empty where it is absent."""
+        """The current value of a key, read without side effects; empty where it is absent."""
         kept = self._keys.get(key)
         return b"" if kept is None else kept.value
 
     def peek_under(self, prefix: str) -> list[bytes]:
-        """The values of all keys under a prefix as they stand, for who only looks on."""
+        """The current values of all keys under a prefix, read without side effects."""
         return [kept.value for key, kept in self._keys.items() if key.startswith(prefix)]
 
     def changes(self, prefix: str, after: int) -> list[Item]:
-        """What changed after a revision.
+        """The changes after a revision, oldest first.
 
-        :raises HistoryGone: it is no longer known.
+        :raises HistoryGone: the history since then is no longer kept.
         """
         if after < self._forgotten:
             raise HistoryGone(prefix)
@@ -355,21 +358,21 @@
                 found.append(event.item)
         return found[::-1]
 
-    def _see_lease(self, lease: int) -> None:
+    def _check_lease(self, lease: int) -> None:
         kept = self._leases.get(lease)
         if kept is None:
             return
         left_s = kept.until - self._world.time()
         if left_s > 0:
-            self._world.call_later(left_s, self._see_lease, lease)
+            self._world.call_later(left_s, self._check_lease, lease)
             return
         self._expire()
 
     def _notify(self) -> None:
         for watch in list(self._watches):
-            self._told(watch, last=False)
+            self._answer_watch(watch, last=False)
 
-    def _told(self, watch: _Watch, last: bool) -> bool:
+    def _answer_watch(self, watch: _Watch, last: bool) -> bool:
         if watch.over:
             return True
         try:
@@ -387,7 +390,7 @@
 
 
 class SimStore:
-    """One VM's way to the store: a :class:`saddlestack.interfaces.store.MetadataStore`."""
+    """One VM's link to the store: a :class:`saddlestack.interfaces.store.MetadataStore`."""
 
     def __init__(self, ways: Ways, state: WatchedStore, vm: str) -> None:
         self._ways = ways
@@ -395,15 +398,15 @@
         self._vm = vm
 
     def reconnect(self) -> None:
-        """Each call has a connection of its own."""
+        """Do nothing: each call has its own connection."""
 
     async def get(self, key: str) -> Item:
-        """A key; revision 0 where it is absent."""
+        """Return a key; revision 0 where it is absent."""
         found: Item = await self._read(CALL_TIMEOUT_S, lambda: self._state.item(key))
         return found
 
     async def list(self, prefix: str) -> Listing:
-        """All keys under a prefix."""
+        """Return all keys under a prefix."""
 
         def read() -> Listing:
             return Listing(tuple(self._state.keys(prefix)), self._state.revision)
@@ -412,7 +415,7 @@
         return found
 
     async def watch(self, prefix: str, after: int, wait_s: float) -> Listing:
-        """Changes after a revision."""
+        """Wait for changes after a revision."""
 
         def carry(reply: Callable[[object], None]) -> None:
             self._state.watch(_Watch(prefix, after, reply), wait_s)
@@ -421,7 +424,7 @@
         return found
 
     async def transact(self, transaction: Transaction) -> Committed | Conflict:
-        """Make changes all together."""
+        """Apply a transaction."""
 
         def carry(reply: Callable[[object], None]) -> None:
             reply(_outcome(lambda: self._state.transact(transaction)))
@@ -437,7 +440,7 @@
             raise StoreUnavailable("503") from None
 
     async def grant_lease(self, ttl_s: float) -> tuple[int, float]:
-        """A new lease."""
+        """Grant a lease."""
         lease: int = await self._read(CALL_TIMEOUT_S, lambda: self._state.grant(ttl_s))
         return lease, ttl_s
 
@@ -466,7 +469,7 @@
 
 
 def _outcome(work: Callable[[], object]) -> object:
-    """What work returns, or the store's error."""
+    """Return the result of a call of the store's state, or the store's error."""
     try:
         return work()
     except (LeaseExpired, HistoryGone) as error:
@@ -476,7 +479,7 @@
 class SimPeers(Peers):
     """Calls between VMs, without sockets.
 
-    :cvar reach: finds a VM's peers by name; set by the deployment.
+    :cvar reach: returns a VM's peers by its name; set by the deployment.
     """
 
     ways: Ways
@@ -490,10 +493,10 @@
         self.loop = loop
 
     async def start(self) -> None:
-        """There are no sockets."""
+        """Do nothing: there are no sockets."""
 
     async def ask(self, vm: str, question: object, kind: type[T]) -> T:
-        """Ask a VM; this VM answers itself."""
+        """Send a question to a VM; a question to this VM is answered directly."""
         method = type(question).__name__
         if vm == self._membership.local.vm:
             own: Any = await self._methods[method][1](question)
@@ -522,7 +525,7 @@
             raise PeerUnavailable("refused") from None
 
     async def answer(self, method: str, question: Any, reply: Callable[[object], None]) -> None:
-        """Answer another VM."""
+        """Answer a question of another VM."""
         work: Coroutine[Any, Any, object] = self._methods[method][1](question)  # type: ignore[assignment]
         try:
             answer: object = await work
--- a/tests/simulation/workers.py
+++ b/tests/simulation/workers.py
@@ -1,4 +1,4 @@
-"""Workers as the platform's pages tell of them, and the account of every run."""
+"""Simulated workers that follow the platform's documentation, and the history of every run."""
 
 from __future__ import annotations
 
@@ -29,24 +29,28 @@
 ALONE_S = 3.0
 HOLD_S = 10.0
 ROOM_NEWS_S = 4.0
-"""A room that has shrunk counts from then on: a heartbeat, and what VMs may take to hear."""
+"""Grace period after a worker's capacity shrank: a heartbeat, and the delay until VMs get it."""
 CRASHES = 3
-"""Once so many workers have crashed under a task..."""
+"""Crashes of workers by one task after which further starts of it are limited."""
 STARTS_MORE = 3
-"""...so many more starts of it break a promise."""
+"""Further starts of a crashing task that violate the limit."""
 CRASHES_FROM_S = 0.05
 FAR_SLOWED = 3.0
-"""So many times as long takes work with data on another rack."""
+"""Factor by which work takes longer if its data is on another rack."""
 
 
 class Plan(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What a task does, as the payload of its job spells it (JSON).
+    """What the tasks of a job do; the payload of the job (JSON).
 
-    :param failures: so many of its runs fail by its own fault...
-    :param fails_s: ...so long after they began; 0 for at their end.
+    :param room: accelerators per task.
+    :param gang: number of members; 0 for no gang.
+    :param failures: number of runs of each task that fail by its own fault.
+    :param lasts: whether the work is long-running.
+    :param fails_s: time after its start at which such a run fails; 0 for the end of its work.
     :param near: the rack of its data; on others its work takes longer.
-    :param crashing: index of a task of its first step and time that crashes each worker that starts
-        it, so long at most after its work began there; -1 for none.
+    :param crashing: index of a task of the first step of the first occurrence that crashes each
+        worker that starts it; -1 for none.
+    :param crashes_s: the longest time from the start of that task's work to the crash.
     """
 
     work_s: float
@@ -64,10 +68,11 @@
 class SimRun:
     """One run at one worker.
 
-    :param noted: its end was acknowledged, before the worker's lease lapsed.
-    :param lapsed: the worker's lease lapsed before that: such an end counts for nothing.
-    :param slowed: its work takes so many times as long there.
-    :param hung_until: it makes no progress before.
+    :param done_s: seconds of work that earlier runs saved.
+    :param noted: its end was acknowledged before the worker's lease expired.
+    :param lapsed: the worker's lease expired before that: such an end is void.
+    :param slowed: factor by which its work takes longer there.
+    :param hung_until: time before which it makes no progress.
     """
 
     task: TaskName
@@ -102,9 +107,9 @@
 
 @dataclass(slots=True, eq=False)
 class SimOrder:
-    """An order to start that left for a worker.
+    """A start order that was sent to a worker.
 
-    :param answered: its answer has arrived.
+    :param answered: whether its answer has arrived.
     """
 
     task: TaskName
@@ -118,8 +123,8 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Waiting:
-    """A look that waits for an end."""
+class _PendingPoll:
+    """A long poll that waits for the end of a run."""
 
     reply: Reply
     over: bool = False
@@ -127,15 +132,17 @@
 
 @dataclass(slots=True, eq=False)
 class SimWorker:
-    """One life of a worker.
-
-    :param born: what it tells of its birth, in milliseconds since 1970; 0 for nothing.
-    :param grey_until: it fails all that it starts before, by its own fault...
-    :param grey_s: ...so long after the start.
-    :param failed_s: when a run last failed by its own fault.
-    :param hangs_until: what starts before makes no progress until then.
-    :param shares_address: another life was up at its address while it was.
-    :param shrunk_s: when its room shrank the last time.
+    """One incarnation of a worker.
+
+    :param room: its accelerators.
+    :param rate: speed of its monotonic clock.
+    :param born: the start time that it reports, in milliseconds since 1970; 0 for none.
+    :param grey_until: until then it fails every run that it starts, by its own fault.
+    :param grey_s: time from a start to such a failure.
+    :param failed_s: when a run last failed by the worker's fault.
+    :param hangs_until: runs that start before make no progress until then.
+    :param shares_address: whether another incarnation was up at its address at the same time.
+    :param shrunk_s: when its capacity last shrank.
     """
 
     worker_id: str
@@ -154,7 +161,7 @@
     ends: dict[int, SimRun] = field(default_factory=dict)
     highest: dict[TaskName, int] = field(default_factory=dict)
     count: int = 0
-    waiting: list[_Waiting] = field(default_factory=list)
+    waiting: list[_PendingPoll] = field(default_factory=list)
     grey_until: float = 0.0
     grey_s: float = 0.0
     failed_s: float = -math.inf
@@ -164,25 +171,27 @@
 
     @property
     def life(self) -> str:
-        """The name of this life."""
+        """The incarnation name."""
         return incarnation_name(self.worker_id, self.born)
 
     @property
     def free(self) -> int:
-        """Accelerators that nothing holds."""
+        """Accelerators that no run holds."""
         return self.room - sum(run.plan.room for run in self.runs.values())
 
 
 class Workers:
-    """All workers, what they do on orders, and what of that breaks a promise.
+    """All workers, the orders they carry out, and the invariants that this violates.
 
-    :ivar lives: by name.
-    :ivar births: whether lives tell when they were born.
-    :ivar guards: whether workers refuse what does not fit.
-    :ivar crashed: when workers crashed under a task that crashes them.
-    :ivar died_beside: runs of other jobs that were lost so.
+    :ivar lives: all incarnations, by incarnation name.
+    :ivar births: whether incarnations report their start times.
+    :ivar guards: whether workers refuse starts beyond their capacity.
+    :ivar crashed: for each crashing task, when it crashed workers.
+    :ivar died_beside: number of runs of other jobs that were lost by such crashes.
     :ivar on_crash: ends a worker that a task crashes.
     :ivar begun: all runs, in the order in which they began.
+    :ivar broken: the violations found so far.
+    :ivar late_gangs: whether the remaining members of a broken gang end with a delay.
     """
 
     def __init__(self, world: SharedLoop, rng: random.Random, stop_s: float) -> None:
@@ -204,9 +213,9 @@
         self.on_crash: Callable[[SimWorker], None] = self.end
 
     def add(self, rack: str, hall: str, address: str = "", worker_id: str = "") -> SimWorker:
-        """A new life of a worker.
+        """Add an incarnation of a worker.
 
-        :param worker_id: the id of a worker that starts again.
+        :param worker_id: the ID of a worker that restarts.
         """
         number = len(self.lives) + 1
         rate = self._rng.choice((1.0, 1.0, 0.98))
@@ -220,7 +229,7 @@
             self._world.time(),
         )
         if self.births:
-            # The number sets lives apart that are born within one millisecond.
+            # The number distinguishes incarnations that start within one millisecond.
             worker.born = round((WALL_EPOCH_S + self._world.time()) * 1000) + number
         for other in self.lives.values():
             if other.up and other.address == worker.address:
@@ -229,37 +238,35 @@
         return worker
 
     def present(self, worker_id: str) -> SimWorker:
-        """The latest life of a worker, by its id."""
+        """The latest incarnation of a worker, by its ID."""
         return next(each for each in reversed(self.lives.values()) if each.worker_id == worker_id)
 
     def end(self, worker: SimWorker) -> None:
-        """A life is over, and all that runs there."""
+        """End an incarnation and all its runs."""
         worker.up = False
         for run in list(worker.runs.values()):
             run.ended_s = self._world.time()
         for run in [each for each in worker.runs.values() if each.plan.gang]:
             for member in list(self._members(run)):
                 if member.work_began_s is not None:
-                    self._list_soon(member, EndKind.BROKEN)
+                    self._list_end_later(member, EndKind.BROKEN)
         worker.runs.clear()
         worker.waiting.clear()
 
     def clock_ms(self, worker: SimWorker) -> int:
-        """What a worker's steady clock says."""
+        """A worker's monotonic clock."""
         passed_s = self._world.time() - worker.born_s
         return CLOCK_START_MS + int(passed_s * worker.rate * 1000)
 
-    # Orders
-
     def note_order(self, worker: SimWorker, order: StartOrder, sent_s: float) -> SimOrder:
-        """An order to start leaves for a worker."""
+        """Record that a start order is sent to a worker."""
         task = TaskName.parse(order.task)
         noted = SimOrder(task, order.run, worker, sent_s)
         self.orders.setdefault(task.job_id, []).append(noted)
         return noted
 
     def run_of(self, order: SimOrder) -> SimRun | None:
-        """What an order has begun; ``None`` where it was not carried out."""
+        """The run that an order started; ``None`` where it was not carried out."""
         runs = self.history.get(order.task, ())
         wanted = (order.number, order.worker)
         return next((run for run in runs if (run.number, run.worker) == wanted), None)
@@ -273,7 +280,7 @@
         worker.fence = order.fence
         if order.deadline_ms <= clock_ms:
             return StartReply(clock_ms, Refusal.LATE)
-        self._extend(worker, order.deadline_ms)
+        self._extend_lease(worker, order.deadline_ms)
         if (name, order.run) in worker.runs:
             return StartReply(clock_ms, None)
         if order.run <= worker.highest.get(name, 0):
@@ -282,7 +289,7 @@
         if plan.room > worker.free:
             if self.guards:
                 return StartReply(clock_ms, Refusal.CAPACITY)
-            self._judge_room(worker, name)
+            self._check_capacity(worker, name)
         run = SimRun(name, order.run, worker, plan, vm, order.fence, ordered_s, self._world.time())
         run.done_s = float(order.saved or 0.0)
         self._begin(run)
@@ -312,12 +319,12 @@
         wait_s: float,
         reply: Reply,
     ) -> None:
-        """Renew the lease, forget ends, and report, at once or with the next end."""
+        """Renew the lease, drop acknowledged ends, and report, at once or with the next end."""
         if fence < worker.fence:
             raise WorkerFenced
         worker.fence = fence
         if deadline_ms is not None:
-            self._extend(worker, deadline_ms)
+            self._extend_lease(worker, deadline_ms)
         for end in worker.ended:
             if end.number <= seen:
                 run = worker.ends.pop(end.number)
@@ -326,11 +333,11 @@
         if not wait_s or worker.ended:
             reply(self._report(worker))
             return
-        waiting = _Waiting(reply)
+        waiting = _PendingPoll(reply)
         worker.waiting.append(waiting)
         self._world.call_later(wait_s, self._answer, worker, waiting)
 
-    def _answer(self, worker: SimWorker, waiting: _Waiting) -> None:
+    def _answer(self, worker: SimWorker, waiting: _PendingPoll) -> None:
         if waiting.over or not worker.up:
             return
         waiting.over = True
@@ -339,23 +346,25 @@
 
     def _report(self, worker: SimWorker) -> WorkerReport:
         running = tuple(
-            RunningTask(str(run.task), run.number, f"{self._done(run):.3f}", self._percent(run))
+            RunningTask(
+                str(run.task), run.number, f"{self._work_done_s(run):.3f}", self._percent(run)
+            )
             for run in worker.runs.values()
         )
         ended = tuple(worker.ended[:MAX_ENDS_PER_REPORT])
         more = len(ended) >= MAX_ENDS_PER_REPORT
         return WorkerReport(self.clock_ms(worker), running, ended, more, worker.born)
 
-    def _extend(self, worker: SimWorker, deadline_ms: float) -> None:
+    def _extend_lease(self, worker: SimWorker, deadline_ms: float) -> None:
         clock_ms = self.clock_ms(worker)
         until = min(deadline_ms, clock_ms + HOLD_S * 1000)
         if until <= worker.lease_ms:
             return
         worker.lease_ms = until
         left_s = (until - clock_ms) / 1000 / worker.rate
-        self._world.call_later(left_s + 0.002, self._see_lease, worker)
+        self._world.call_later(left_s + 0.002, self._check_lease, worker)
 
-    def _see_lease(self, worker: SimWorker) -> None:
+    def _check_lease(self, worker: SimWorker) -> None:
         if self.clock_ms(worker) < worker.lease_ms:
             return
         for ended in worker.ends.values():
@@ -363,19 +372,17 @@
         for run in list(worker.runs.values()):
             self._finish(run, EndKind.LAPSED)
 
-    def _judge_room(self, worker: SimWorker, name: TaskName) -> None:
-        """A worker that guards nothing is taken over its room."""
+    def _check_capacity(self, worker: SimWorker, name: TaskName) -> None:
+        """Record a start beyond the capacity of a worker that doesn't enforce it as a violation."""
         if self._world.time() - worker.shrunk_s > ROOM_NEWS_S:
             self.broken.append(f"over the room: [{name}] on {worker.life}")
 
     def resize(self, worker: SimWorker, room: int) -> None:
-        """A worker's room shrinks or grows while it runs."""
+        """Change a worker's capacity while it runs."""
         if room < worker.room:
             worker.shrunk_s = self._world.time()
         worker.room = room
 
-    # Work
-
     def _begin(self, run: SimRun) -> None:
         self.starts += 1
         runs = self.history.setdefault(run.task, [])
@@ -393,7 +400,7 @@
             for member in members:
                 self._work(member)
         else:
-            self._world.call_later(ALONE_S, self._see_alone, run)
+            self._world.call_later(ALONE_S, self._check_alone, run)
 
     def _work(self, run: SimRun) -> None:
         now, worker = self._world.time(), run.worker
@@ -419,7 +426,7 @@
         return first and run.task.index == run.plan.crashing
 
     def _crash(self, run: SimRun) -> None:
-        """A run crashes its worker."""
+        """Let a run crash its worker."""
         worker = run.worker
         if run.ended_s is not None or run.stopping or not worker.up:
             return
@@ -429,12 +436,12 @@
         self.on_crash(worker)
 
     def _fail_here(self, run: SimRun) -> None:
-        """A run fails by its worker's fault."""
+        """Let a run fail by its worker's fault."""
         if not run.stopping and run.ended_s is None:
             run.worker.failed_s = self._world.time()
             self._finish(run, EndKind.FAILED)
 
-    def _see_alone(self, run: SimRun) -> None:
+    def _check_alone(self, run: SimRun) -> None:
         if run.work_began_s is None and not run.stopping:
             self._finish(run, EndKind.ALONE)
 
@@ -457,7 +464,10 @@
                     yield each
 
     def _finish(self, run: SimRun, how: EndKind) -> None:
-        """A run is over; its end is listed soon, until which it counts as running."""
+        """End a run and the other members of its gang.
+
+        These may end with a delay, until which they count as running.
+        """
         if run.ended_s is not None or not run.worker.up:
             return
         members = list(self._members(run)) if run.plan.gang else []
@@ -468,9 +478,9 @@
         others = EndKind.DONE if how is EndKind.DONE else EndKind.BROKEN
         for member in members:
             if member is not run and member.ended_s is None:
-                self._list_soon(member, others)
+                self._list_end_later(member, others)
 
-    def _list_soon(self, run: SimRun, how: EndKind) -> None:
+    def _list_end_later(self, run: SimRun, how: EndKind) -> None:
         late_s = self._rng.uniform(0.0, 0.3) if self.late_gangs else 0.0
         if not late_s or how is EndKind.DONE:
             self._list_end(run, how)
@@ -482,7 +492,7 @@
         worker = run.worker
         if run.ended_s is not None or not worker.up:
             return
-        saved = f"{self._done(run):.3f}"
+        saved = f"{self._work_done_s(run):.3f}"
         run.ended_s = self._world.time()
         run.how = how
         del worker.runs[(run.task, run.number)]
@@ -493,7 +503,7 @@
         for waiting in list(worker.waiting):
             self._answer(worker, waiting)
 
-    def _done(self, run: SimRun) -> float:
+    def _work_done_s(self, run: SimRun) -> float:
         if run.work_began_s is None:
             return run.done_s
         worked_s = max(0.0, self._world.time() - max(run.work_began_s, run.hung_until))
@@ -502,10 +512,10 @@
     def _percent(self, run: SimRun) -> int:
         if run.plan.lasts:
             return 100
-        return min(99, int(100 * self._done(run) / run.plan.work_s))
+        return min(99, int(100 * self._work_done_s(run) / run.plan.work_s))
 
     def judge(self) -> list[str]:
-        """Every broken promise."""
+        """Return all violated invariants."""
         found = list(self.broken)
         for task, times in self.crashed.items():
             if len(times) < CRASHES:
