--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks, run apart from the tests."""
+"""Benchmarks, which are run separately from the tests."""
--- a/benchmarks/board.py
+++ b/benchmarks/board.py
@@ -1,8 +1,8 @@
-"""Times rounds of planning on a loaded pool that changes between them.
+"""Times planning rounds of a loaded pool that changes between two rounds.
 
-Running work, gangs that wait, urgent work; 2 % of the runs end between two rounds and as many jobs
-come. Only public methods of the board are used, so that another revision can be timed by the same
-file: put that revision's ``src`` on ``PYTHONPATH``.
+The pool has running work, waiting gangs and urgent work. Between two rounds, 2 % of the runs end
+and as many jobs arrive. Only public methods of the cluster state are used, so that this file can
+time another revision as well: put that revision's ``src`` on ``PYTHONPATH``.
 """
 
 from __future__ import annotations
@@ -20,17 +20,17 @@
 
 SERVICE = "pool"
 SIZES = (24, 350, 1_000, 2_500, 10_000)
-WORKERS_A_RACK = 20
+WORKERS_PER_RACK = 20
 CAPACITY = Resources(32_000, 128_000, 8)
 BULK_CPU, NORMAL_CPU, URGENT_CPU = 2_800, 13_000, 3_700
 ROUNDS = 50
 ROUND_S = 0.5
 CHURN = 0.02
-"""Share of the runs that end between two rounds; as many jobs come."""
+"""Share of the runs that end between two rounds; as many jobs arrive."""
 
 
 def loaded_cluster(workers: int, rng: random.Random) -> ClusterState:
-    """A pool with more work than it can hold, a third of it in bulk, most of it in gangs."""
+    """Return a pool with more work than fits, a third of it bulk jobs and most of it gangs."""
     cluster_state = ClusterState()
     for number in range(workers):
         cluster_state.set_worker(_record(number), 0.0)
@@ -47,7 +47,7 @@
 
 
 def _record(number: int) -> WorkerRecord:
-    rack = f"r{number // WORKERS_A_RACK}"
+    rack = f"r{number // WORKERS_PER_RACK}"
     return WorkerRecord(
         worker_id=f"w{number}",
         service=SERVICE,
@@ -90,28 +90,28 @@
 
 
 def churn(cluster_state: ClusterState, rng: random.Random, now: float, number: int) -> int:
-    """Some runs end well, and as many jobs come; returns how many came.
+    """End some runs successfully and add as many jobs; return the number of added jobs.
 
-    :param number: of the first job that comes.
+    :param number: the number of the first added job.
     """
     runs = [run for worker in cluster_state.workers.values() for run in worker.runs.values()]
-    came = max(1, round(len(runs) * CHURN))
-    for run in rng.sample(runs, min(came, len(runs))):
+    arrivals = max(1, round(len(runs) * CHURN))
+    for run in rng.sample(runs, min(arrivals, len(runs))):
         end = EndedTask(number, str(run.task.name), run.number, EndKind.DONE, "")
         cluster_state.run_ended(run.worker_id, end, now)
-    for each in range(came):
+    for offset in range(arrivals):
         priority = rng.choices((0, 1, 2), (1, 5, 4))[0]
         step = (
             _step(1, BULK_CPU, 1)
             if priority == 2
             else _gang(rng, (URGENT_CPU, NORMAL_CPU)[priority])
         )
-        cluster_state.add_job(_job(number + each, priority, step), {})
-    return came
+        cluster_state.add_job(_job(number + offset, priority, step), {})
+    return arrivals
 
 
-def rounds(cluster_state: ClusterState, rng: random.Random, number: int) -> list[float]:
-    """Seconds of each of some rounds, changes in between left out."""
+def time_rounds(cluster_state: ClusterState, rng: random.Random, number: int) -> list[float]:
+    """Return the seconds that each round takes, without the changes in between."""
     times: list[float] = []
     for index in range(ROUNDS):
         now = 1.0 + index * ROUND_S
@@ -124,30 +124,32 @@
     return times
 
 
-def timed(workers: int) -> None:
-    """Print the rounds of one size, and the memory that the process has taken by then."""
+def time_size(workers: int) -> None:
+    """Print the times for one pool size, and the peak memory of the process so far."""
     rng = random.Random(1)
     cluster_state = loaded_cluster(workers, rng)
-    more: bool | None = True
-    while more:
-        # A revision that decides all at once says nothing.
-        more = cluster_state.plan(0.0, 0.0)
+    has_more: bool | None = True
+    while has_more:
+        # Revisions that plan everything in one round return None.
+        has_more = cluster_state.plan(0.0, 0.0)
         for start in cluster_state.take_changes().starts:
             cluster_state.run_started(start.run, 0.0)
-    times = sorted(seconds * 1000 for seconds in rounds(cluster_state, rng, workers))
+    times = sorted(seconds * 1000 for seconds in time_rounds(cluster_state, rng, workers))
     memory_mb = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
     click.echo(
-        f"{workers:6} workers: {statistics.median(times):8.1f} ms a round in the median, "
+        f"{workers:6} workers: {statistics.median(times):8.1f} ms per round in the median, "
         f"{times[int(len(times) * 0.99)]:8.1f} ms at the 99th percentile, {memory_mb:6.1f} MB"
     )
 
 
 @click.command()
-@click.option("--size", "sizes", type=int, multiple=True, help="Workers; all sizes if not given.")
+@click.option(
+    "--size", "sizes", type=int, multiple=True, help="Number of workers; all sizes by default."
+)
 def main(sizes: tuple[int, ...]) -> None:
-    """Time rounds of planning for each size."""
+    """Time planning rounds for each pool size."""
     for workers in sizes or SIZES:
-        timed(workers)
+        time_size(workers)
 
 
 if __name__ == "__main__":
--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,7 +1,7 @@
-"""Measures slopes with real daemons as processes and makes the tables of docs/CAPACITY.md.
+"""Measures how the cost of real daemons grows with load, and writes the tables of docs/CAPACITY.md.
 
 `python benchmarks/capacity.py` measures and writes benchmarks/capacity.json;
-`python benchmarks/capacity.py --tables` writes the page's tables from that file.
+`python benchmarks/capacity.py --tables` writes the tables of the page from that file.
 """
 
 from __future__ import annotations
@@ -23,20 +23,20 @@
 from saddlestack.standins.endpoint import StandinEndpoint
 
 ROOT = Path(__file__).parent.parent
-RAW = ROOT / "benchmarks" / "capacity.json"
+RAW_FILE = ROOT / "benchmarks" / "capacity.json"
 PAGE = ROOT / "docs" / "CAPACITY.md"
 SETTLE_S = 6.0
 WINDOW_S = 20.0
 ENDPOINTS = (24, 64, 128, 256)
 MEMBERS = (6, 16, 48)
-CHANGES_A_MINUTE = (0, 30, 120)
-JOBS_A_MINUTE = (0, 120, 600)
+CHANGES_PER_MINUTE = (0, 30, 120)
+JOBS_PER_MINUTE = (0, 120, 600)
 
 Sample = dict[str, float]
 
 
 class Rig:
-    """A hall of daemons (processes) and endpoints (tasks of this process)."""
+    """Daemons as processes, and endpoints as tasks of this process, in one or more data halls."""
 
     def __init__(self, halls: int = 1) -> None:
         self.processes = Processes()
@@ -44,7 +44,7 @@
         self.halls = [f"hall{i}" for i in range(halls)]
 
     async def start(self, members: int, endpoints: int) -> None:
-        """Start everything and configure it."""
+        """Start the platform, the daemons and the endpoints, and configure them."""
         await self.processes.start_platform()
         racks = _racks("w", endpoints)
         for rack in racks:
@@ -73,7 +73,7 @@
             if up and up[0] == endpoints:
                 return
             await asyncio.sleep(0.2)
-        raise TimeoutError("the cell never saw all its endpoints")
+        raise TimeoutError("not all endpoints of the cell came up")
 
     async def _endpoint(self, name: str) -> None:
         endpoint = StandinEndpoint(name)
@@ -82,51 +82,51 @@
         await self.processes.list_endpoint(name, self.halls[0], "127.0.9.1", endpoint.server.port)
 
     def client(self, token: str) -> AsyncClient:
-        """A client that knows every daemon."""
+        """Return a client with the addresses of all daemons."""
         return AsyncClient(
             [(http.address, http.port) for http in self.processes.http.values()], token
         )
 
     async def owner(self) -> str:
-        """The daemon that schedules the first hall's cell."""
+        """Return the name of the daemon that schedules the cell of the first data hall."""
         status = await self.client(OPERATOR_TOKEN).status()
         return next(cell.owner for cell in status.cells if cell.cell == self.halls[0])
 
     async def measure(self, seconds: float = WINDOW_S) -> dict[str, Sample]:
-        """CPU, memory, control bytes and store calls of each daemon over a while."""
-        before = await self._readings()
+        """Measure CPU, memory, control bytes and store calls of each daemon over ``seconds``."""
+        before = await self._read_usage()
         began = time.monotonic()
         await asyncio.sleep(seconds)
-        took = time.monotonic() - began
-        after = await self._readings()
+        elapsed_s = time.monotonic() - began
+        after = await self._read_usage()
         samples: dict[str, Sample] = {}
         for name, (cost, counters) in after.items():
-            earlier, old = before[name]
+            cost_before, counters_before = before[name]
             samples[name] = {
-                "cpu_percent": 100 * (cost.cpu_s - earlier.cpu_s) / took,
+                "cpu_percent": 100 * (cost.cpu_s - cost_before.cpu_s) / elapsed_s,
                 "rss_mb": cost.rss_kb / 1024,
-                "bytes_s": (counters["bytes"] - old["bytes"]) / took,
-                "store_calls_s": (counters["calls"] - old["calls"]) / took,
-                "store_writes_s": (counters["writes"] - old["writes"]) / took,
+                "bytes_s": (counters["bytes"] - counters_before["bytes"]) / elapsed_s,
+                "store_calls_s": (counters["calls"] - counters_before["calls"]) / elapsed_s,
+                "store_writes_s": (counters["writes"] - counters_before["writes"]) / elapsed_s,
             }
         return samples
 
-    async def _readings(self) -> dict[str, tuple[Cost, dict[str, int]]]:
+    async def _read_usage(self) -> dict[str, tuple[Cost, dict[str, int]]]:
         readings = {}
         for name, http in self.processes.http.items():
             response = await http.request("GET", "/v1/metrics", timeout=10)
             counters = json.loads(response.body)["counters"]
             total = sum(v for k, v in counters.items() if k.startswith("bytes_"))
-            mine = {
+            totals = {
                 "bytes": total,
                 "calls": counters.get("store_calls", 0),
                 "writes": counters.get("store_writes", 0),
             }
-            readings[name] = (self.processes.costs()[name], mine)
+            readings[name] = (self.processes.costs()[name], totals)
         return readings
 
     async def stop(self) -> None:
-        """End everything."""
+        """Stop all daemons and endpoints."""
         self.processes.stop()
         for endpoint in self.endpoints:
             await endpoint.stop()
@@ -139,7 +139,7 @@
     )
 
 
-def _others(samples: dict[str, Sample], owner: str) -> Sample:
+def _highest_of_others(samples: dict[str, Sample], owner: str) -> Sample:
     rest = [sample for name, sample in samples.items() if name != owner]
     return {key: max(sample[key] for sample in rest) for key in rest[0]} if rest else {}
 
@@ -156,15 +156,15 @@
         await rig.stop()
 
 
-async def endpoints_slope() -> list[dict[str, Any]]:
-    """An idle cell scheduler against the endpoints of its cell."""
+async def measure_endpoints() -> list[dict[str, Any]]:
+    """Measure an idle cell scheduler for several numbers of endpoints in its cell."""
     points = []
     for count in ENDPOINTS:
 
         async def body(rig: Rig) -> dict[str, Any]:
             owner = await rig.owner()
             samples = await rig.measure(30.0)
-            return {"owner": samples[owner], "other": _others(samples, owner)}
+            return {"owner": samples[owner], "other": _highest_of_others(samples, owner)}
 
         point = await _with_rig(2, count, body)
         points.append({"endpoints": count, **point})
@@ -172,15 +172,15 @@
     return points
 
 
-async def members_slope() -> list[dict[str, Any]]:
-    """A plain member against the entry VMs of its hall."""
+async def measure_members() -> list[dict[str, Any]]:
+    """Measure a VM that schedules no cell for several numbers of entry VMs in its data hall."""
     points = []
     for count in MEMBERS:
 
         async def body(rig: Rig) -> dict[str, Any]:
             owner = await rig.owner()
             samples = await rig.measure()
-            return {"owner": samples[owner], "other": _others(samples, owner)}
+            return {"owner": samples[owner], "other": _highest_of_others(samples, owner)}
 
         point = await _with_rig(count, 8, body)
         points.append({"members": count, **point})
@@ -188,14 +188,14 @@
     return points
 
 
-async def changes_slope() -> list[dict[str, Any]]:
-    """Configuration changes a minute on 8 VMs, and how long each takes to be in force."""
+async def measure_changes() -> list[dict[str, Any]]:
+    """Measure rates of configuration changes on 8 VMs, and how long each takes to be in force."""
 
     async def body(rig: Rig) -> list[dict[str, Any]]:
         points = []
-        for rate in CHANGES_A_MINUTE:
+        for rate in CHANGES_PER_MINUTE:
             times: list[float] = []
-            work = asyncio.create_task(_change(rig, rate, times)) if rate else None
+            work = asyncio.create_task(_change_configuration(rig, rate, times)) if rate else None
             samples = await rig.measure()
             if work is not None:
                 work.cancel()
@@ -204,9 +204,9 @@
             point = {
                 "changes_min": rate,
                 "owner": samples[owner],
-                "other": _others(samples, owner),
-                "in_force_p50_s": _share(times, 0.5),
-                "in_force_p99_s": _share(times, 0.99),
+                "other": _highest_of_others(samples, owner),
+                "in_force_p50_s": _quantile(times, 0.5),
+                "in_force_p99_s": _quantile(times, 0.99),
             }
             points.append(point)
             print("changes", rate, point["in_force_p50_s"], point["in_force_p99_s"], flush=True)
@@ -216,7 +216,7 @@
     return result
 
 
-async def _change(rig: Rig, rate: float, times: list[float]) -> None:
+async def _change_configuration(rig: Rig, rate: float, times: list[float]) -> None:
     client = rig.client(OPERATOR_TOKEN)
     number = 0
     while True:
@@ -229,18 +229,22 @@
         await asyncio.sleep(max(0.0, 60 / rate - (time.monotonic() - began)))
 
 
-async def jobs_slope() -> list[dict[str, Any]]:
-    """Jobs a minute through 6 VMs into one cell of 64 endpoints."""
+async def measure_jobs() -> list[dict[str, Any]]:
+    """Measure rates of jobs that are submitted through 6 VMs to one cell of 64 endpoints."""
 
     async def body(rig: Rig) -> list[dict[str, Any]]:
         points = []
-        for rate in JOBS_A_MINUTE:
-            work = asyncio.create_task(_submit(rig, rate)) if rate else None
+        for rate in JOBS_PER_MINUTE:
+            work = asyncio.create_task(_submit_jobs(rig, rate)) if rate else None
             samples = await rig.measure()
             if work is not None:
                 work.cancel()
             owner = await rig.owner()
-            point = {"jobs_min": rate, "owner": samples[owner], "other": _others(samples, owner)}
+            point = {
+                "jobs_min": rate,
+                "owner": samples[owner],
+                "other": _highest_of_others(samples, owner),
+            }
             points.append(point)
             print("jobs", rate, _rounded(samples[owner]), flush=True)
         return points
@@ -249,7 +253,7 @@
     return result
 
 
-async def _submit(rig: Rig, rate: float) -> None:
+async def _submit_jobs(rig: Rig, rate: float) -> None:
     client = rig.client(token_of("team3"))
     number = 0
     while True:
@@ -260,8 +264,8 @@
         await asyncio.sleep(60 / rate)
 
 
-async def running_slope() -> list[dict[str, Any]]:
-    """Tasks that just run in a cell of 64 endpoints."""
+async def measure_running_tasks() -> list[dict[str, Any]]:
+    """Measure numbers of running tasks in a cell of 64 endpoints, with no other load."""
 
     async def body(rig: Rig) -> list[dict[str, Any]]:
         points = []
@@ -282,8 +286,8 @@
     return result
 
 
-async def take_over() -> list[float]:
-    """Seconds from the kill of a scheduler until its cell is scheduled again."""
+async def measure_takeover() -> list[float]:
+    """Measure the seconds from the kill of a scheduler until its cell is scheduled again."""
 
     async def body(rig: Rig) -> list[float]:
         times = []
@@ -302,14 +306,14 @@
                     break
                 await asyncio.sleep(0.05)
             times.append(time.monotonic() - began)
-            print("take-over", round(times[-1], 2), flush=True)
+            print("takeover", round(times[-1], 2), flush=True)
         return times
 
     result: list[float] = await _with_rig(5, 24, body)
     return result
 
 
-def _share(ordered: Sequence[float], share: float) -> float:
+def _quantile(ordered: Sequence[float], share: float) -> float:
     return round(ordered[min(len(ordered) - 1, int(len(ordered) * share))], 3) if ordered else 0.0
 
 
@@ -318,24 +322,24 @@
 
 
 async def measure_all(only: str | None) -> None:
-    """Measure everything, or one part, and write the raw figures."""
-    raw: dict[str, Any] = json.loads(RAW.read_text()) if RAW.exists() else {}
+    """Run all measurements, or only one, and write the results to :data:`RAW_FILE`."""
+    raw: dict[str, Any] = json.loads(RAW_FILE.read_text()) if RAW_FILE.exists() else {}
     parts: dict[str, Callable[[], Awaitable[Any]]] = {
-        "endpoints": endpoints_slope,
-        "members": members_slope,
-        "changes": changes_slope,
-        "jobs": jobs_slope,
-        "running": running_slope,
-        "take_over_s": take_over,
+        "endpoints": measure_endpoints,
+        "members": measure_members,
+        "changes": measure_changes,
+        "jobs": measure_jobs,
+        "running": measure_running_tasks,
+        "take_over_s": measure_takeover,
     }
     for name, measure in parts.items():
         if only in {None, name}:
             raw[name] = await measure()
-            RAW.write_bytes(msgspec.json.format(msgspec.json.encode(raw), indent=1) + b"\n")
+            RAW_FILE.write_bytes(msgspec.json.format(msgspec.json.encode(raw), indent=1) + b"\n")
 
 
 def main() -> None:
-    """Measure, or write the tables."""
+    """Run the measurements, or write the tables from earlier ones."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--tables", action="store_true")
     parser.add_argument("--only")
@@ -343,7 +347,7 @@
     if options.tables:
         from benchmarks.tables import write_tables
 
-        write_tables(RAW, PAGE)
+        write_tables(RAW_FILE, PAGE)
     else:
         asyncio.run(measure_all(options.only))
 
--- a/benchmarks/days/__init__.py
+++ b/benchmarks/days/__init__.py
@@ -1,1 +1,1 @@
-"""Days of troubles for the users' bench."""
+"""Days with faults for the users' bench."""
--- a/benchmarks/days/generate.py
+++ b/benchmarks/days/generate.py
@@ -1,7 +1,7 @@
-"""Writes the days of `deploy/days` that combine troubles, each twice over, for the users' bench.
+"""Writes the days of `deploy/days` that combine faults, for the users' bench.
 
-They fit any deployment: shares rather than counts, and no names but the ones that stand for a
-deployment's first service and data hall.
+Each fault occurs twice in its day. The days fit any deployment: they use shares rather than counts,
+and no names except the placeholders for the first request class, service and data hall.
 
 Usage: python -m benchmarks.days.generate; then run each day by its path.
 """
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 DAYS_FOLDER = Path(__file__).resolve().parents[2] / "deploy" / "days"
-HEAD = """\
+HEADER = """\
 name = "{name}"
 slot = "trouble"
 seed = {seed}
@@ -23,7 +23,7 @@
 wall = 3.0
 light = false
 """
-CLOSINGS = (
+CLOSING_FAULTS = (
     '{ kind = "power_off_all", down_s = 1.2, how = "taken" }',
     '{ kind = "kill_all", down_s = 1.0 }',
 )
@@ -150,24 +150,24 @@
         'kind = "applied_late", x = 0.2, for_s = 5.0, how = "orders"',
     ),
 }
-PLANNED = ("roll_term", "scale_in", "release", "evacuate", "config_storm")
+PLANNED_KINDS = ("roll_term", "scale_in", "release", "evacuate", "config_storm")
 
 
 def days() -> dict[str, str]:
-    """The text of each day, by its name."""
+    """Return the text of each day by name."""
     texts: dict[str, str] = {}
-    for number, (name, troubles) in enumerate(DAYS.items()):
+    for number, (name, faults) in enumerate(DAYS.items()):
         lines: dict[str, list[str]] = {"plan": [], "faults": []}
-        for index, trouble in enumerate(troubles * 2):
-            at = 2.0 + index * 30.0 / (2 * len(troubles))
-            kind = trouble.split('"')[1]
-            lines["plan" if kind in PLANNED else "faults"].append(
-                f"  {{ at = {at:.1f}, {trouble} }},"
+        for index, fault in enumerate(faults * 2):
+            at = 2.0 + index * 30.0 / (2 * len(faults))
+            kind = fault.split('"')[1]
+            lines["plan" if kind in PLANNED_KINDS else "faults"].append(
+                f"  {{ at = {at:.1f}, {fault} }},"
             )
         lines["plan"].append('  { at = 3.0, kind = "config_storm", for_s = 4.0, gap_s = 0.4 },')
         lines["faults"].append('  { at = 6.0, kind = "burst", x = 2.0, for_s = 5.0 },')
-        text = HEAD.format(name=name, seed=9_000 + number)
-        text += f"closing = {CLOSINGS[number % len(CLOSINGS)]}\n"
+        text = HEADER.format(name=name, seed=9_000 + number)
+        text += f"closing = {CLOSING_FAULTS[number % len(CLOSING_FAULTS)]}\n"
         for key, entries in lines.items():
             text += f"{key} = [\n" + "\n".join(entries) + "\n]\n"
         texts[name] = text
@@ -175,7 +175,7 @@
 
 
 def main() -> None:
-    """Write one file a day."""
+    """Write one file per day."""
     for name, text in days().items():
         (DAYS_FOLDER / f"{name}.toml").write_text(text)
 
--- a/benchmarks/decisions.py
+++ b/benchmarks/decisions.py
@@ -1,4 +1,4 @@
-"""Times one admission-to-placement decision against the size of the cell."""
+"""Times placement decisions, from admission to placement, for several sizes of a cell."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 def loaded_cell(workers: int, rng: random.Random) -> Cell:
-    """A full cell: gangs running, others waiting, guarantees partly used."""
+    """Return a full cell with running and waiting gangs and partly used guarantees."""
     racks = [
         Rack(name=f"r{i:02d}", workers=8, accelerators=8, slots=8) for i in range(workers // 8)
     ]
@@ -38,21 +38,21 @@
         for i in range(workers // 8)
     ]
     cell = Cell("c", workers_of(racks), assignments)
-    wanted = int((RUNNING_PER_WORKER + WAITING_PER_WORKER) * workers)
-    for number in range(wanted):
+    job_count = int((RUNNING_PER_WORKER + WAITING_PER_WORKER) * workers)
+    for number in range(job_count):
         cell.submit(_job(number, rng, JobClass.BULK), float(number))
-    cell.decide(float(wanted))
+    cell.decide(float(job_count))
     while len(cell.waiting) > WAITING_PER_WORKER * workers:
         cell.cancel(rng.choice(sorted(cell.waiting)))
     return cell
 
 
-def _job(number: int, rng: random.Random, kind: JobClass) -> JobSpec:
+def _job(number: int, rng: random.Random, job_class: JobClass) -> JobSpec:
     size = rng.choice((1, 1, 2, 2, 4, 4, 8, 16))
     return JobSpec(
         account=f"team{rng.randrange(12)}",
         request=f"r{number}",
-        job_class=kind,
+        job_class=job_class,
         accelerators=size,
         adjacent=Adjacency.WORKER if size <= 8 else Adjacency.RACK,
         checkpoint=rng.random() < 0.7,
@@ -62,7 +62,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """Milliseconds of decisions in a loaded cell."""
+    """Times of decisions in a loaded cell.
+
+    :param admission: sorted milliseconds of submissions, each with the decision that follows.
+    :param end: sorted milliseconds of ends of gangs, each with the decision that follows.
+    :param running: gangs that ran at the start of the measurement.
+    :param waiting: gangs that waited then.
+    """
 
     admission: list[float]
     end: list[float]
@@ -71,7 +77,7 @@
 
 
 def time_decisions(workers: int) -> Timing:
-    """Time submissions, and ends of gangs, each with the decision that follows."""
+    """Time submissions and ends of gangs, each with the decision that follows."""
     rng = random.Random(workers)
     cell = loaded_cell(workers, rng)
     load = (len(cell.running), len(cell.waiting))
@@ -80,8 +86,8 @@
     end: list[float] = []
     for i in range(ROUNDS):
         now += 1.0
-        kind = rng.choice((JobClass.URGENT, JobClass.NORMAL, JobClass.BULK))
-        spec = _job(1_000_000 + i, rng, kind)
+        job_class = rng.choice((JobClass.URGENT, JobClass.NORMAL, JobClass.BULK))
+        spec = _job(1_000_000 + i, rng, job_class)
         began = time.perf_counter()
         cell.submit(spec, now)
         cell.decide(now)
@@ -96,25 +102,25 @@
     return Timing(sorted(admission), sorted(end), *load)
 
 
-def _share(ordered: list[float], share: float) -> float:
+def _quantile(ordered: list[float], share: float) -> float:
     return ordered[min(len(ordered) - 1, int(len(ordered) * share))]
 
 
 def time_replay() -> tuple[int, float, float]:
-    """Jobs, seconds and MB of a long replay on 24 workers."""
+    """Return the jobs, seconds and peak memory in MB of a long replay on 24 workers."""
     scale = 1.0
     events = make("ee-day", 1, scale)
     per_day = sum(1 for event in events if type(event).__name__ == "Submit")
     events = make("ee-day", 1, REPLAY_JOBS / per_day)
     began = time.perf_counter()
     result = Replay(config_of("ee-day"), Trace(list(enumerate(events, 1))), "saddlestack").run()
-    took = time.perf_counter() - began
+    elapsed_s = time.perf_counter() - began
     memory = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss / 1024
-    return result.jobs, took, memory
+    return result.jobs, elapsed_s, memory
 
 
 def main() -> None:
-    """Measure and write the page's table."""
+    """Measure and write the table of docs/MEASURES.md."""
     lines = [
         "| workers | gangs running | waiting | admission ms, median | p99 | "
         "end of a gang ms, median | p99 |",
@@ -122,15 +128,17 @@
     ]
     for workers in SIZES:
         timing = time_decisions(workers)
-        shown = [f"{_share(t, q):.2f}" for t in (timing.admission, timing.end) for q in (0.5, 0.99)]
+        shown = [
+            f"{_quantile(t, q):.2f}" for t in (timing.admission, timing.end) for q in (0.5, 0.99)
+        ]
         cells = [str(workers), str(timing.running), str(timing.waiting), *shown]
         lines.append("| " + " | ".join(cells) + " |")
     lines.append("")
     if "--no-replay" in sys.argv:
         lines.append("The long replay was not run with this table.")
     else:
-        jobs, took, memory = time_replay()
-        lines.append(f"Replay of {jobs} jobs on 24 workers: {took:.1f} s, {memory:.0f} MB.")
+        jobs, elapsed_s, memory = time_replay()
+        lines.append(f"Replay of {jobs} jobs on 24 workers: {elapsed_s:.1f} s, {memory:.0f} MB.")
     table = "\n".join(lines) + "\n"
     replace_table(MEASURES, "decisions", table)
     print(table)
--- a/benchmarks/pages.py
+++ b/benchmarks/pages.py
@@ -1,4 +1,4 @@
-"""Puts measured tables into the pages, between the marks that name them."""
+"""Writes measured tables into the pages, between named markers."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 
 
 def replace_table(page: Path, name: str, table: str) -> None:
-    """Replace what stands between ``<!-- name -->`` and ``<!-- end -->``.
+    """Replace the text between ``<!-- name -->`` and ``<!-- end -->``.
 
-    :raises ValueError: the page has no such mark.
+    :raises ValueError: the page has no such markers.
     """
     text = page.read_text()
-    mark = re.compile(rf"(<!-- {name} -->\n).*?(<!-- end -->)", re.DOTALL)
-    if not mark.search(text):
-        raise ValueError(f"{page} has no mark for {name}")
-    page.write_text(mark.sub(lambda found: found.group(1) + table + found.group(2), text))
+    marker = re.compile(rf"(<!-- {name} -->\n).*?(<!-- end -->)", re.DOTALL)
+    if not marker.search(text):
+        raise ValueError(f"{page} has no markers for {name}")
+    page.write_text(marker.sub(lambda match: match.group(1) + table + match.group(2), text))
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -1,4 +1,4 @@
-"""Compares the policy with the baselines over seeds, paired, and writes docs/MEASURES.md."""
+"""Compares the policy with the baselines, paired by seed, for the table of docs/MEASURES.md."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 ROOT = Path(__file__).parent.parent
 RAW = ROOT / "benchmarks" / "policy.json"
 SEEDS = range(1, 11)
-LARGE = 16
+LARGE_GANG_ACCELERATORS = 16
 
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """What one replay measured."""
+    """Results of one replay."""
 
     trace: str
     seed: int
@@ -38,14 +38,14 @@
 
 
 def measure(trace: str, seed: int, policy: str) -> Figures:
-    """Replay one trace."""
+    """Replay one trace under one policy."""
     events = Trace(list(enumerate(make(trace, seed), 1)))
     run = Replay(config_of(trace), events, policy)
     result = run.run()
     large = [
-        job.finished - job.submitted
-        for job in run.jobs.values()
-        if job.spec.accelerators >= LARGE and job.finished is not None
+        each.finished - each.submitted
+        for each in run.jobs.values()
+        if each.spec.accelerators >= LARGE_GANG_ACCELERATORS and each.finished is not None
     ]
     urgent = result.start_delay_s.urgent
     overall = result.completion_s.overall
@@ -65,47 +65,47 @@
     )
 
 
-def _one(job: tuple[str, int, str]) -> Figures:
-    return measure(*job)
+def _measure_case(case: tuple[str, int, str]) -> Figures:
+    return measure(*case)
 
 
 def main() -> None:
-    """Measure everything and write the page's table."""
-    jobs = [(trace, seed, policy) for trace in RECIPES for seed in SEEDS for policy in POLICIES]
+    """Run all replays and write the table."""
+    cases = [(trace, seed, policy) for trace in RECIPES for seed in SEEDS for policy in POLICIES]
     with ProcessPoolExecutor(max_workers=6) as pool:
-        found = list(pool.map(_one, jobs))
-    RAW.write_text(json.dumps([asdict(figures) for figures in found], indent=0) + "\n")
-    table = _table(found)
+        results = list(pool.map(_measure_case, cases))
+    RAW.write_text(json.dumps([asdict(figures) for figures in results], indent=0) + "\n")
+    table = _table(results)
     replace_table(MEASURES, "policy", table)
     print(table)
 
 
-def _table(found: list[Figures]) -> str:
-    by_key = {(f.trace, f.seed, f.policy): f for f in found}
+def _table(results: list[Figures]) -> str:
+    by_key = {(f.trace, f.seed, f.policy): f for f in results}
     lines = [
         "| trace | against | completion | large gangs | fragmentation | score | "
         "urgent p99 s (worst) | urgent ratio | work lost % | reclaims | failed | violations |",
         "|" + " --- |" * 12,
     ]
     for trace in RECIPES:
-        mine = [by_key[trace, seed, "saddlestack"] for seed in SEEDS]
+        ours = [by_key[trace, seed, "saddlestack"] for seed in SEEDS]
         for policy in POLICIES[1:]:
-            theirs = [by_key[trace, seed, policy] for seed in SEEDS]
-            lines.append(_row(trace, policy, mine, theirs))
+            baseline = [by_key[trace, seed, policy] for seed in SEEDS]
+            lines.append(_row(trace, policy, ours, baseline))
     return "\n".join(lines) + "\n"
 
 
-def _row(trace: str, policy: str, mine: list[Figures], theirs: list[Figures]) -> str:
+def _row(trace: str, policy: str, ours: list[Figures], baseline: list[Figures]) -> str:
     def ratio(name: str) -> str:
         ratios = [
             getattr(a, name) / getattr(b, name)
-            for a, b in zip(mine, theirs, strict=True)
+            for a, b in zip(ours, baseline, strict=True)
             if getattr(b, name)
         ]
         return f"{statistics.median(ratios):.2f}" if ratios else "-"
 
-    worst = max(f.urgent_p99 for f in mine)
-    lost = statistics.median(f.lost_share for f in mine)
+    worst = max(f.urgent_p99 for f in ours)
+    lost = statistics.median(f.lost_share for f in ours)
     cells = (
         trace,
         policy,
@@ -113,12 +113,12 @@
         ratio("large"),
         ratio("fragmentation"),
         ratio("score"),
-        f"{statistics.median(f.urgent_p99 for f in mine):.1f} ({worst:.1f})",
+        f"{statistics.median(f.urgent_p99 for f in ours):.1f} ({worst:.1f})",
         ratio("urgent_p99"),
         f"{100 * lost:.2f}",
-        f"{statistics.median(f.reclaims for f in mine):.0f}",
-        f"{sum(f.failed for f in mine)} : {sum(f.failed for f in theirs)}",
-        f"{sum(f.violations for f in mine)}",
+        f"{statistics.median(f.reclaims for f in ours):.0f}",
+        f"{sum(f.failed for f in ours)} : {sum(f.failed for f in baseline)}",
+        f"{sum(f.violations for f in ours)}",
     )
     return "| " + " | ".join(cells) + " |"
 
--- a/benchmarks/processes.py
+++ b/benchmarks/processes.py
@@ -1,4 +1,4 @@
-"""Daemons and stand-ins as separate processes on loopback, and what they cost."""
+"""Runs daemons and stand-ins as separate processes on loopback and reads their resource usage."""
 
 from __future__ import annotations
 
@@ -18,32 +18,32 @@
 
 PLATFORM = "127.0.1.1"
 FIRST_PORT = 20_000
-TICKS = os.sysconf("SC_CLK_TCK")
+TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """What a process has used so far.
+    """Resources that a process has used so far.
 
     :param cpu_s: processor seconds.
-    :param rss_kb: resident memory.
+    :param rss_kb: resident memory in kB.
     """
 
     cpu_s: float
     rss_kb: int
 
 
-def cost_of(pid: int) -> Cost:
-    """Read a process's processor time and resident memory."""
+def read_cost(pid: int) -> Cost:
+    """Read the processor time and resident memory of a process from ``/proc``."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
-    cpu = (int(fields[11]) + int(fields[12])) / TICKS
+    cpu = (int(fields[11]) + int(fields[12])) / TICKS_PER_S
     status = Path(f"/proc/{pid}/status").read_text()
     line = next(text for text in status.splitlines() if text.startswith("VmRSS"))
     return Cost(cpu, int(line.split()[1]))
 
 
 class Processes:
-    """Starts processes and ends those it started, by id."""
+    """Starts processes, and ends only those that it started."""
 
     def __init__(self) -> None:
         self.daemons: dict[str, subprocess.Popen[bytes]] = {}
@@ -61,15 +61,15 @@
 
     async def start_platform(self) -> None:
         """Start the store and the VM list."""
-        self._run("standin", "store", "--listen", f"{PLATFORM}:{self.store_port}")
-        self._run("standin", "vms", "--listen", f"{PLATFORM}:{self.vms_port}", "--lag", "0.1")
+        self._start("standin", "store", "--listen", f"{PLATFORM}:{self.store_port}")
+        self._start("standin", "vms", "--listen", f"{PLATFORM}:{self.vms_port}", "--lag", "0.1")
         self.platform = HttpClient(PLATFORM, self.vms_port)
-        await _until_answers(self.platform, "/v1/vms")
+        await _wait_until_answered(self.platform, "/v1/vms")
         self.store = HttpClient(PLATFORM, self.store_port)
-        await _until_answers(self.store, "/v1/range?prefix=x")
+        await _wait_until_answered(self.store, "/v1/range?prefix=x")
 
     async def start_daemon(self, name: str, hall: str, address: str) -> None:
-        """Start an entry VM's daemon and list it."""
+        """Start the daemon of an entry VM and add the VM to the VM list."""
         http, peer = self._port(), self._port()
         settings = {
             "vm": name,
@@ -84,10 +84,10 @@
         }
         path = Path(self._folder.name) / f"{name}.json"
         path.write_text(json.dumps(settings))
-        self.daemons[name] = self._run("daemon", "--settings", str(path))
+        self.daemons[name] = self._start("daemon", "--settings", str(path))
         self.http[name] = HttpClient(address, http, token=OPERATOR_TOKEN)
-        await _until_answers(self.http[name], "/v1/health")
-        await self._list(
+        await _wait_until_answered(self.http[name], "/v1/health")
+        await self._add_to_vm_list(
             {
                 "name": name,
                 "data_hall": hall,
@@ -99,8 +99,8 @@
         )
 
     async def list_endpoint(self, name: str, hall: str, address: str, port: int) -> None:
-        """List an endpoint that is served elsewhere."""
-        await self._list(
+        """Add an endpoint that is served elsewhere to the VM list."""
+        await self._add_to_vm_list(
             {
                 "name": name,
                 "data_hall": hall,
@@ -111,15 +111,15 @@
             }
         )
 
-    async def _list(self, entry: dict[str, object]) -> None:
+    async def _add_to_vm_list(self, entry: dict[str, object]) -> None:
         await self.platform.request("PUT", "/v1/vms", {**entry, "leaving": False}, timeout=10)
 
     def costs(self) -> dict[str, Cost]:
-        """What each daemon has used so far."""
-        return {name: cost_of(process.pid) for name, process in self.daemons.items()}
+        """Return the resources that each daemon has used so far."""
+        return {name: read_cost(process.pid) for name, process in self.daemons.items()}
 
     def stop(self) -> None:
-        """End every process that was started here."""
+        """Kill all processes that were started here and delete their settings."""
         for process in self._all:
             if process.poll() is None:
                 process.send_signal(signal.SIGKILL)
@@ -127,14 +127,14 @@
             process.wait()
         self._folder.cleanup()
 
-    def _run(self, *arguments: str) -> subprocess.Popen[bytes]:
+    def _start(self, *arguments: str) -> subprocess.Popen[bytes]:
         command = [str(Path(sys.executable).parent / "saddlestack"), *arguments]
         process = subprocess.Popen(command, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
         self._all.append(process)
         return process
 
 
-async def _until_answers(client: HttpClient, path: str) -> None:
+async def _wait_until_answered(client: HttpClient, path: str) -> None:
     for _ in range(200):
         try:
             await client.request("GET", path, timeout=2)
--- a/benchmarks/relay.py
+++ b/benchmarks/relay.py
@@ -1,6 +1,6 @@
-"""Store calls with one watch a hall, relayed, and with a watch on every VM.
+"""Compares store calls with one watch per data hall, relayed, and with a watch on every VM.
 
-Daemons of one process on a virtual clock: calls are counted by the stand-in store.
+All daemons run in one process on a virtual clock, and the stand-in store counts the calls.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 from saddlestack.standins.cluster import Cluster, account, racks
 from saddlestack.standins.loop import run
 
-QUIET_S = 120.0
+IDLE_S = 120.0
 CHANGES = 10
 RELAYED = Configuration.watching
 
 
-async def count(vms: int, halls: int) -> tuple[float, float]:
-    """Store calls a second while quiet, and a change."""
+async def count_store_calls(vms: int, halls: int) -> tuple[float, float]:
+    """Return the store calls per second without changes, and the calls per change."""
     sites = tuple(
         DataHall(name=f"hall{i}", racks=racks(f"w{i}", 1, workers=1)) for i in range(halls)
     )
@@ -31,8 +31,8 @@
     await asyncio.sleep(30)
     counters = cluster.store.counters
     before = counters.reads + counters.writes
-    await asyncio.sleep(QUIET_S)
-    quiet = (counters.reads + counters.writes - before) / QUIET_S
+    await asyncio.sleep(IDLE_S)
+    idle_rate = (counters.reads + counters.writes - before) / IDLE_S
     before = counters.reads + counters.writes
     began = asyncio.get_running_loop().time()
     operator = cluster.operator()
@@ -40,14 +40,14 @@
         plan = await operator.plan(Intent(accounts=(account("a", queued=1000 + i),)))
         await operator.confirm(plan, wait=10)
         await asyncio.sleep(1)
-    took = asyncio.get_running_loop().time() - began
-    change = (counters.reads + counters.writes - before - quiet * took) / CHANGES
+    elapsed_s = asyncio.get_running_loop().time() - began
+    calls_per_change = (counters.reads + counters.writes - before - idle_rate * elapsed_s) / CHANGES
     await cluster.stop()
-    return quiet, change
+    return idle_rate, calls_per_change
 
 
 def main() -> None:
-    """Measure and write the page's table."""
+    """Measure and write the table of docs/MEASURES.md."""
     logging.getLogger("saddlestack").setLevel(logging.CRITICAL)
     sizes = [(8, 2), (110, 5)] if len(sys.argv) < 2 else [(8, 2)]
     lines = ["| VMs | watches | store calls/s while quiet | calls a change |", "|" + " --- |" * 4]
@@ -57,8 +57,8 @@
             ("one a VM", property(lambda self: True)),
         ):
             Configuration.watching = watching  # type: ignore[method-assign, assignment]
-            quiet, change = run(count(vms, halls))
-            lines.append(f"| {vms} | {name} | {quiet:.2f} | {change:.1f} |")
+            idle_rate, calls_per_change = run(count_store_calls(vms, halls))
+            lines.append(f"| {vms} | {name} | {idle_rate:.2f} | {calls_per_change:.1f} |")
             print(lines[-1], flush=True)
     table = "\n".join(lines) + "\n"
     replace_table(MEASURES, "relay", table)
--- a/benchmarks/tables.py
+++ b/benchmarks/tables.py
@@ -1,4 +1,4 @@
-"""Fits the measured slopes and writes the tables of docs/CAPACITY.md between their marks."""
+"""Fits lines to measurements and writes the tables of docs/CAPACITY.md between their markers."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 CELLS = 40
 HALLS = 5
 ENTRY_VMS = 110
-MEMBERS_A_HALL = ENTRY_VMS // HALLS
-JOBS_A_DAY = 12_000
-TASKS = 120_000
-CHANGES_A_DAY = 6_000
+MEMBERS_PER_HALL = ENTRY_VMS // HALLS
+JOBS_PER_DAY = 12_000
+RUNNING_TASKS = 120_000
+CHANGES_PER_DAY = 6_000
 CPU_LIMIT = 3.2
 RSS_LIMIT = 64.0
 BYTES_LIMIT = 10 * 1024.0
@@ -44,12 +44,12 @@
     residual: float
 
     def at(self, x: float) -> float:
-        """The line's value."""
+        """Return the value of the line at ``x``."""
         return self.base + self.slope * x
 
 
 def fit(points: Sequence[tuple[float, float]]) -> Fit:
-    """Least squares."""
+    """Fit a line by least squares."""
     count = len(points)
     mean_x = sum(x for x, _ in points) / count
     mean_y = sum(y for _, y in points) / count
@@ -61,7 +61,7 @@
 
 
 def write_tables(raw_path: Path, page: Path) -> None:
-    """Replace what stands between the page's marks."""
+    """Replace the tables between the markers of the page."""
     raw: dict[str, Any] = json.loads(raw_path.read_text())
     for name, table in _tables(raw).items():
         replace_table(page, name, table)
@@ -80,7 +80,7 @@
 
 def _points(raw: dict[str, Any]) -> str:
     rows = []
-    for part, key, who in (
+    for part, key, role in (
         ("endpoints", "endpoints", "owner"),
         ("members", "members", "other"),
         ("changes", "changes_min", "other"),
@@ -88,10 +88,10 @@
         ("running", "tasks", "owner"),
     ):
         for point in raw[part]:
-            sample = point[who]
+            sample = point[role]
             rows.append(
                 (
-                    f"{part}, {'cell scheduler' if who == 'owner' else 'busiest other VM'}",
+                    f"{part}, {'cell scheduler' if role == 'owner' else 'busiest other VM'}",
                     f"{point[key]:g}",
                     f"{sample['cpu_percent']:.2f}",
                     f"{sample['rss_mb']:.1f}",
@@ -100,12 +100,12 @@
                     f"{sample['store_writes_s']:.2f}",
                 )
             )
-    head = ("swept", "value", "CPU %", "RSS MB", "bytes/s", "store calls/s", "store writes/s")
-    return _markdown(head, rows)
+    header = ("swept", "value", "CPU %", "RSS MB", "bytes/s", "store calls/s", "store writes/s")
+    return _markdown(header, rows)
 
 
-def _line(raw: dict[str, Any], part: str, key: str, who: str, measure: str) -> Fit:
-    return fit([(point[key], point[who][measure]) for point in raw[part]])
+def _fit_measure(raw: dict[str, Any], part: str, key: str, role: str, measure: str) -> Fit:
+    return fit([(point[key], point[role][measure]) for point in raw[part]])
 
 
 def _row(what: str, line: Fit, per: str, at: float, target: float, limit: float) -> tuple[str, ...]:
@@ -120,19 +120,19 @@
     )
 
 
-_HEAD = ("what", "measured line", "largest residual", "at", "value there", "limit", "ratio")
+_FIT_HEADER = ("what", "measured line", "largest residual", "at", "value there", "limit", "ratio")
 
 
 def _scheduler(raw: dict[str, Any]) -> str:
-    """A cell scheduler: endpoints, plus its share of jobs, plus the tasks that run."""
+    """Return the cost of a cell scheduler by endpoints, share of jobs and running tasks."""
     rows = []
-    jobs_min = JOBS_A_DAY / 24 / 60 / CELLS
-    tasks = TASKS / CELLS
+    jobs_min = JOBS_PER_DAY / 24 / 60 / CELLS
+    tasks = RUNNING_TASKS / CELLS
     for measure, title, limit in MEASURES:
-        line = _line(raw, "endpoints", "endpoints", "owner", measure)
+        line = _fit_measure(raw, "endpoints", "endpoints", "owner", measure)
         rows.append(_row(title, line, "endpoint", CELL_ENDPOINTS, line.at(CELL_ENDPOINTS), limit))
-        by_job = _line(raw, "jobs", "jobs_min", "owner", measure)
-        by_task = _line(raw, "running", "tasks", "owner", measure)
+        by_job = _fit_measure(raw, "jobs", "jobs_min", "owner", measure)
+        by_task = _fit_measure(raw, "running", "tasks", "owner", measure)
         total = line.at(CELL_ENDPOINTS) + max(0.0, by_job.slope) * jobs_min
         total += max(0.0, by_task.slope) * tasks
         rows.append(
@@ -146,36 +146,36 @@
                 f"{total / limit:.2f}",
             )
         )
-    return _markdown(_HEAD, rows)
+    return _markdown(_FIT_HEADER, rows)
 
 
 def _member(raw: dict[str, Any]) -> str:
     rows = []
     for measure, title, limit in MEASURES:
-        line = _line(raw, "members", "members", "other", measure)
+        line = _fit_measure(raw, "members", "members", "other", measure)
         rows.append(
-            _row(title, line, "VM of the hall", MEMBERS_A_HALL, line.at(MEMBERS_A_HALL), limit)
+            _row(title, line, "VM of the hall", MEMBERS_PER_HALL, line.at(MEMBERS_PER_HALL), limit)
         )
-    return _markdown(_HEAD, rows)
+    return _markdown(_FIT_HEADER, rows)
 
 
 def _relay(raw: dict[str, Any]) -> str:
     rows = []
-    rate = CHANGES_A_DAY / 24 / 60
+    rate = CHANGES_PER_DAY / 24 / 60
     for measure, title, limit in MEASURES:
-        line = _line(raw, "changes", "changes_min", "other", measure)
+        line = _fit_measure(raw, "changes", "changes_min", "other", measure)
         rows.append(_row(title, line, "change/min", round(rate, 2), line.at(rate), limit))
-    return _markdown(_HEAD, rows)
+    return _markdown(_FIT_HEADER, rows)
 
 
 def _store(raw: dict[str, Any]) -> str:
-    """The store's calls by cause, on an ordinary day, in a burst, and with a hall lost."""
-    jobs_s = JOBS_A_DAY / 86_400
-    by_job = _line(raw, "jobs", "jobs_min", "owner", "store_writes_s")
-    other = _line(raw, "jobs", "jobs_min", "other", "store_writes_s")
-    writes_a_job = 60 * (by_job.slope + 5 * max(0.0, other.slope))
-    changes_s = CHANGES_A_DAY / 86_400
-    ordinary = jobs_s * max(writes_a_job, 4.0) + changes_s * 2 + (110 + 700) / 86_400 * 5
+    """Return the store calls of an ordinary day, a burst, and the return of a hall or region."""
+    jobs_s = JOBS_PER_DAY / 86_400
+    by_job = _fit_measure(raw, "jobs", "jobs_min", "owner", "store_writes_s")
+    other = _fit_measure(raw, "jobs", "jobs_min", "other", "store_writes_s")
+    writes_per_job = 60 * (by_job.slope + 5 * max(0.0, other.slope))
+    changes_s = CHANGES_PER_DAY / 86_400
+    ordinary = jobs_s * max(writes_per_job, 4.0) + changes_s * 2 + (110 + 700) / 86_400 * 5
     burst = 2000 * 0.075 / 2 + ordinary
     lost = CELLS / HALLS * 5 / 10 + ordinary
     reads = ENTRY_VMS / 30 + HALLS / 20 + changes_s * 3
@@ -222,7 +222,7 @@
     return _markdown(("what", "seconds", "limit"), rows)
 
 
-def _markdown(head: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
-    lines = ["| " + " | ".join(head) + " |", "|" + " --- |" * len(head)]
+def _markdown(header: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
+    lines = ["| " + " | ".join(header) + " |", "|" + " --- |" * len(header)]
     lines += ["| " + " | ".join(row) + " |" for row in rows]
     return "\n".join(lines) + "\n"
--- a/benchmarks/takeover.py
+++ b/benchmarks/takeover.py
@@ -1,7 +1,8 @@
 """Times how long a pool is without a leader after each kind of loss, on a virtual clock.
 
-Entry VMs run against the stand-ins of the platform. A VM counts as leading once it has read what
-the store keeps; the time runs from the loss, or from the return where everything was away.
+Entry VMs run against the stand-ins of the platform. A VM counts as the leader once it has read the
+state from the store. The time is measured from the loss, or from the return of the store or of the
+VMs if all of them were unavailable.
 """
 
 from __future__ import annotations
@@ -18,46 +19,46 @@
 SEEDS = range(1, 31)
 ENTRIES = 6
 POLL_S = 0.01
-LONGEST_S = 20.0
-AWAY_S = 4.0
+MAX_WAIT_S = 20.0
+STORE_OUTAGE_S = 4.0
 RESTART_S = 1.0
 
-Loss = Callable[[PoolCluster, str], Awaitable[None]]
-"""Takes the leader of that name away; returns when the time begins."""
+LossFunction = Callable[[PoolCluster, str], Awaitable[None]]
+"""Causes the loss of the named leader, and returns when the measurement begins."""
 
 
-async def killed(cluster: PoolCluster, name: str) -> None:
-    """The leader's process dies."""
+async def kill_leader(cluster: PoolCluster, name: str) -> None:
+    """Kill the leader's process."""
     await cluster.kill(name)
 
 
-async def stopped(cluster: PoolCluster, name: str) -> None:
-    """The leader is asked to stop."""
+async def stop_leader(cluster: PoolCluster, name: str) -> None:
+    """Stop the leader gracefully."""
     vm = cluster.member(name).vm
     asyncio.get_running_loop().create_task(vm.drain())
 
 
-async def cut(cluster: PoolCluster, name: str) -> None:
-    """The leader's calls to the store get no answer."""
+async def cut_leader(cluster: PoolCluster, name: str) -> None:
+    """Leave the leader's calls to the store unanswered."""
     cluster.member(name).view.faults.silent = True
 
 
-async def refused(cluster: PoolCluster, name: str) -> None:
-    """The store refuses the leader's calls."""
+async def refuse_leader(cluster: PoolCluster, name: str) -> None:
+    """Make the store refuse the leader's calls."""
     cluster.member(name).view.faults.refusing = True
 
 
-async def store_away(cluster: PoolCluster, name: str) -> None:
-    """The store answers nobody for a while; leases run out meanwhile."""
+async def interrupt_store(cluster: PoolCluster, name: str) -> None:
+    """Make the store unavailable to all VMs for :data:`STORE_OUTAGE_S`, in which leases expire."""
     for member in cluster.members.values():
         member.view.faults.silent = True
-    await asyncio.sleep(AWAY_S)
+    await asyncio.sleep(STORE_OUTAGE_S)
     for member in cluster.members.values():
         member.view.faults.silent = False
 
 
-async def all_killed(cluster: PoolCluster, name: str) -> None:
-    """Every entry VM dies and comes back."""
+async def kill_all(cluster: PoolCluster, name: str) -> None:
+    """Kill all entry VMs and restart them."""
     names = list(cluster.members)
     for each in names:
         await cluster.kill(each)
@@ -66,18 +67,18 @@
         await cluster.add_entry(each)
 
 
-LOSSES: dict[str, Loss] = {
-    "planned stop": stopped,
-    "process killed": killed,
-    "cut from the store": cut,
-    "refused by the store": refused,
-    "store away for 4 s, from its return": store_away,
-    "all VMs killed, from their return": all_killed,
+LOSSES: dict[str, LossFunction] = {
+    "planned stop": stop_leader,
+    "process killed": kill_leader,
+    "cut from the store": cut_leader,
+    "refused by the store": refuse_leader,
+    "store away for 4 s, from its return": interrupt_store,
+    "all VMs killed, from their return": kill_all,
 }
 
 
-def time_without_leader(loss: Loss, seed: int) -> float:
-    """Seconds until another term has begun."""
+def time_without_leader(loss: LossFunction, seed: int) -> float:
+    """Return the seconds until another term has begun, at most about :data:`MAX_WAIT_S`."""
     seconds: list[float] = []
 
     async def body() -> None:
@@ -85,12 +86,12 @@
         await cluster.start()
         await cluster.submit(f"{seed:016x}", job(8, work_s=30.0))
         await asyncio.sleep(1.0 + seed * 0.037)
-        fence = _highest(cluster)
+        fence = _highest_fence(cluster)
         await loss(cluster, cluster.leader_name)
         began = asyncio.get_running_loop().time()
-        while _highest(cluster) <= fence:
+        while _highest_fence(cluster) <= fence:
             await asyncio.sleep(POLL_S)
-            if asyncio.get_running_loop().time() - began > LONGEST_S:
+            if asyncio.get_running_loop().time() - began > MAX_WAIT_S:
                 break
         seconds.append(asyncio.get_running_loop().time() - began)
         await cluster.stop()
@@ -99,14 +100,14 @@
     return seconds[0]
 
 
-def _highest(cluster: PoolCluster) -> int:
-    """The highest fencing token of a term that has begun."""
+def _highest_fence(cluster: PoolCluster) -> int:
+    """Return the highest fencing token of a term that has begun, or 0."""
     schedulers = [member.vm.scheduler for member in cluster.members.values()]
     return max((s.fence for s in schedulers if s is not None and s.loaded.is_set()), default=0)
 
 
 def main() -> None:
-    """Measure and write the page's table."""
+    """Measure and write the table of docs/MEASURES.md."""
     logging.disable(logging.CRITICAL)
     lines = ["| loss of the leader | p50 s | worst s |", "| --- | --- | --- |"]
     for name, loss in LOSSES.items():
--- a/benchmarks/trials.py
+++ b/benchmarks/trials.py
@@ -1,10 +1,10 @@
-"""Plays days of deployments with one mechanism switched off at a time, and compares them in pairs.
+"""Plays days of deployments with one mechanism disabled at a time, and compares them in pairs.
 
     python -m benchmarks.trials --bench PROGRAM --site FILE --days trouble-1,scale-1 --seeds 1-4
 
-The users' bench is a program that is asked for ``run SITE DAY --seed N --no-cpu --report FILE``;
-each variant runs from a scratch copy of this checkout, the sources themselves first. Reports are
-kept, so that a run that was cut short goes on where it stopped.
+The users' bench is a program that is called as ``run SITE DAY --seed N --no-cpu --report FILE
+--why TEXT``. Each variant runs from a scratch copy of this checkout, after the unchanged sources.
+Reports are kept, so that an interrupted run resumes where it stopped.
 """
 
 from __future__ import annotations
@@ -23,25 +23,36 @@
 from benchmarks.variants import VARIANTS, Variant, apply
 
 ROOT = Path(__file__).resolve().parent.parent
-COPIED = ("src", "deploy", "pyproject.toml", "constraints.txt", ".gitignore", ".git", "target")
-"""With what a build of this checkout has made, so that the copies need not build again."""
-PRESENT = Variant("present", "nothing switched off", ())
+COPIED_PATHS = (
+    "src",
+    "deploy",
+    "pyproject.toml",
+    "constraints.txt",
+    ".gitignore",
+    ".git",
+    "target",
+)
+"""Paths that are copied, with the build output, so that the copies need no build of their own."""
+BASELINE = Variant("present", "nothing disabled", ())
 
 
 class Report(msgspec.Struct):
-    """What is read of a day's report.
+    """The part of a day's report that is compared.
 
-    :param worth: of the day, at most 1.
-    :param breaks: broken rules, and how often each.
+    :param score: the score of the day, at most 1.
+    :param breaks: how often each broken rule was broken.
     """
 
-    worth: float | None = msgspec.field(name="G")
+    score: float | None = msgspec.field(name="G")
     breaks: dict[str, int] = {}
 
 
 @dataclass(frozen=True, slots=True)
 class Day:
-    """One day of a deployment, with its seed."""
+    """One day of a deployment, with its seed.
+
+    :param site: file that describes the deployment.
+    """
 
     site: Path
     name: str
@@ -49,17 +60,19 @@
 
     @property
     def key(self) -> str:
-        """Names the day among all."""
+        """Unique name of the day, used for its report file."""
         return f"{self.site.stem}.{self.name}.{self.seed}"
 
 
 @dataclass(frozen=True, slots=True)
 class Comparison:
-    """Worth with a mechanism and without it, over the same days.
+    """Scores with a mechanism and without it, over the same days.
 
-    :param gain: what the mechanism is worth, on the mean day.
-    :param error: the standard error of that.
-    :param broken: days without it that broke a rule.
+    :param days: number of days that have both scores.
+    :param present: mean score with the mechanism.
+    :param gain: mean difference of the scores with and without the mechanism.
+    :param error: standard error of ``gain``.
+    :param broken: number of days without the mechanism that broke a rule.
     """
 
     days: int
@@ -70,47 +83,47 @@
 
 
 def compare(present: dict[str, Report], without: dict[str, Report]) -> Comparison:
-    """Compare the days that both have."""
+    """Compare the days that have a score in both."""
     pairs = [
-        (report.worth, other.worth)
+        (report.score, other.score)
         for key, report in present.items()
         if (other := without.get(key)) is not None
-        and report.worth is not None
-        and other.worth is not None
+        and report.score is not None
+        and other.score is not None
     ]
-    gains = [with_it - without_it for with_it, without_it in pairs]
+    gains = [score_with - score_without for score_with, score_without in pairs]
     spread = statistics.stdev(gains) if len(gains) > 1 else 0.0
     return Comparison(
         days=len(pairs),
-        present=statistics.fmean(with_it for with_it, _ in pairs) if pairs else 0.0,
+        present=statistics.fmean(score_with for score_with, _ in pairs) if pairs else 0.0,
         gain=statistics.fmean(gains) if gains else 0.0,
         error=spread / len(gains) ** 0.5 if gains else 0.0,
         broken=sum(1 for report in without.values() if report.breaks),
     )
 
 
-def numbers(text: str) -> list[int]:
-    """The numbers that ``1-4,7`` spells.
+def parse_numbers(text: str) -> list[int]:
+    """Parse a list of numbers and ranges such as ``1-4,7``.
 
-    :raises click.BadParameter: it spells none.
+    :raises click.BadParameter: the text is not such a list.
     """
-    found: list[int] = []
+    result: list[int] = []
     for part in text.split(","):
         first, _, last = part.partition("-")
         try:
-            found += range(int(first), int(last or first) + 1)
+            result += range(int(first), int(last or first) + 1)
         except ValueError:
             raise click.BadParameter(f"expected numbers such as 1-4,7, got {text!r}") from None
-    return found
+    return result
 
 
-def scratch(variant: Variant, folder: Path) -> Path:
-    """A copy of this checkout with a variant's edits."""
+def make_copy(variant: Variant, folder: Path) -> Path:
+    """Copy this checkout with a variant's edits, unless there is a copy from an earlier run."""
     copy = folder / variant.name
     if copy.exists():
         return copy
     copy.mkdir(parents=True)
-    for name in COPIED:
+    for name in COPIED_PATHS:
         source = ROOT / name
         if source.is_dir():
             ignore = shutil.ignore_patterns("__pycache__")
@@ -123,12 +136,15 @@
 
 
 def play(bench: Path, copy: Path, day: Day, out: Path, why: str) -> Report | None:
-    """Play a day, or read the report of an earlier play; ``None`` where there is none."""
+    """Play a day, unless it has a report from an earlier run, and read its report.
+
+    :return: ``None`` if the bench wrote no report.
+    """
     file = out / f"{day.key}.json"
     if not file.exists():
-        asked = [str(bench), "run", str(day.site), day.name, "--seed", str(day.seed)]
-        asked += ["--no-cpu", "--report", str(file), "--why", why]
-        subprocess.run(asked, cwd=copy, capture_output=True, check=False)
+        command = [str(bench), "run", str(day.site), day.name, "--seed", str(day.seed)]
+        command += ["--no-cpu", "--report", str(file), "--why", why]
+        subprocess.run(command, cwd=copy, capture_output=True, check=False)
     if not file.exists():
         click.echo(f"{copy.name} {day.key}: no report", err=True)
         return None
@@ -138,8 +154,8 @@
 def play_all(
     bench: Path, variant: Variant, days: Sequence[Day], folder: Path, jobs: int
 ) -> dict[str, Report]:
-    """Play all days of a variant, some at a time."""
-    copy = scratch(variant, folder)
+    """Play all days of a variant, ``jobs`` at a time, and return the reports by day."""
+    copy = make_copy(variant, folder)
     out = folder / f"{variant.name}.reports"
     out.mkdir(exist_ok=True)
     why = f"ablation: without {variant.what}" if variant.edits else "ablation: the present code"
@@ -157,8 +173,13 @@
 )
 @click.option("--days", default="trouble-1,trouble-2,trouble-3,scale-1,scale-2", show_default=True)
 @click.option("--seeds", default="1-4", show_default=True)
-@click.option("--variant", "names", multiple=True, help="Only these; all if none is given.")
-@click.option("--folder", required=True, type=click.Path(path_type=Path), help="For copies.")
+@click.option("--variant", "names", multiple=True, help="Variants to compare; all by default.")
+@click.option(
+    "--folder",
+    required=True,
+    type=click.Path(path_type=Path),
+    help="Folder for copies and reports.",
+)
 @click.option("--jobs", default=4, show_default=True)
 def main(
     bench: Path,
@@ -169,24 +190,26 @@
     folder: Path,
     jobs: int,
 ) -> None:
-    """Tell what each mechanism is worth."""
+    """Print how much each mechanism adds to the scores."""
     unknown = set(names) - {variant.name for variant in VARIANTS}
     if unknown:
         raise click.BadParameter(f"no variant {', '.join(sorted(unknown))}")
     chosen = [variant for variant in VARIANTS if not names or variant.name in names]
-    click.echo("| switched off | deployment | days | with it | worth of it | error | broken |")
+    click.echo("| disabled | deployment | days | score with it | gain | error | broken |")
     click.echo("| --- | --- | --- | --- | --- | --- | --- |")
     for site in sites:
-        played = [
-            Day(site.resolve(), day, seed) for day in days.split(",") for seed in numbers(seeds)
+        selected_days = [
+            Day(site.resolve(), day, seed)
+            for day in days.split(",")
+            for seed in parse_numbers(seeds)
         ]
-        present = play_all(bench.resolve(), PRESENT, played, folder, jobs)
+        present = play_all(bench.resolve(), BASELINE, selected_days, folder, jobs)
         for variant in chosen:
-            without = play_all(bench.resolve(), variant, played, folder, jobs)
-            found = compare(present, without)
+            without = play_all(bench.resolve(), variant, selected_days, folder, jobs)
+            comparison = compare(present, without)
             click.echo(
-                f"| {variant.what} | {site.stem} | {found.days} | {found.present:.3f} "
-                f"| {found.gain:+.3f} | {found.error:.3f} | {found.broken} |"
+                f"| {variant.what} | {site.stem} | {comparison.days} | {comparison.present:.3f} "
+                f"| {comparison.gain:+.3f} | {comparison.error:.3f} | {comparison.broken} |"
             )
 
 
--- a/benchmarks/variants.py
+++ b/benchmarks/variants.py
@@ -1,7 +1,8 @@
-"""Switches for the mechanisms that decide: each is an edit of a scratch copy of the sources.
+"""Variants of the sources, each with one decision mechanism disabled.
 
-They are the experiment tool's, not settings of the product. ``tests/test_trials.py`` holds each of
-them to the present sources.
+A variant is a list of edits that are applied to a scratch copy of the sources. Variants exist only
+for the trials; they are no settings of the scheduler. ``tests/test_trials.py`` checks that all
+edits match the current sources.
 """
 
 from __future__ import annotations
@@ -12,9 +13,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Edit:
-    """A text of a source file, found there exactly once, and what stands in its place.
+    """Replaces a text that occurs exactly once in a source file.
 
-    :param file: below ``src/saddlestack``.
+    :param file: path below ``src/saddlestack``.
     """
 
     file: str
@@ -24,9 +25,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Variant:
-    """One mechanism switched off.
+    """The sources with one mechanism disabled.
 
-    :param what: the mechanism, as it stands in tables.
+    :param what: the mechanism, as shown in the table.
     """
 
     name: str
@@ -35,20 +36,22 @@
 
 
 class EditMissing(Exception):
-    """A text to be edited is not in its file exactly once."""
+    """The text to be replaced does not occur exactly once in its file."""
 
 
 def apply(variant: Variant, package: Path) -> None:
-    """Edit a scratch copy.
+    """Apply the edits of a variant to a scratch copy.
 
-    :param package: its ``src/saddlestack``.
-    :raises EditMissing: an edit does not fit the sources.
+    :param package: the ``src/saddlestack`` of the copy.
+    :raises EditMissing: an edit does not match the sources.
     """
     for edit in variant.edits:
         path = package / edit.file
         text = path.read_text(encoding="utf-8")
         if text.count(edit.old) != 1:
-            raise EditMissing(f"{variant.name}: {edit.file} has {edit.old!r} not once")
+            raise EditMissing(
+                f"{variant.name}: {edit.file} does not have {edit.old!r} exactly once"
+            )
         path.write_text(text.replace(edit.old, edit.new), encoding="utf-8")
 
 
@@ -74,7 +77,7 @@
     ),
     Variant(
         "reservations",
-        "room reserved while it is being made",
+        "capacity reserved while it is being freed",
         (
             Edit(
                 "policy/cluster/reservations.py",
@@ -101,7 +104,7 @@
     ),
     Variant(
         "spare",
-        "victims that proved needless are left out",
+        "unneeded victims are dropped",
         (
             Edit(
                 "policy/cluster/preemption.py",
@@ -112,7 +115,7 @@
     ),
     Variant(
         "gain",
-        "victims priced by all tasks that they make room for",
+        "victims priced by all tasks that they free capacity for",
         (
             Edit(
                 "policy/cluster/preemption.py",
@@ -134,12 +137,12 @@
     ),
     Variant(
         "stuck",
-        "urgent work that stands still begins again elsewhere",
+        "stuck urgent work restarts elsewhere",
         (Edit("policy/cluster/progress.py", "MAX_MOVES = 2", "MAX_MOVES = 0"),),
     ),
     Variant(
         "caution",
-        "urgent work goes to healthy workers while faulty ones are noticed",
+        "urgent work goes to healthy workers while faulty ones are known",
         (
             Edit(
                 "policy/cluster/worker_preferences.py",
@@ -150,7 +153,7 @@
     ),
     Variant(
         "quarantine",
-        "workers that fail work are left alone for a while",
+        "quarantine of workers that fail runs",
         (
             Edit(
                 "policy/cluster/workers.py", "FIRST_QUARANTINE_S = 2.0", "FIRST_QUARANTINE_S = 0.0"
@@ -160,12 +163,12 @@
     ),
     Variant(
         "probation",
-        "workers that fail at once get no urgent work and no gangs",
+        "workers with early failures get no urgent work and no gangs",
         (Edit("policy/cluster/workers.py", "PROBATION_S = 16.0", "PROBATION_S = 0.0"),),
     ),
     Variant(
         "recovery",
-        "calls that an outage swallowed are ended when the store is back",
+        "calls left unanswered in an outage are ended when the store recovers",
         (
             Edit(
                 "control/health.py",
@@ -176,7 +179,7 @@
     ),
     Variant(
         "suspicion",
-        "workers of a hall out of reach are suspected",
+        "workers of an unreachable data hall are suspected",
         (
             Edit(
                 "control/session.py",
@@ -187,7 +190,7 @@
     ),
     Variant(
         "relays",
-        "calls go through a VM that reaches the store",
+        "calls are relayed through a VM that reaches the store",
         (
             Edit(
                 "control/relays.py",
@@ -198,7 +201,7 @@
     ),
     Variant(
         "elsewhere",
-        "a VM that is cut off sends callers on at once",
+        "a partitioned VM redirects callers at once",
         (
             Edit(
                 "control/access.py",
@@ -209,12 +212,12 @@
     ),
     Variant(
         "batches",
-        "batches of records beside each other",
+        "concurrent writes of record batches",
         (Edit("control/commits.py", "MAX_CONCURRENT_WRITES = 8", "MAX_CONCURRENT_WRITES = 1"),),
     ),
     Variant(
         "notices",
-        "the leader hears of a job from the VM that took it",
+        "the VM that accepts a job notifies the leader",
         (
             Edit(
                 "control/leaderrpc.py",
@@ -225,7 +228,7 @@
     ),
     Variant(
         "looks",
-        "a look at once after a stop was answered",
+        "immediate poll after an acknowledged stop",
         (
             Edit(
                 "control/session.py",
@@ -236,4 +239,4 @@
         ),
     ),
 )
-"""All switches, in the order of the table."""
+"""All variants, in the order of the table."""
--- a/benchmarks/waits.py
+++ b/benchmarks/waits.py
@@ -1,7 +1,7 @@
-"""Times looks at what jobs wait for, on a loaded pool with a backlog.
+"""Times the diagnosis of waiting jobs, on a loaded pool with a backlog.
 
-The pool and its changes are those of :mod:`benchmarks.board`; the backlog is more jobs of the same
-kinds than it can hold.
+The pool and its changes are those of :mod:`benchmarks.board`; the backlog consists of further jobs
+of the same kinds that do not fit the pool.
 """
 
 from __future__ import annotations
@@ -21,21 +21,21 @@
 
 WORKERS = 3_000
 BACKLOG = 5_000
-LOOKS = 40
+SCANS = 40
 
 
 def backlogged_cluster(workers: int, backlog: int, rng: random.Random) -> ClusterState:
-    """A pool with so many workers, and about so many more jobs than it holds."""
+    """Return a loaded pool with about ``backlog`` jobs more than fit."""
     cluster_state = loaded_cluster(workers, rng)
     more = loaded_cluster(2 * backlog, rng)
     for number, job in enumerate(list(more.jobs.values())[:backlog]):
-        renamed = msgspec.structs.replace(job.accepted, job_id=f"b{number:015x}")
-        cluster_state.add_job(renamed, {})
+        accepted = msgspec.structs.replace(job.accepted, job_id=f"b{number:015x}")
+        cluster_state.add_job(accepted, {})
     return cluster_state
 
 
-def started(cluster_state: ClusterState, now: float) -> None:
-    """Decide all that may be decided now; each start is confirmed."""
+def plan_all(cluster_state: ClusterState, now: float) -> None:
+    """Plan until nothing is left to decide, and confirm each start."""
     more = True
     while more:
         more = cluster_state.plan(now, now * 1000)
@@ -43,27 +43,27 @@
             cluster_state.run_started(start.run, now)
 
 
-def looks(
+def time_scans(
     cluster_state: ClusterState, rng: random.Random
 ) -> tuple[list[float], Counter[WaitReason]]:
-    """Milliseconds of each of some looks, rounds in between left out, and what the last found."""
+    """Return the milliseconds of each scan, and how many jobs wait for each reason in the last."""
     diagnosis = Diagnosis(cluster_state)
     number = len(cluster_state.jobs)
     times: list[float] = []
-    found: Counter[WaitReason] = Counter()
-    for index in range(LOOKS):
+    reasons: Counter[WaitReason] = Counter()
+    for index in range(SCANS):
         now = 1.0 + index * ROUND_S
         number += churn(cluster_state, rng, now, number)
-        started(cluster_state, now)
+        plan_all(cluster_state, now)
         began = time.perf_counter()
-        looked = diagnosis.scan(_circumstances(now))
+        scan_result = diagnosis.scan(_context(now))
         times.append((time.perf_counter() - began) * 1000)
-        found = Counter(wait.reason for wait in looked.waits)
-        found[WaitReason.LEFT_OUT] += looked.left_out
-    return times, found
+        reasons = Counter(wait.reason for wait in scan_result.waits)
+        reasons[WaitReason.LEFT_OUT] += scan_result.left_out
+    return times, reasons
 
 
-def _circumstances(now: float) -> DiagnosisContext:
+def _context(now: float) -> DiagnosisContext:
     return DiagnosisContext(
         now=now,
         wall_ms=now * 1000,
@@ -77,20 +77,22 @@
 
 @click.command()
 @click.option("--workers", default=WORKERS, show_default=True)
-@click.option("--backlog", default=BACKLOG, show_default=True, help="Jobs more than it holds.")
+@click.option(
+    "--backlog", default=BACKLOG, show_default=True, help="Number of jobs that do not fit."
+)
 def main(workers: int, backlog: int) -> None:
-    """Time looks at a pool."""
+    """Time scans of a pool."""
     rng = random.Random(1)
     cluster_state = backlogged_cluster(workers, backlog, rng)
-    started(cluster_state, 0.0)
-    times, found = looks(cluster_state, rng)
+    plan_all(cluster_state, 0.0)
+    times, reasons = time_scans(cluster_state, rng)
     ordered = sorted(times)
     click.echo(
-        f"{workers} workers, {sum(found.values())} jobs wait: "
-        f"{statistics.median(ordered):.1f} ms a look in the median, "
+        f"{workers} workers, {sum(reasons.values())} jobs wait: "
+        f"{statistics.median(ordered):.1f} ms per scan in the median, "
         f"{ordered[int(len(ordered) * 0.9)]:.1f} ms at the 90th percentile"
     )
-    for reason, count in found.most_common():
+    for reason, count in reasons.most_common():
         click.echo(f"{count:6} {reason.value}")
 
 
--- a/tests/test_trials.py
+++ b/tests/test_trials.py
@@ -1,4 +1,4 @@
-"""The experiment tool: its switches fit the sources, and its comparisons are in pairs."""
+"""The trials: the edits of each variant match the sources, and days are compared in pairs."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from pathlib import Path
 
 import click
-from benchmarks.trials import Report, compare, numbers
+from benchmarks.trials import Report, compare, parse_numbers
 from benchmarks.variants import VARIANTS, Edit, EditMissing, Variant, apply
 
 PACKAGE = Path(__file__).resolve().parent.parent / "src" / "saddlestack"
 
 
 class VariantsTest(unittest.TestCase):
-    def test_each_switch_fits_the_sources_and_leaves_them_readable(self) -> None:
+    def test_each_variant_matches_the_sources_and_the_result_compiles(self) -> None:
         for variant in VARIANTS:
             with self.subTest(variant=variant.name), tempfile.TemporaryDirectory() as folder:
                 for edit in variant.edits:
@@ -26,7 +26,7 @@
                 for edit in variant.edits:
                     compile((Path(folder) / edit.file).read_text(), edit.file, "exec")
 
-    def test_a_switch_that_does_not_fit_is_an_error(self) -> None:
+    def test_an_edit_that_does_not_match_raises(self) -> None:
         variant = Variant("none", "", (Edit("errors.py", "no such text", ""),))
         with tempfile.TemporaryDirectory() as folder:
             shutil.copy(PACKAGE / "errors.py", Path(folder) / "errors.py")
@@ -35,19 +35,19 @@
 
 
 class ComparisonTest(unittest.TestCase):
-    def test_only_days_that_both_have_are_compared(self) -> None:
+    def test_only_days_with_a_score_in_both_are_compared(self) -> None:
         present = {"a": Report(0.8), "b": Report(0.6), "c": Report(0.1), "d": Report(None)}
         without = {"a": Report(0.7), "b": Report(0.6, {"TWICE": 1}), "d": Report(0.9)}
-        found = compare(present, without)
-        self.assertEqual((found.days, found.broken), (2, 1))
-        self.assertAlmostEqual(found.present, 0.7)
-        self.assertAlmostEqual(found.gain, 0.05)
-        self.assertAlmostEqual(found.error, 0.05)
+        comparison = compare(present, without)
+        self.assertEqual((comparison.days, comparison.broken), (2, 1))
+        self.assertAlmostEqual(comparison.present, 0.7)
+        self.assertAlmostEqual(comparison.gain, 0.05)
+        self.assertAlmostEqual(comparison.error, 0.05)
 
-    def test_nothing_to_compare(self) -> None:
+    def test_comparison_without_days(self) -> None:
         self.assertEqual(compare({}, {}).days, 0)
 
-    def test_seeds(self) -> None:
-        self.assertEqual(numbers("1-3,7"), [1, 2, 3, 7])
+    def test_parse_numbers(self) -> None:
+        self.assertEqual(parse_numbers("1-3,7"), [1, 2, 3, 7])
         with self.assertRaises(click.BadParameter):
-            numbers("x")
+            parse_numbers("x")
