--- a/tests/test_crashing_gang_days.py
+++ b/tests/test_crashing_gang_days.py
@@ -1,4 +1,4 @@
-"""Simulated days of gangs one of whose tasks crashes each worker that starts it."""
+"""Simulated days with gangs that have a task that crashes each worker that starts it."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class CrashingGangDaysTest(unittest.TestCase):
-    def test_a_gang_is_given_up_in_time_where_workers_crash_by_themselves_too(self) -> None:
+    def test_a_gang_is_given_up_in_time_where_workers_also_crash_on_their_own(self) -> None:
         day = day_of(97836, 30.0, ["crash", "reborn"], kinds=JobKinds(crashing=0.1))
         self.assertEqual(day.play().broken, [])
 
--- a/tests/test_last_try_days.py
+++ b/tests/test_last_try_days.py
@@ -1,4 +1,4 @@
-"""Simulated days on which work that must not fail once more stalled beside a mostly free pool."""
+"""Simulated days on which work on its last attempt stalled although the pool was mostly free."""
 
 from __future__ import annotations
 
--- a/tests/test_reserved_days.py
+++ b/tests/test_reserved_days.py
@@ -1,7 +1,7 @@
-"""Simulated days on which accepted work stalled beside room that was reserved for urgent gangs.
+"""Simulated days on which work stalled while capacity was reserved for urgent gangs.
 
-A third of the jobs fails once a task, runs take up to 5 s to stop, and one reservation followed the
-other. Some jobs waited for 40 s beside a mostly free pool.
+In a third of the jobs each task fails once, runs take up to 5 s to stop, and one reservation
+followed the other. Some jobs waited for 40 s although the pool was mostly free.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 from tests.simulation.loops import SharedLoop
 from tests.simulation.scene import OTHER, ROOM, SceneTest, job, tasks
 from tests.simulation.workers import Plan
-from tests.test_standing_work import LASTS_S, LOOKED_S, Longest
+from tests.test_standing_work import LASTS_S, OBSERVED_S, Longest
 
 FAILING = 0.3
 SECONDS = 30.0
@@ -26,7 +26,7 @@
 TIMER_S = 0.5
 STOP_S = 5.0
 LONG_S = 8.0
-"""Work that cannot end before runs have stopped."""
+"""Duration of work that cannot end before the stopping runs have ended."""
 
 
 class ReservedDaysTest(unittest.TestCase):
@@ -41,7 +41,7 @@
         self.assertEqual(days.day_of(88036, SECONDS, kinds=kinds).play().broken, [])
 
     def assert_unbroken(self, seed: int) -> None:
-        """Play the day as it was found: with failing jobs of any account, and a timer beside it."""
+        """Run the day as it was found: with failing jobs of any account, and an extra timer."""
         with unittest.mock.patch.object(days, "_job", failing_job):
             day = days.day_of(seed, SECONDS)
             day.site.world.call_later(FIRST_TIMER_S, tick, day.site.world)
@@ -50,7 +50,7 @@
 
 class LongWorkTest(SceneTest):
     def test_long_work_beside_room_that_is_reserved_does_not_stall(self) -> None:
-        """An urgent gang takes eight empty workers and one whose run takes 5 s to stop."""
+        """An urgent gang reserves eight idle workers and one whose run takes 5 s to stop."""
         self.site.workers._stop_s = STOP_S
         self.site.workers._rng = Longest(1)
         self.hand_in(job(tasks(4, ROOM), LASTS_S), OTHER, "bulk")
@@ -59,14 +59,14 @@
         self.after(0.2)
         known = msgspec.structs.replace(tasks(1), estimate_ms=round(LONG_S * 1000))
         self.hand_in(job(known, LONG_S))
-        self.assertEqual(self.after(LOOKED_S).unexplained, [])
+        self.assertEqual(self.after(OBSERVED_S).unexplained, [])
 
 
 _plain_job = days._job
 
 
 def failing_job(rng: random.Random, now_ms: int) -> tuple[str, JobRequest]:
-    """A drawn job; of some every task fails once, by its own fault, at its end."""
+    """Draw a job; in some jobs each task fails once, by its own fault, at the end of its work."""
     queue, request = _plain_job(rng, now_ms)
     plan = msgspec.json.decode(request.payload, type=Plan)
     if not plan.failures and not plan.lasts and rng.random() < FAILING:
@@ -76,7 +76,7 @@
 
 
 def tick(loop: SharedLoop) -> None:
-    """A timer that does nothing: the order of what is due at one moment depends on it."""
+    """Restart a timer that does nothing but affects the order of timers due at the same time."""
     loop.call_later(TIMER_S, tick, loop)
 
 
--- a/tests/test_reset_starts.py
+++ b/tests/test_reset_starts.py
@@ -1,7 +1,7 @@
-"""Workers that reset each connection that brings a start, and answer all other calls.
+"""Workers that reset each connection with a start order and answer all other calls.
 
-Seen on a simulated day: hundreds of starts a second left for such workers, each with a record of
-its own in the store.
+On a simulated day hundreds of starts a second were sent to such workers, each with its own record
+in the store.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class ResetStartsTest(SceneTest):
-    def test_a_worker_that_resets_a_start_gets_the_next_one_after_a_pause(self) -> None:
+    def test_a_worker_that_resets_a_start_gets_the_next_one_after_a_delay(self) -> None:
         workers = list(self.site.workers.lives.values())
         until = self.now + LASTS_S
         for worker in workers:
--- a/tests/test_standing_work.py
+++ b/tests/test_standing_work.py
@@ -1,4 +1,4 @@
-"""Accepted work that stood still beside a mostly free pool, each cause by itself."""
+"""Causes for which accepted work stalled although the pool was mostly free, one per test."""
 
 from __future__ import annotations
 
@@ -23,22 +23,22 @@
 from tests.simulation.workers import Plan
 
 LASTS_S = 60.0
-"""Work that goes on until its test is over."""
-LOOKED_S = 12.0
-"""For so long tests look on: the longest known patience, of work near its data, lasts 8 s."""
+"""Duration of work that outlasts its test."""
+OBSERVED_S = 12.0
+"""Observed time: the longest wait limit, of work near its data, is 8 s."""
 LOST_S = 6.0
-"""For so long writes about one job get lost."""
+"""Time for which writes about one job get lost."""
 RACK = "r1-1"
-"""Has three of the twelve workers."""
+"""A rack with three of the twelve workers."""
 
 
 def near(step: Step) -> Step:
-    """A step with data on a rack."""
+    """Return a step with its data on :data:`RACK`."""
     return msgspec.structs.replace(step, data_rack=RACK)
 
 
 def failing(step: Step) -> JobRequest:
-    """A job whose every task fails once, early, by its own fault."""
+    """Return a job each task of which fails once, early, by its own fault."""
     plan = Plan(0.5, step.needs.accelerators, failures=1, fails_s=0.2)
     return JobRequest(payload=msgspec.json.encode(plan).decode(), steps=(step,))
 
@@ -49,25 +49,25 @@
         self.after(1.0)
         self.assertEqual({run.worker.rack for run in self.site.workers.begun}, {RACK})
         self.hand_in(job(near(tasks(2, ROOM))))
-        self.assertEqual(self.after(LOOKED_S).unexplained, [])
+        self.assertEqual(self.after(OBSERVED_S).unexplained, [])
 
-    def test_a_gang_wider_than_its_rack_starts(self) -> None:
+    def test_a_gang_larger_than_its_rack_starts(self) -> None:
         self.hand_in(job(near(tasks(4, ROOM, gang=True))))
-        self.assertEqual(self.after(LOOKED_S).unexplained, [])
+        self.assertEqual(self.after(OBSERVED_S).unexplained, [])
 
 
 class FailingJobTest(SceneTest):
-    def test_jobs_of_others_go_on_while_one_job_fails_everywhere(self) -> None:
+    def test_other_jobs_start_while_one_job_fails_everywhere(self) -> None:
         self.hand_in(failing(tasks(24, ROOM)), OTHER)
         self.after(3.0)
         self.assertTrue(any(run.how is EndKind.FAILED for run in self.site.workers.begun))
         self.hand_in(job(tasks(4, ROOM, gang=True)), JOB)
         self.hand_in(job(tasks(4, 4)), "c" * 16)
-        self.assertEqual(self.after(LOOKED_S).unexplained, [])
+        self.assertEqual(self.after(OBSERVED_S).unexplained, [])
 
 
 class WorkersLostTest(SceneTest):
-    def test_what_lost_workers_held_keeps_no_headroom_from_others(self) -> None:
+    def test_allocations_on_lost_workers_do_not_use_up_the_headroom(self) -> None:
         self.hand_in(job(tasks(7, ROOM), LASTS_S), OTHER, "urgent")
         self.after(3.0)
         for run in list(self.site.workers.begun):
@@ -76,9 +76,9 @@
         self.hand_in(job(tasks(2, ROOM, gang=True), LASTS_S), "c" * 16)
         self.after(1.0)
         self.hand_in(job(tasks(1, ROOM)))
-        self.assertEqual(self.after(LOOKED_S).unexplained, [])
+        self.assertEqual(self.after(OBSERVED_S).unexplained, [])
 
-    def test_a_run_is_over_once_its_leases_are_though_its_worker_answers_503(self) -> None:
+    def test_a_run_ends_with_its_leases_while_its_worker_answers_503(self) -> None:
         self.hand_in(job(tasks(1), work_s=4.0))
         self.after(2.0)
         worker = self.site.workers.begun[0].worker.worker_id
@@ -88,16 +88,16 @@
 
 
 class Longest(random.Random):
-    """Draws the longest of all lengths."""
+    """A generator whose uniform draws are always the upper bound."""
 
     def uniform(self, a: float, b: float) -> float:
-        """The upper end."""
+        """Return the upper bound."""
         return b
 
 
-class ReservedRoomTest(SceneTest):
-    def test_room_that_is_kept_while_runs_stop_for_long_holds_up_no_other_work(self) -> None:
-        """An urgent gang takes eight empty workers and one whose run takes 5 s to stop."""
+class ReservedCapacityTest(SceneTest):
+    def test_capacity_reserved_during_a_slow_stop_delays_no_other_work(self) -> None:
+        """An urgent gang reserves eight idle workers and one whose run takes 5 s to stop."""
         self.site.workers._stop_s = 5.0
         self.site.workers._rng = Longest(1)
         self.hand_in(job(tasks(4, ROOM), LASTS_S), OTHER, "bulk")
@@ -105,11 +105,11 @@
         self.hand_in(job(tasks(9, ROOM, gang=True), 3.0), "c" * 16, "urgent")
         self.after(0.2)
         self.hand_in(job(tasks(1)))
-        self.assertEqual(self.after(LOOKED_S).unexplained, [])
+        self.assertEqual(self.after(OBSERVED_S).unexplained, [])
 
 
 class WritesTest(SceneTest):
-    def test_writes_about_one_job_that_get_lost_hold_up_no_other(self) -> None:
+    def test_lost_writes_about_one_job_delay_no_other_job(self) -> None:
         due_ms = round((WALL_EPOCH_S + self.now) * 1000)
         with lost_writes(OTHER, self.now + LOST_S):
             self.hand_in(job(tasks(1), times=4, first_at_ms=due_ms, interval_ms=1000), OTHER)
@@ -122,7 +122,7 @@
 
 @contextmanager
 def lost_writes(job_id: str, until: float) -> Iterator[None]:
-    """Writes about the progress of a job are not answered, nor made, before some time."""
+    """Neither apply nor answer writes about the progress of a job before a time."""
     plain = SimStore.transact
 
     async def transact(self: SimStore, transaction: Transaction) -> Committed | Conflict:
--- a/tests/test_waits_reviewed.py
+++ b/tests/test_waits_reviewed.py
@@ -1,4 +1,4 @@
-"""What a cold review of the change against standstills found; each test names its finding."""
+"""Faults that a review of the stall prevention found, one per test."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 
 
 class FailingWorkersTest(ClusterCase):
-    """All workers fail what they start, and are in quarantine; the pool is free."""
+    """All workers fail the runs that they start and are in quarantine; the pool is free."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -59,8 +59,8 @@
                     found.append(now)
         return found
 
-    def test_what_may_run_once_only_goes_to_no_worker_in_quarantine(self) -> None:
-        """A run that fails there is the last: its job fails for good."""
+    def test_a_step_that_may_run_only_once_goes_to_no_worker_in_quarantine(self) -> None:
+        """A run that fails there is the last one: its job fails permanently."""
         self.quarantine(QUARANTINE_AT_S)
         job = self.add(step(1, 1, once=True), priority=NORMAL)
         self.assertEqual(self.starts_in_quarantine(job), [])
@@ -78,7 +78,7 @@
 
 
 class AdvisedTest(ClusterCase):
-    """Work of an advised queue, with leave for every worker."""
+    """Work of an advised queue, with the adviser's approval for every worker."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -91,20 +91,20 @@
             if any(start.run.task.name.job_id == job for start in changes.starts):
                 return True
             for question in changes.advice_requests:
-                leaves = [Leave(worker, "ticket", 600.0) for worker in question.workers]
-                question.step.advice.record_answer(question.workers, leaves, now)
+                approvals = [Leave(worker, "ticket", 600.0) for worker in question.workers]
+                question.step.advice.record_answer(question.workers, approvals, now)
                 question.step.advice.asking = False
         return False
 
     def test_a_gang_of_one_rack_is_spread_where_no_rack_is_free_and_the_pool_is(self) -> None:
-        """As one of a queue without adviser is (tests.test_still_steps); here it waits for good."""
+        """As in a queue without adviser (see tests.test_still_steps); here it waited forever."""
         self.workers(racks=4, each=2)
         for rack in range(1, 5):
             self.assertTrue(self.started_within(self.add(step(1, 1, label=f"r{rack}")), 5.0))
         job = self.add(step(2, 8, gang=True, same_rack=True), priority=NORMAL)
         self.assertTrue(self.started_within(job, 30.0))
 
-    def test_probation_holds_no_advised_gang_up_in_a_free_pool(self) -> None:
+    def test_probation_does_not_delay_an_advised_gang_in_a_free_pool(self) -> None:
         self.workers(racks=4, each=2)
         for worker in self.cluster_state.workers.values():
             worker.record_failure(0.0, early=True)
@@ -112,9 +112,9 @@
         self.assertTrue(self.started_within(job, STALL_S + 1.0))
 
 
-class ToldTest(DiagnosisCase):
-    def test_a_last_try_that_probation_keeps_waiting_is_told_so(self) -> None:
-        """The survey's own rule of who needs proof does not know of last tries."""
+class DiagnosedWaitsTest(DiagnosisCase):
+    def test_a_last_attempt_that_waits_for_probation_is_diagnosed(self) -> None:
+        """The feasibility check's own rule for probation did not consider last attempts."""
         self.workers(each=2)
         self.add(step(1, 8, label="r1"))
         self.plan(0.0)
@@ -125,8 +125,8 @@
         self.assertEqual(self.plan(5.0).starts, [])
         self.assertEqual(self.why(job, 5.0), WaitReason.PROBATION)
 
-    def test_a_wait_for_quarantine_beside_a_free_pool_ends_with_patience(self) -> None:
-        """As the waits for probation and trial do; told as lasting to the quarantine's end."""
+    def test_a_wait_for_quarantine_in_a_free_pool_ends_at_the_wait_limit(self) -> None:
+        """As waits for probation and trial do; it was reported to last until quarantine ends."""
         self.workers(each=2)
         for worker in self.cluster_state.workers.values():
             for _ in range(4):
@@ -138,15 +138,15 @@
 
 
 class CostTest(ClusterCase):
-    def test_one_job_of_many_steps_costs_no_look_at_all_its_tasks_a_step(self) -> None:
-        """256 steps of 39 tasks for a label that none has: 0.1 s a round in a pool of 100."""
+    def test_a_job_of_many_steps_does_not_scan_all_its_tasks_for_each_step(self) -> None:
+        """256 steps of 39 tasks for a label that no worker has: 0.1 s a round in a pool of 100."""
         self.workers(racks=10, each=5)
         self.add(*[step(39, 1, label="none") for _ in range(256)], priority=NORMAL)
         self.plan(0.1)
         self.assertLessEqual(self.calls_of_a_round(STALL_S), 5 * self.calls_of_a_round(1.0))
 
     def calls_of_a_round(self, now: float) -> int:
-        """Calls of functions, and resumptions of generators, in a round."""
+        """Count calls of functions and resumptions of generators in a round."""
         calls = 0
 
         def note(frame: FrameType, event: str, arg: object) -> None:
@@ -160,28 +160,28 @@
             sys.setprofile(None)
         return calls
 
-    def test_standing_work_of_one_kind_looks_at_all_workers_once_a_round(self) -> None:
-        """With 3,000 workers each look takes 0.8 ms, and a round of 3,000 such steps 1.5 s."""
+    def test_stalled_work_of_one_kind_checks_all_workers_once_a_round(self) -> None:
+        """With 3,000 workers each check takes 0.8 ms, and a round of 3,000 such steps 1.5 s."""
         self.workers(racks=10, each=5)
         self.add(step(5, 8, label="r1"))
         self.plan(0.0)
         for _ in range(100):
             self.add(step(1, 8, label="r1"), priority=NORMAL)
         self.plan(0.1)
-        looks = 0
+        checks = 0
         plain = Worker.matches
 
         def matches(worker: Worker, wanted: Step) -> bool:
-            nonlocal looks
-            looks += 1
+            nonlocal checks
+            checks += 1
             return plain(worker, wanted)
 
         with unittest.mock.patch.object(Worker, "matches", matches):
             self.plan(STALL_S)
-        self.assertLessEqual(looks, 4 * len(self.cluster_state.workers))
+        self.assertLessEqual(checks, 4 * len(self.cluster_state.workers))
 
-    def test_gangs_wider_than_the_pool_cost_no_more_once_they_stand(self) -> None:
-        """With 3,000 workers each takes 7 ms a round, and they wait for good."""
+    def test_gangs_larger_than_the_pool_cost_no_more_once_they_are_stalled(self) -> None:
+        """With 3,000 workers each takes 7 ms a round, and they wait forever."""
         self.workers(racks=10, each=5)
         for _ in range(100):
             self.add(step(500, 8, gang=True), priority=NORMAL)
@@ -200,8 +200,8 @@
 
 
 class BusyWorkerTest(ClusterCase):
-    def test_standing_work_goes_last_to_a_worker_that_turns_all_away(self) -> None:
-        """It has no strikes, so it comes before those that had failures, again and again."""
+    def test_stalled_work_goes_last_to_a_worker_that_refuses_all_starts(self) -> None:
+        """It has no recorded failures, so it was repeatedly preferred to workers that have some."""
         self.workers(racks=1, each=6)
         workers = list(self.cluster_state.workers.values())
         for worker in workers[1:]:
@@ -217,7 +217,7 @@
 
 class EarlyFailureTest(ClusterCase):
     def test_work_without_an_estimate_that_fails_at_once_fails_early(self) -> None:
-        """Counted as late it puts nobody on probation, so gangs and urgent work go there."""
+        """Counted as late it puts no worker on probation, so gangs and urgent work go there."""
         self.workers(racks=1, each=2)
         job = self.add(msgspec.structs.replace(step(1, 1), estimate_ms=0), priority=NORMAL)
         [start] = self.plan(0.0).starts
@@ -225,11 +225,11 @@
         self.assertGreater(self.cluster_state.workers[start.run.worker_id].probation_s, 0.0)
 
 
-class StandingOnTest(ClusterCase):
-    """A job that still stands is not told from one that has just begun to wait."""
+class StalledForLongTest(ClusterCase):
+    """A job that remains stalled must not be treated as one that has just begun to wait."""
 
-    def test_a_start_that_never_began_does_not_make_a_job_wait_anew(self) -> None:
-        """Placed after 2 s, refused, and placed no sooner than 2 s after that: 4 s in all."""
+    def test_a_refused_start_does_not_restart_the_wait_of_a_job(self) -> None:
+        """It was placed after 2 s, refused, and placed again only 2 s later: 4 s in all."""
         self.workers(racks=1, each=6)
         for worker in self.cluster_state.workers.values():
             for _ in range(5):
@@ -248,8 +248,8 @@
         starts = self.cluster_state.take_changes().starts
         self.assertEqual([start.run.task.name.job_id for start in starts], [job])
 
-    def test_a_run_on_a_worker_that_is_silent_keeps_no_other_task_waiting(self) -> None:
-        """Nothing of the job runs as far as anybody knows."""
+    def test_a_run_on_an_unreachable_worker_delays_no_other_task(self) -> None:
+        """No task of the job is known to run."""
         self.workers(racks=1, each=6)
         job = self.add(step(2, 8), priority=NORMAL)
         workers = list(self.cluster_state.workers.values())
@@ -265,7 +265,7 @@
 
 
 class NarrowStore:
-    """A store behind a line of 10 Mbit/s; what is given up half sent has to be sent anew."""
+    """A store on a link of 10 Mbit/s; a write that times out half sent has to be sent anew."""
 
     def __init__(self) -> None:
         self._line = asyncio.Lock()
@@ -279,9 +279,9 @@
         return Committed(self.revision)
 
 
-class TurnedAwayTest(SceneTest):
-    def test_starts_that_a_worker_turns_away_prolong_no_lease_there(self) -> None:
-        """Each start that is sent counts as a lease of all that runs on its worker."""
+class RefusedStartsTest(SceneTest):
+    def test_starts_that_a_worker_refuses_extend_no_lease_there(self) -> None:
+        """Each start that was sent counted as a lease of all runs on its worker."""
         self.hand_in(job(tasks(1), work_s=4.0))
         self.after(2.0)
         worker = self.site.workers.begun[0].worker.worker_id
@@ -295,7 +295,7 @@
 
 class DrainingTest(SessionCase):
     def test_no_start_leaves_for_a_worker_that_has_been_draining_for_3_s(self) -> None:
-        """The record of the assignment waited for the store meanwhile."""
+        """The record of the assignment was waiting for the store meanwhile."""
 
         async def body(scene: Scene) -> None:
             start = scene.plan().starts[0]
@@ -310,7 +310,7 @@
 
 
 class LosingStore:
-    """Loses all writes of one key: such as one that is too large for the way there."""
+    """A store that loses all writes of one key, as of a record too large for the link."""
 
     async def transact(self, transaction: Transaction) -> Committed:
         if any(put.key == "a1" for put in transaction.puts):
@@ -321,7 +321,7 @@
 
 
 class SharedTransactionTest(unittest.TestCase):
-    def test_a_record_that_is_never_written_holds_up_no_job_of_its_round_for_long(self) -> None:
+    def test_a_record_that_is_never_written_does_not_delay_other_jobs_of_its_round(self) -> None:
         followed: list[str] = []
 
         async def main() -> None:
@@ -344,7 +344,7 @@
 
 
 class LargeRecordsTest(unittest.TestCase):
-    """A record of 10,000 tasks has 0.4 MB; several jobs of that size change at once."""
+    """A record of 10,000 tasks has 0.4 MB, and several jobs of that size change at once."""
 
     def written_within(self, jobs: int, seconds: float) -> int:
         followed: list[int] = []
@@ -371,8 +371,8 @@
     def test_few_large_records_are_written(self) -> None:
         self.assertEqual(self.written_within(4, 10.0), 4)
 
-    def test_a_round_of_large_records_is_written_in_the_end(self) -> None:
-        """12 take 6.4 s to send, a try is given up after 4 s: none of them is ever written."""
+    def test_a_round_of_large_records_is_written_eventually(self) -> None:
+        """12 take 6.4 s to send and an attempt times out after 4 s, so none was ever written."""
         self.assertEqual(self.written_within(12, 60.0), 12)
 
 
