--- a/src/saddlestack/standins/scenario/__init__.py
+++ b/src/saddlestack/standins/scenario/__init__.py
@@ -1,7 +1,7 @@
-"""Scenarios: a small line language for failures against real daemons and stand-ins.
+"""Scenarios: a line-based language to test failures with real daemons and stand-ins.
 
-One verb a line, words as a shell would split them, `#` begins a comment, times in seconds.
-Everything runs in one process over loopback, on a virtual clock unless asked otherwise. At
-the end of every scenario the brief's promises are held against the records of endpoints and
-callers. See ``docs/scenarios.md`` for all verbs.
+Each line has a verb and its words, split as by a shell; `#` starts a comment, and times are in
+seconds. Everything runs in one process over loopback, by default on a virtual clock. At the end of
+every scenario the scheduler's invariants are checked against the records of endpoints and callers.
+See ``docs/scenarios.md`` for all verbs.
 """
--- a/src/saddlestack/standins/scenario/context.py
+++ b/src/saddlestack/standins/scenario/context.py
@@ -1,4 +1,4 @@
-"""The state that the lines of a scenario work on."""
+"""The state of a scenario, shared by its lines."""
 
 from __future__ import annotations
 
@@ -11,13 +11,20 @@
 
 
 class ScenarioFailed(Exception):
-    """An expectation of a scenario did not hold."""
+    """An expectation of a scenario does not hold."""
 
 
 class ScenarioContext:
-    """The cluster of one scenario, and what was asked and answered so far.
-
-    :param paused: the VM that was paused last.
+    """The cluster, requests and answers of one scenario.
+
+    :ivar said: all answers to callers, in the order of their requests.
+    :ivar accounts: client accounts by name.
+    :ivar requests: tasks that submit a job, by job.
+    :ivar answers: answers to callers, by job.
+    :ivar plans: plans by their name in the scenario.
+    :ivar confirms: outcomes of confirmations, by name of the plan.
+    :ivar work: background tasks, cancelled at the end of the scenario.
+    :ivar paused: name of the VM that was paused last.
     """
 
     def __init__(self, seed: int) -> None:
@@ -34,9 +41,9 @@
 
     @property
     def cluster(self) -> Cluster:
-        """The cluster.
+        """The cluster of the scenario.
 
-        :raises SaddlestackError: not started yet.
+        :raises SaddlestackError: it has not started.
         """
         if self.started is None:
             raise invalid("the scenario has to `start` first")
--- a/src/saddlestack/standins/scenario/expectations.py
+++ b/src/saddlestack/standins/scenario/expectations.py
@@ -1,4 +1,7 @@
-"""What scenarios expect: states, starts, owners, revisions, audit, the store's budget."""
+"""Expectations of scenarios: job states, starts, owners, revisions, audit records, store calls.
+
+The docstring of each expectation is its syntax.
+"""
 
 from __future__ import annotations
 
@@ -16,34 +19,34 @@
 POLL_S = 0.02
 
 Expectation = Callable[[ScenarioContext, Line], Awaitable[None]]
-"""Holds one expectation against the stage."""
+"""Checks one expectation; raises :class:`ScenarioFailed` if it does not hold."""
 
 
 async def expect_state(context: ScenarioContext, line: Line) -> None:
     """expect done|unknown|cancelled|not_run JOB|all [within=30]"""
     state = JobState(line.words[0])
     within = line.number_of("within", DEFAULT_WITHIN_S)
-    for said in await _answered(context, line, within):
+    for said in await _wait_for_answers(context, line, within):
         got = said.refused or (said.view.state.value if said.view else "no answer")
         if got != state.value:
             raise ScenarioFailed(f"{said.job} is {got}, expected {state.value}")
 
 
 async def expect_answered(context: ScenarioContext, line: Line) -> None:
-    """expect answered JOB|all [within=30]: done, or refused or given up honestly"""
-    await _answered(context, line, line.number_of("within", DEFAULT_WITHIN_S))
+    """expect answered JOB|all [within=30]: done, refused or given up"""
+    await _wait_for_answers(context, line, line.number_of("within", DEFAULT_WITHIN_S))
 
 
 async def expect_refused(context: ScenarioContext, line: Line) -> None:
     """expect refused JOB|all kind=KIND [within=30]"""
     kind = ErrorKind(line.options.get("kind", ErrorKind.STORE_UNAVAILABLE))
-    for said in await _answered(context, line, line.number_of("within", DEFAULT_WITHIN_S)):
+    for said in await _wait_for_answers(context, line, line.number_of("within", DEFAULT_WITHIN_S)):
         if said.refused != kind.value:
             got = said.refused or (said.view and said.view.state)
             raise ScenarioFailed(f"{said.job} is {got}, expected refused as {kind}")
 
 
-async def _answered(context: ScenarioContext, line: Line, within: float) -> list[Said]:
+async def _wait_for_answers(context: ScenarioContext, line: Line, within: float) -> list[Said]:
     which = line.word(1, "a job")
     if which != "all" and which not in context.requests:
         raise invalid(f"{which} was not submitted")
@@ -56,10 +59,10 @@
 
 
 async def expect_started(context: ScenarioContext, line: Line) -> None:
-    """expect started JOB [within=8.5]: some part of it runs at an endpoint"""
+    """expect started JOB [within=8.5]: a part of it runs on an endpoint"""
     job = line.word(1, "a job")
     within = line.number_of("within", 8.5)
-    await _until(
+    await _wait_until(
         lambda: Witness(context.cluster.endpoints).started(job), within, f"{job} did not start"
     )
 
@@ -73,10 +76,10 @@
 
 
 async def expect_owner(context: ScenarioContext, line: Line) -> None:
-    """expect owner CELL [within=5]: the cell is scheduled"""
+    """expect owner CELL [within=5]: the cell has a scheduler"""
     cell = line.word(1, "a cell")
     within = line.number_of("within", 5.0)
-    await _until(
+    await _wait_until(
         lambda: context.cluster.owner(cell) is not None, within, f"{cell} has no scheduler"
     )
 
@@ -85,12 +88,14 @@
     """expect revision N [within=5]: in force on every live VM"""
     revision = int(line.word(1, "a revision"))
 
-    def everywhere() -> bool:
+    def is_in_force() -> bool:
         documents = [e.daemon.configuration.document for e in context.cluster.live()]
         return all(document.revision == revision for document in documents)
 
-    await _until(
-        everywhere, line.number_of("within", 5.0), f"revision {revision} is not everywhere"
+    await _wait_until(
+        is_in_force,
+        line.number_of("within", 5.0),
+        f"revision {revision} is not in force everywhere",
     )
 
 
@@ -102,7 +107,7 @@
 
 
 async def expect_audited(context: ScenarioContext, line: Line) -> None:
-    """expect audited NAME OUTCOME [by=liis]: the audit trail has it"""
+    """expect audited NAME OUTCOME [by=liis]: the audit trail has the outcome of the plan"""
     plan = context.plans[line.word(1, "a plan")]
     outcome, who = line.word(2, "an outcome"), line.options.get("by", OPERATOR)
     for _ in range(100):
@@ -117,19 +122,21 @@
     """expect formable ACCOUNT [within=5]"""
     name = line.word(1, "an account")
 
-    def formable() -> bool:
+    def is_formable() -> bool:
         schedulers = [s for e in context.cluster.live() for s in e.daemon.ownership.schedulers]
         found = [g for s in schedulers for g in s.status().guarantees if g.account == name]
         return bool(found) and all(g.formable for g in found)
 
-    await _until(formable, line.number_of("within", 5.0), f"{name}'s guarantee can't be formed")
+    await _wait_until(
+        is_formable, line.number_of("within", 5.0), f"the guarantees of {name} are not formable"
+    )
 
 
 async def expect_store(context: ScenarioContext, line: Line) -> None:
-    """expect store writes_per_job=X | limited=N: calls stayed under the budget"""
+    """expect store writes_per_job=X | limited=N: limits of the calls to the store"""
     counters = context.cluster.store.counters
     if counters.limited > line.number_of("limited", 0):
-        raise ScenarioFailed(f"{counters.limited} calls were over the store's rate")
+        raise ScenarioFailed(f"{counters.limited} calls exceeded the store's rate limit")
     most = line.number_of("writes_per_job", float("inf"))
     jobs = max(len(context.requests), 1)
     if counters.writes / jobs > most:
@@ -137,7 +144,7 @@
 
 
 async def expect_urgent(context: ScenarioContext, line: Line) -> None:
-    """expect urgent p99=8.5: start delay of the jobs answered so far"""
+    """expect urgent p99=8.5: p99 of the start delay of all jobs that were answered"""
     delays = sorted(
         said.view.started - said.view.submitted
         for said in context.said
@@ -150,7 +157,7 @@
         raise ScenarioFailed(f"p99 of the start delay is {p99:.1f} s")
 
 
-async def _until(check: Callable[[], bool], within: float, problem: str) -> None:
+async def _wait_until(check: Callable[[], bool], within: float, problem: str) -> None:
     until = asyncio.get_running_loop().time() + within
     while not check():
         if asyncio.get_running_loop().time() >= until:
--- a/src/saddlestack/standins/scenario/lines.py
+++ b/src/saddlestack/standins/scenario/lines.py
@@ -1,4 +1,4 @@
-"""The lines of a scenario: verb, words and options."""
+"""Parser for the lines of a scenario."""
 
 from __future__ import annotations
 
@@ -11,7 +11,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """A line of a scenario: verb, words and options."""
+    """A line of a scenario.
+
+    :param number: line number, from 1.
+    :param words: words after the verb, without options.
+    :param options: values of the words of the form ``name=value``.
+    """
 
     number: int
     verb: str
@@ -19,27 +24,33 @@
     options: dict[str, str]
 
     def word(self, index: int, what: str) -> str:
-        """A word that has to be there.
+        """Return a required word.
 
-        :raises SaddlestackError: it is not.
+        :param what: description of the word for the error.
+        :raises SaddlestackError: it is missing.
         """
         if index >= len(self.words):
             raise invalid(f"{self.verb} needs {what}")
         return self.words[index]
 
     def number_of(self, name: str, default: float) -> float:
-        """An option that is a number."""
+        """Return a numeric option.
+
+        :raises SaddlestackError: its value is not a number.
+        """
         return number(self.options.get(name, str(default)), name)
 
     def flag(self, name: str) -> bool:
-        """Whether a word stands anywhere after the verb."""
+        """Whether the line has a word."""
         return name in self.words
 
 
 def split(text: str, name: str, verbs: Collection[str]) -> list[Line]:
-    """The lines of a scenario that uses these verbs.
+    """Split a scenario into lines.
 
-    :raises SaddlestackError: with file and line.
+    :param name: name of the file for errors.
+    :param verbs: known verbs.
+    :raises SaddlestackError: a line can't be parsed; the error has the file and line.
     """
     lines = []
     for number, raw in enumerate(text.splitlines(), 1):
@@ -51,7 +62,9 @@
             continue
         verb, *rest = parts
         if verb not in verbs:
-            raise invalid(f"no verb {verb!r}; there are {', '.join(verbs)}", f"{name}:{number}")
+            raise invalid(
+                f"unknown verb {verb!r}; known verbs: {', '.join(verbs)}", f"{name}:{number}"
+            )
         words = tuple(word for word in rest if "=" not in word)
         options = dict(word.split("=", 1) for word in rest if "=" in word)
         lines.append(Line(number, verb, words, options))
@@ -59,9 +72,10 @@
 
 
 def number(text: str, name: str) -> float:
-    """The number that a word spells.
+    """Parse a number.
 
-    :raises SaddlestackError: it spells none.
+    :param name: what the number is, for the error.
+    :raises SaddlestackError: ``text`` is not a number.
     """
     try:
         return float(text)
--- a/src/saddlestack/standins/scenario/play.py
+++ b/src/saddlestack/standins/scenario/play.py
@@ -1,4 +1,4 @@
-"""Plays a scenario and holds the promises at its end."""
+"""Runs a scenario and checks the invariants at its end."""
 
 from __future__ import annotations
 
@@ -25,7 +25,12 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """What became of a scenario."""
+    """The result of a scenario.
+
+    :param failures: failed lines, and other failures, with file and line.
+    :param promises: results of the invariant checks at the end.
+    :param seconds: duration on the scenario's clock.
+    """
 
     name: str
     failures: list[str] = field(default_factory=list)
@@ -34,14 +39,14 @@
 
     @property
     def held(self) -> bool:
-        """Whether everything held."""
+        """Whether all expectations and invariants held."""
         return not self.failures and all(promise.held for promise in self.promises)
 
 
 def parse(text: str, name: str) -> list[Line]:
     """Parse a scenario.
 
-    :raises SaddlestackError: with file and line.
+    :raises SaddlestackError: a line can't be parsed; the error has the file and line.
     """
     return split(text, name, VERBS)
 
@@ -49,7 +54,7 @@
 def read(path: Path) -> list[Line]:
     """Read and parse a scenario file.
 
-    :raises SaddlestackError: with file and line.
+    :raises SaddlestackError: the file can't be read, or a line can't be parsed.
     """
     try:
         return parse(path.read_text(encoding="utf-8"), str(path))
@@ -58,7 +63,7 @@
 
 
 class Scenario:
-    """Plays the lines of one scenario."""
+    """Runs the lines of one scenario."""
 
     def __init__(self, name: str, lines: list[Line], seed: int = 1) -> None:
         self.name = name
@@ -68,21 +73,22 @@
 
     @property
     def cluster(self) -> Cluster:
-        """The cluster.
+        """The cluster of the scenario.
 
-        :raises SaddlestackError: not started yet.
+        :raises SaddlestackError: it has not started.
         """
         return self._context.cluster
 
     @property
     def said(self) -> list[Said]:
-        """What callers were told."""
+        """All answers to callers."""
         return self._context.said
 
     async def play(self) -> Outcome:
-        """Play all lines, then hold the promises.
+        """Run all lines up to the first that fails, then check the invariants.
 
         :rtype: Outcome
+        :raises SaddlestackError: a line is invalid; the error has the file and line.
         """
         outcome = Outcome(self.name)
         loop = asyncio.get_running_loop()
@@ -121,7 +127,7 @@
         return [*checks, Promise("a leaving endpoint got no new work", self._find_late_starts())]
 
     def _find_late_starts(self) -> tuple[str, ...]:
-        """Starts on an endpoint more than three seconds after it said that it leaves."""
+        """Return parts that were given to an endpoint over 3 s after it began to leave."""
         return tuple(
             f"{name} was given {entry.job} at {entry.at:.1f}"
             for name, endpoint in self.cluster.endpoints.items()
@@ -132,19 +138,19 @@
         )
 
     async def _watch_revisions(self, outcome: Outcome) -> None:
-        """No VM may ever have an older configuration in force than it had."""
+        """Add a failure if a VM puts an older configuration in force than it had."""
         while True:
             for entry in self._context.cluster.live():
                 key = f"{entry.name}#{entry.incarnation}"
                 revision = entry.daemon.configuration.document.revision
                 if revision < self._revisions.get(key, 0):
-                    outcome.failures.append(f"{entry.name} went back to revision {revision}")
+                    outcome.failures.append(f"{entry.name} reverted to revision {revision}")
                 self._revisions[key] = revision
             await asyncio.sleep(0.1)
 
 
 class ScenarioReport(msgspec.Struct):
-    """The outcome of a scenario as JSON."""
+    """The outcome of a scenario, as it is encoded to JSON."""
 
     name: str
     held: bool
@@ -154,7 +160,7 @@
 
 
 def report(outcome: Outcome) -> ScenarioReport:
-    """An outcome as it is printed."""
+    """Convert an outcome to a report."""
     broken = [
         f"{promise.name}: {breach}" for promise in outcome.promises for breach in promise.breaches
     ]
--- a/src/saddlestack/standins/scenario/verbs.py
+++ b/src/saddlestack/standins/scenario/verbs.py
@@ -1,4 +1,7 @@
-"""The verbs of scenarios: set-up, callers, operators, and breaking things."""
+"""The verbs of scenarios: setup, callers, operators, and faults.
+
+The docstring of each verb is its syntax.
+"""
 
 from __future__ import annotations
 
@@ -28,7 +31,7 @@
 OPERATORS = {OPERATOR: OPERATOR_TOKEN, SECOND_OPERATOR: SECOND_TOKEN}
 
 Verb = Callable[[ScenarioContext, Line], Awaitable[None] | None]
-"""Plays one line."""
+"""Runs one line."""
 
 
 async def start(context: ScenarioContext, line: Line) -> None:
@@ -55,7 +58,7 @@
 
 
 async def configure(context: ScenarioContext, line: Line) -> None:
-    """configure: plan and confirm halls and accounts"""
+    """configure: plan and confirm the data halls and client accounts"""
     await context.cluster.configure(tuple(context.accounts.values()))
 
 
@@ -63,7 +66,7 @@
     """submit ACCOUNT REQUEST ACCELERATORS [class=] [seconds=] [via=] [wait=] [run_once]"""
     account_, request = line.word(0, "an account"), line.word(1, "a request")
     accelerators = int(number(line.word(2, "accelerators"), "accelerators"))
-    _begin(context, line, account_, request, accelerators)
+    _start_request(context, line, account_, request, accelerators)
     await asyncio.sleep(0)
 
 
@@ -74,12 +77,12 @@
     pause = line.number_of("over", 0.0) / max(count, 1)
     accelerators = int(line.number_of("accelerators", 1))
     for each in range(1, count + 1):
-        _begin(context, line, account_, f"{prefix}-{each:04d}", accelerators)
+        _start_request(context, line, account_, f"{prefix}-{each:04d}", accelerators)
         if pause:
             await asyncio.sleep(pause)
 
 
-def _begin(
+def _start_request(
     context: ScenarioContext, line: Line, account_: str, request: str, accelerators: int
 ) -> None:
     said = Said(f"{account_}/{request}")
@@ -139,7 +142,7 @@
 
 
 async def confirm(context: ScenarioContext, line: Line) -> None:
-    """confirm NAME [by=liis] [at=VM] [wait=0]; the outcome is kept under the name"""
+    """confirm NAME [by=liis] [at=VM] [wait=0]: confirm a plan and record the outcome"""
     name = line.word(0, "the name of a plan")
     client = _operator(context, line)
     try:
@@ -170,7 +173,7 @@
 
 
 def resume(context: ScenarioContext, line: Line) -> None:
-    """resume [VM]: the VM paused last, where none is named"""
+    """resume [VM]: by default the VM that was paused last"""
     context.cluster.thaw(line.words[0] if line.words else context.paused)
 
 
@@ -185,17 +188,17 @@
 
 
 async def restart(context: ScenarioContext, line: Line) -> None:
-    """restart VM: the killed or drained VM's daemon, under its old name"""
+    """restart VM: start the daemon of a killed or drained VM again, under the same name"""
     await context.cluster.restart(line.word(0, "a VM"))
 
 
 def cut(context: ScenarioContext, line: Line) -> None:
-    """cut PLACE PLACE: halls, or `platform`"""
+    """cut PLACE PLACE: partition two data halls, or a data hall and `platform`"""
     context.cluster.network.cut(line.word(0, "a place"), line.word(1, "another place"))
 
 
 def heal(context: ScenarioContext, line: Line) -> None:
-    """heal: every cut"""
+    """heal: end all partitions"""
     context.cluster.network.heal()
 
 
@@ -211,7 +214,7 @@
     elif what in {"lose_answers", "lose_writes"}:
         setattr(faults, what, int(number(line.word(1, "a count"), "count")))
     else:
-        raise invalid(f"no fault {what!r} of the store")
+        raise invalid(f"unknown store fault {what!r}")
 
 
 def vms(context: ScenarioContext, line: Line) -> None:
@@ -223,7 +226,7 @@
     """endpoint NAME lose | restart | leave | delay S | truncate N | cross N | lose_answers N"""
     endpoint = context.cluster.endpoints.get(line.word(0, "a name"))
     if endpoint is None:
-        raise invalid(f"no endpoint {line.words[0]}")
+        raise invalid(f"unknown endpoint {line.words[0]}")
     what = line.word(1, "what happens")
     if what == "lose":
         endpoint.lose()
@@ -236,22 +239,22 @@
     elif what in {"truncate", "cross", "lose_answers"}:
         setattr(endpoint.faults, what, int(number(line.word(2, "a count"), "count")))
     else:
-        raise invalid(f"endpoints can't {what!r}")
+        raise invalid(f"unknown endpoint fault {what!r}")
 
 
 def trap(context: ScenarioContext, line: Line) -> None:
-    """trap prepare|start|done|KEY JOB kill|pause CELL: strike its scheduler at that moment"""
+    """trap prepare|start|done|KEY JOB kill|pause CELL: kill or pause its scheduler at that event"""
     event, job = line.word(0, "an event"), line.word(1, "a job")
     action, cell = line.word(2, "kill or pause"), line.word(3, "a cell")
 
-    def strike(seen: str, seen_job: str) -> None:
+    def on_event(seen: str, seen_job: str) -> None:
         if seen == event and job in {seen_job, "any"}:
             _disarm(context)
-            _strike(context, action, cell)
+            _kill_or_pause(context, action, cell)
 
     for endpoint in context.cluster.endpoints.values():
-        endpoint.on_event = strike
-    context.cluster.store.on_write = lambda key: strike(key.partition("/")[0], "any")
+        endpoint.on_event = on_event
+    context.cluster.store.on_write = lambda key: on_event(key.partition("/")[0], "any")
 
 
 def _disarm(context: ScenarioContext) -> None:
@@ -260,7 +263,7 @@
     context.cluster.store.on_write = None
 
 
-def _strike(context: ScenarioContext, action: str, cell: str) -> None:
+def _kill_or_pause(context: ScenarioContext, action: str, cell: str) -> None:
     owner = context.cluster.owner(cell)
     if owner is None:
         return
@@ -277,7 +280,7 @@
     name = line.word(0, "a VM")
     if name != "owner":
         if name not in context.cluster.entries:
-            raise invalid(f"no entry VM {name}")
+            raise invalid(f"unknown entry VM {name}")
         return name
     owner = context.cluster.owner(line.word(1, "a cell"))
     if owner is None:
@@ -295,7 +298,9 @@
     what = line.word(0, "what")
     check = EXPECTATIONS.get(what)
     if check is None:
-        raise invalid(f"can't expect {what!r}; there are {', '.join(EXPECTATIONS)}")
+        raise invalid(
+            f"unknown expectation {what!r}; known expectations: {', '.join(EXPECTATIONS)}"
+        )
     await check(context, line)
 
 
--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -1,4 +1,4 @@
-"""Whole entry VMs against stand-ins of the platform, through every kind of loss."""
+"""Complete entry VMs with stand-ins for the platform, under all kinds of faults."""
 
 from __future__ import annotations
 
@@ -31,13 +31,13 @@
 B = "00000000000000bb"
 C = "00000000000000cc"
 DRAIN_S = 3.0
-"""A worker that has given notice may get work for so long."""
+"""How long a worker that announced its end may still get work."""
 IN_FORCE_S = 1.0
-"""Heartbeats come every 0.2 s, and a call that is swallowed ends with the next one answered."""
+"""Heartbeats are sent every 0.2 s, and the next answered call ends one without an answer."""
 
 
 class PoolTest(unittest.TestCase):
-    """Runs a coroutine against a small deployment, and checks the floor's account."""
+    """Runs a coroutine with a small deployment, and checks that no invariant was violated."""
 
     def play(
         self,
@@ -62,28 +62,31 @@
         run(main())
 
 
-class SilentWatchTest(PoolTest):
-    def test_a_leaving_worker_gets_nothing_though_the_watch_of_workers_is_silent(self) -> None:
-        """Seen on a day of 300 VMs and 3,000 workers: starts 5.1 s after their worker's notice.
+class UnresponsiveWatchTest(PoolTest):
+    def test_a_draining_worker_gets_no_work_while_the_watch_of_workers_is_unresponsive(
+        self,
+    ) -> None:
+        """A watch without an answer delays the notice of a draining worker.
 
-        One connection of the leader goes silent, the one on which it waits for workers' records;
-        all others work. The watch then waited 3 s, and 1 s more for its answer, and the leader
-        heard of a notice up to 4 s late. Whether that was the cause of that day is not shown.
+        On a day with 300 VMs and 3,000 workers, tasks started 5.1 s after their worker's notice.
+        Here only the leader's connection that watches workers' records becomes unresponsive. The
+        watch waited 3 s, and 1 s more for its answer, so that the leader received a notice up to
+        4 s late. It is not shown that this was the cause on that day.
         """
-        swallowed: list[float] = []
+        unanswered: list[float] = []
 
         async def watch(view: StoreView, prefix: str, after: int, wait_s: float) -> Listing:
             if prefix != "servers/" or not silent:
                 return await whole(view, prefix, after, wait_s)
             silent.clear()
-            swallowed.append(wait_s)
+            unanswered.append(wait_s)
             await asyncio.sleep(wait_s + WATCH_SLACK_S)
             raise StoreUnavailable("the watch was swallowed")
 
         async def body(cluster: PoolCluster) -> None:
             leader = cluster.leader_name
             silent.append(leader)
-            await cluster.until(lambda: bool(swallowed))
+            await cluster.until(lambda: bool(unanswered))
             [worker] = cluster.worker_pool.workers.values()
             cluster.worker_pool.record(worker, remaining_ms=8000)
             await asyncio.sleep(DRAIN_S)
@@ -107,15 +110,15 @@
 
         self.play(body)
 
-    def test_figures_are_served_as_text(self) -> None:
+    def test_metrics_are_served_as_text(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(2))
             await cluster.until_state(A, JobState.COMPLETED)
             leader = cluster.leader
             assert leader is not None
-            figures = HttpClient("127.0.0.1", leader.metrics_server.port)
-            response = await figures.request("GET", "/metrics", timeout=1.0)
-            figures.close()
+            metrics = HttpClient("127.0.0.1", leader.metrics_server.port)
+            response = await metrics.request("GET", "/metrics", timeout=1.0)
+            metrics.close()
             text = response.body.decode()
             self.assertIn("starts 2\n", text)
             self.assertIn("commit_p99_ms", text)
@@ -130,8 +133,8 @@
 
         self.play(body)
 
-    def test_runs_not_ordered_yet_are_not_judged_by_a_report(self) -> None:
-        """Found on quiet-1: looks that raced the first orders made runs start twice."""
+    def test_a_report_does_not_end_runs_that_were_not_ordered_yet(self) -> None:
+        """On the trial day quiet-1, polls that raced the first orders made runs start twice."""
 
         async def body(cluster: PoolCluster) -> None:
             cluster.member(cluster.leader_name).view.faults.slow_s = 0.2
@@ -144,7 +147,7 @@
 
         self.play(body)
 
-    def test_a_repeat_of_an_id_stays_one_job(self) -> None:
+    def test_a_repeated_id_is_one_job(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(2), at="entry-1")
             await cluster.submit(A, job(2), at="entry-2")
@@ -197,8 +200,8 @@
 
         self.play(body)
 
-    def test_work_on_a_worker_that_rested_for_long_keeps_its_lease(self) -> None:
-        """Its clock may be 2 % slow, so the first lease is short; the next one has to come soon."""
+    def test_work_on_a_worker_after_a_long_idle_time_keeps_its_lease(self) -> None:
+        """The clock may be 2 % slow, so the first lease is short and must be renewed soon."""
 
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(1, accelerators=8))
@@ -212,7 +215,7 @@
 
         self.play(body, entries=1, racks=1, workers=1)
 
-    def test_times_run_when_they_are_due(self) -> None:
+    def test_occurrences_run_when_they_are_due(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             clock = cluster.members["entry-1"].vm.context.clock
             now_ms = round(clock.wall() * 1000)
@@ -234,7 +237,7 @@
 
         self.play(body)
 
-    def test_jobs_that_are_over_are_forgotten_after_their_time(self) -> None:
+    def test_ended_jobs_are_removed_after_the_retention_time(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(2, work_s=0.5))
             await cluster.submit(B, job(1, work_s=300.0))
@@ -260,7 +263,7 @@
 
         self.play(body)
 
-    def test_bad_jobs_are_refused_and_not_kept(self) -> None:
+    def test_invalid_jobs_are_rejected_and_not_stored(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             step = Step(count=1, needs=Resources(1, 1, 1), after=(0,))
             for request in (
@@ -280,7 +283,7 @@
 
 
 class PreemptionTest(PoolTest):
-    def test_urgent_work_within_the_guarantee_takes_room_back(self) -> None:
+    def test_urgent_work_within_the_guarantee_preempts(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(32, work_s=60.0), queue="bulk", account="others")
             await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 32)
@@ -315,7 +318,7 @@
         self.play(body)
 
 
-def lasting(
+def long_running(
     tasks: int,
     *,
     may_miss: int = 0,
@@ -337,7 +340,7 @@
 
 
 class CallersTest(PoolTest):
-    """The product's own interface works on the same jobs as the platform's."""
+    """The scheduler's own client interface and the platform's handle the same jobs."""
 
     def client(self, cluster: PoolCluster, key: str = KEY) -> AsyncClient:
         ports = [member.vm.callers.port for member in cluster.members.values()]
@@ -363,7 +366,7 @@
 
         self.play(body)
 
-    def test_a_job_wider_than_the_pool_is_accepted_and_says_so(self) -> None:
+    def test_a_job_wider_than_the_pool_is_accepted_with_a_reason(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             client = self.client(cluster)
             plan = payload(TaskPlan(work_s=0.2, room=8, gang=5))
@@ -380,21 +383,21 @@
 
         self.play(body)
 
-    def test_a_job_of_another_account_tells_nothing_of_its_wait(self) -> None:
+    def test_the_wait_of_another_accounts_job_is_not_shown(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(5, accelerators=8, gang=True))
             await asyncio.sleep(1.0)
             jobs = next(iter(cluster.members.values())).vm.jobs
-            told = {
+            reasons = {
                 account: await jobs.waits(cluster.call("normal", account=account), A)
                 for account in (ACCOUNT, "others")
             }
-            self.assertIn("(too_wide)", told[ACCOUNT] or "")
-            self.assertIsNone(told["others"])
+            self.assertIn("(too_wide)", reasons[ACCOUNT] or "")
+            self.assertIsNone(reasons["others"])
 
         self.play(body)
 
-    def test_bad_calls_are_refused_and_nothing_is_kept(self) -> None:
+    def test_invalid_calls_are_rejected_and_nothing_is_stored(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             client = self.client(cluster)
             for name, accelerators in (("a b", 1), ("a", 0), ("a", 257)):
@@ -417,7 +420,7 @@
 
         self.play(body)
 
-    def test_work_that_runs_once_is_neither_taken_back_nor_started_again(self) -> None:
+    def test_run_once_work_is_neither_preempted_nor_restarted(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             client = self.client(cluster)
             for number in range(4):
@@ -449,11 +452,11 @@
         self.play(body)
 
 
-class LastingTest(PoolTest):
-    def test_lasting_tasks_start_again_however_they_end(self) -> None:
+class LongRunningTest(PoolTest):
+    def test_long_running_tasks_restart_however_they_end(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             plan = TaskPlan(work_s=1.0, failures=99)
-            await cluster.submit(A, lasting(2, plan=plan))
+            await cluster.submit(A, long_running(2, plan=plan))
             await cluster.until(lambda: cluster.worker_pool.starts_of(A) >= 10)
             self.assertIs(await cluster.state(A), JobState.RUNNING)
             await cluster.cancel(A)
@@ -461,16 +464,16 @@
 
         self.play(body)
 
-    def test_lasting_tasks_use_the_headroom(self) -> None:
+    def test_long_running_tasks_use_the_headroom(self) -> None:
         async def body(cluster: PoolCluster) -> None:
-            await cluster.submit(A, lasting(32), queue="bulk")
+            await cluster.submit(A, long_running(32), queue="bulk")
             await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 32, 1.0)
 
         self.play(body)
 
-    def test_preemption_takes_no_more_than_a_step_may_miss(self) -> None:
+    def test_preemption_respects_the_disruption_budget(self) -> None:
         async def body(cluster: PoolCluster) -> None:
-            await cluster.submit(A, lasting(4, may_miss=1, accelerators=8), queue="bulk")
+            await cluster.submit(A, long_running(4, may_miss=1, accelerators=8), queue="bulk")
             await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 4)
             await asyncio.sleep(3.0)
             await cluster.submit(B, job(1, accelerators=8, work_s=4.0), queue="urgent")
@@ -482,13 +485,13 @@
 
         self.play(body)
 
-    def test_what_fills_is_slowed_while_what_serves_is_over_its_target(self) -> None:
+    def test_filling_tasks_are_slowed_while_a_serving_task_exceeds_its_target(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             serving = TaskPlan(lasts=True, tail_ms=60.0, work_s=0.2)
             filling = TaskPlan(lasts=True, harm_ms=80.0, work_s=0.2)
-            await cluster.submit(A, lasting(1, plan=serving, target_ms=100))
+            await cluster.submit(A, long_running(1, plan=serving, target_ms=100))
             await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 1)
-            await cluster.submit(B, lasting(1, plan=filling, fills=True))
+            await cluster.submit(B, long_running(1, plan=filling, fills=True))
             await cluster.until(lambda: cluster.worker_pool.starts_of(B) == 1)
             serving_run = next(run for run in cluster.worker_pool.history if run.task.job_id == A)
             filling_run = next(run for run in cluster.worker_pool.history if run.task.job_id == B)
@@ -540,7 +543,7 @@
 
         self.play(body)
 
-    def test_a_new_leader_goes_on_with_a_wave_and_takes_no_turns(self) -> None:
+    def test_a_new_leader_continues_a_wave_alone(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             self.order(cluster, most=2)
             await cluster.until(lambda: len(cluster.machines.done) >= 1, 12.0)
@@ -558,8 +561,8 @@
         self.play(body)
 
 
-class LeaderLossTest(PoolTest):
-    def test_a_killed_leader_is_followed_and_nothing_starts_again(self) -> None:
+class LeaderFailureTest(PoolTest):
+    def test_a_killed_leader_is_replaced_and_nothing_restarts(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(6, work_s=6.0))
             await cluster.submit(B, job(4, work_s=6.0, accelerators=4, gang=True))
@@ -572,7 +575,7 @@
 
         self.play(body)
 
-    def test_a_leader_killed_at_any_moment_loses_and_doubles_nothing(self) -> None:
+    def test_a_leader_killed_at_any_moment_loses_and_duplicates_nothing(self) -> None:
         for seed in range(12):
 
             async def body(cluster: PoolCluster, seed: int = seed) -> None:
@@ -604,7 +607,7 @@
 
         self.play(body)
 
-    def test_all_entry_vms_die_and_come_back(self) -> None:
+    def test_all_entry_vms_are_killed_and_restarted(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(6, work_s=8.0))
             await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 6)
@@ -620,7 +623,7 @@
 
         self.play(body)
 
-    def test_a_leader_cut_from_the_store_is_fenced_off(self) -> None:
+    def test_a_leader_partitioned_from_the_store_is_fenced(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(4, work_s=10.0))
             await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 4)
@@ -644,10 +647,10 @@
         self.play(body)
 
 
-class DefectTest(PoolTest):
-    """A defect of our own costs a term or a look, never the pool."""
+class InternalErrorTest(PoolTest):
+    """An internal error ends a term or a poll at most, and never affects the whole pool."""
 
-    def test_a_scheduler_that_fails_gives_way_to_the_next(self) -> None:
+    def test_a_failed_scheduler_is_replaced(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(4, work_s=4.0))
             await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 4)
@@ -672,7 +675,7 @@
 
         self.play(body)
 
-    def test_a_look_that_fails_is_repeated(self) -> None:
+    def test_a_failed_poll_is_repeated(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(4, work_s=3.0))
             await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 4)
@@ -691,7 +694,7 @@
     async def submit_as_clients_do(
         self, cluster: PoolCluster, job_id: str, request: JobRequest
     ) -> None:
-        """Hand the same id in again, at one VM after the other, while it is in doubt."""
+        """Submit a job, and again to the next VM with the same id while the outcome is unknown."""
         for number in range(5):
             try:
                 await cluster.submit(job_id, request, at=f"entry-{number % 3 + 1}")
@@ -701,7 +704,7 @@
             return
         self.fail(f"{job_id} was never accepted")
 
-    def test_what_runs_outlives_an_outage_of_the_store(self) -> None:
+    def test_runs_survive_an_outage_of_the_store(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(4, work_s=12.0))
             await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 4)
@@ -715,7 +718,7 @@
 
         self.play(body)
 
-    def test_lost_answers_with_late_effect_double_and_revert_nothing(self) -> None:
+    def test_late_writes_with_lost_answers_duplicate_and_revert_nothing(self) -> None:
         for late_s in (0.0, 0.4, 2.5):
 
             async def body(cluster: PoolCluster, late_s: float = late_s) -> None:
@@ -731,8 +734,8 @@
             with self.subTest(late_s=late_s):
                 self.play(body)
 
-    def test_a_silent_store_is_refused_early_and_truly(self) -> None:
-        """Found on a day of our own: calls sent into silence could only end in doubt."""
+    def test_calls_to_an_unresponsive_store_are_refused_early(self) -> None:
+        """On a test day, calls to an unresponsive store could only end in doubt."""
 
         async def body(cluster: PoolCluster) -> None:
             loop = asyncio.get_running_loop()
@@ -743,7 +746,7 @@
                 await cluster.submit(A, job(1), at="entry-1")
             self.assertIs(caught.exception.kind, ErrorKind.OUTCOME_UNKNOWN)
             self.assertLess(loop.time() - silent_s, 1.5)
-            await asyncio.sleep(0.5)  # until every VM knows of the silence
+            await asyncio.sleep(0.5)  # until every VM has detected the fault
             began = loop.time()
             with self.assertRaises(SaddlestackError) as caught:
                 await cluster.submit(B, job(1), at="entry-1")
@@ -757,8 +760,8 @@
 
         self.play(body)
 
-    def test_a_configuration_is_in_force_soon_after_a_silent_store(self) -> None:
-        """Found on trouble-3: watches begun into the silence hung for seconds after its end."""
+    def test_a_configuration_is_in_force_soon_after_the_store_responds(self) -> None:
+        """On the trial day trouble-3, watches begun during the fault hung for seconds after it."""
         for begins_s in (0.0, 0.7, 1.4, 2.1, 2.8):
 
             async def body(cluster: PoolCluster, begins_s: float = begins_s) -> None:
@@ -783,7 +786,7 @@
             with self.subTest(begins_s=begins_s):
                 self.play(body)
 
-    def test_a_call_outlives_a_short_outage(self) -> None:
+    def test_a_call_survives_a_short_outage(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             for member in cluster.members.values():
                 member.view.faults.refusing = True
@@ -798,7 +801,7 @@
 
         self.play(body)
 
-    def test_an_older_record_done_late_does_not_undo_a_newer_one(self) -> None:
+    def test_a_late_write_of_an_older_record_does_not_revert_a_newer_one(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             leader = cluster.leader
             assert leader is not None and leader.leadership.term is not None
@@ -813,7 +816,7 @@
 
         self.play(body)
 
-    def test_a_record_whose_answer_was_lost_is_soon_repeated(self) -> None:
+    def test_a_write_whose_answer_was_lost_is_soon_repeated(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             leader = cluster.leader
             assert leader is not None and leader.leadership.term is not None
@@ -825,8 +828,8 @@
 
         self.play(body)
 
-    def test_the_leader_hears_of_a_job_from_the_vm_that_took_it(self) -> None:
-        """The store tells of it as well, but later where it is slow or a watch was cut."""
+    def test_the_accepting_vm_notifies_the_leader_of_a_job(self) -> None:
+        """The store's watch shows it too, but later if the store is slow or a watch was lost."""
 
         async def body(cluster: PoolCluster) -> None:
             leader = cluster.leader
@@ -835,20 +838,22 @@
             view = cluster.member(cluster.leader_name).view
             watch = StoreView.watch
 
-            async def deaf(self: StoreView, prefix: str, after: int, wait_s: float) -> Listing:
+            async def watch_without_requests(
+                self: StoreView, prefix: str, after: int, wait_s: float
+            ) -> Listing:
                 if self is view and prefix == REQUESTS:
                     await asyncio.sleep(wait_s)
                     return Listing((), after)
                 return await watch(self, prefix, after, wait_s)
 
-            with unittest.mock.patch.object(StoreView, "watch", deaf):
+            with unittest.mock.patch.object(StoreView, "watch", watch_without_requests):
                 await asyncio.sleep(4.0)  # until the watch that was waiting has ended
                 await cluster.submit(A, job(1), at=other)
                 await cluster.until_state(A, JobState.COMPLETED, 3.0)
 
         self.play(body)
 
-    def test_a_displaced_leader_writes_nothing(self) -> None:
+    def test_a_leader_that_lost_its_leadership_writes_nothing(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             leader = cluster.leader
             assert leader is not None and leader.leadership.term is not None
@@ -877,7 +882,7 @@
         self.play(body)
 
     def test_a_vm_without_the_store_accepts_through_another(self) -> None:
-        """Found on trouble-3: VMs cut from the store refused what others could take."""
+        """On the trial day trouble-3, VMs without the store refused jobs others could accept."""
 
         async def body(cluster: PoolCluster) -> None:
             other = next(name for name in cluster.members if name != cluster.leader_name)
@@ -905,7 +910,7 @@
 
         self.play(body, entries=1)
 
-    def test_a_forgotten_history_is_read_anew(self) -> None:
+    def test_everything_is_read_again_after_the_history_is_dropped(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             cluster.store.forget_history()
             await cluster.submit(A, job(2))
@@ -916,11 +921,11 @@
 
 
 class WorkerTest(PoolTest):
-    def test_workers_whose_records_lapsed_and_came_back_are_as_before(self) -> None:
-        """The users' news: records that lapse with the store are back within two seconds.
+    def test_workers_whose_records_expired_and_returned_work_as_before(self) -> None:
+        """Users report that records that expire with the store are back within two seconds.
 
-        A worker that was idle meanwhile came back as another object than the one that its
-        session looked after: what it ran then was never heard of again.
+        A worker that was idle meanwhile was added as a new object, but its session still used the
+        old one: the session never reported the runs that started afterwards.
         """
 
         async def body(cluster: PoolCluster) -> None:
@@ -941,8 +946,8 @@
 
         self.play(body)
 
-    def test_work_of_a_dark_worker_starts_again_when_its_lease_has_lapsed(self) -> None:
-        """Found on a mix: unanswered looks kept the lease from ever counting as lapsed."""
+    def test_work_of_a_lost_worker_restarts_when_its_lease_has_expired(self) -> None:
+        """With mixed faults, unanswered polls kept the lease from ever counting as expired."""
 
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(4, work_s=6.0, accelerators=8))
@@ -954,8 +959,11 @@
 
         self.play(body)
 
-    def test_one_silent_worker_has_no_others_looked_at(self) -> None:
-        """On a large pool each lost answer cost 108 looks; two of a hall speak against the hall."""
+    def test_one_unresponsive_worker_causes_no_polls_of_others(self) -> None:
+        """In a large pool each lost answer caused 108 polls of other workers.
+
+        Only two unresponsive workers of a data hall are a sign that the hall is unreachable.
+        """
 
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(1, work_s=60.0, accelerators=8))
@@ -974,8 +982,8 @@
 
         self.play(body, racks=1, workers=6)
 
-    def test_a_gang_on_one_worker_lapses_whole(self) -> None:
-        """Found by soak seeds 101 and 124: the stand-in failed, and nothing ended any more."""
+    def test_the_lease_of_a_gang_on_one_worker_expires_for_all_members(self) -> None:
+        """With soak seeds 101 and 124 the stand-in failed, and no run ended any more."""
 
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(2, work_s=30.0, gang=True))
@@ -989,7 +997,7 @@
 
         self.play(body)
 
-    def test_a_worker_cut_off_runs_on_and_nothing_doubles(self) -> None:
+    def test_an_unreachable_worker_keeps_running_and_nothing_is_duplicated(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(4, work_s=30.0, accelerators=8))
             await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 4)
@@ -1001,8 +1009,8 @@
 
         self.play(body)
 
-    def test_a_worker_that_comes_back_after_all_leases_lapsed_is_looked_after(self) -> None:
-        """Its session had ended by itself, with nothing left to look at."""
+    def test_a_worker_that_returns_after_all_leases_expired_is_polled(self) -> None:
+        """The session had ended by itself, since the worker had no runs left to poll."""
 
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(4, work_s=30.0, accelerators=8))
@@ -1034,20 +1042,20 @@
 
         self.play(body)
 
-    def test_a_life_at_the_same_address_ends_the_one_before(self) -> None:
+    def test_a_new_incarnation_at_the_same_address_ends_the_previous_one(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(4, work_s=6.0, accelerators=8))
             await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 4)
             worker = next(iter(cluster.worker_pool.workers.values()))
             cluster.worker_pool.crash(worker, recorded=False)
-            life = cluster.worker_pool.add(worker.rack, worker.data_hall)
-            life.address = worker.address
-            cluster.worker_pool.record(life)
+            successor = cluster.worker_pool.add(worker.rack, worker.data_hall)
+            successor.address = worker.address
+            cluster.worker_pool.record(successor)
             await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 5, 3.0)
 
         self.play(body)
 
-    def test_an_order_carried_out_late_runs_once(self) -> None:
+    def test_an_order_that_is_carried_out_late_runs_once(self) -> None:
         for late_s in (0.3, 2.0, 6.0):
 
             async def body(cluster: PoolCluster, late_s: float = late_s) -> None:
@@ -1062,7 +1070,7 @@
             with self.subTest(late_s=late_s):
                 self.play(body)
 
-    def test_a_draining_worker_gets_no_work_and_gives_back_what_would_die(self) -> None:
+    def test_a_draining_worker_gets_no_work_and_its_runs_are_stopped(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             await cluster.submit(A, job(4, work_s=8.0, accelerators=8, checkpoint=True))
             await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 4)
@@ -1089,10 +1097,10 @@
 
         self.play(body)
 
-    def test_one_lost_answer_takes_no_further_work_back(self) -> None:
-        """Found on scale-1: a stop without answer made its worker count as silent.
+    def test_one_lost_answer_causes_no_further_preemption(self) -> None:
+        """On the trial day scale-1, an unanswered stop made its worker count as unresponsive.
 
-        The room that was being made there was given up, and other work was stopped as well.
+        The preemption on that worker was given up, and other work was stopped as well.
         """
 
         async def body(cluster: PoolCluster) -> None:
@@ -1112,7 +1120,7 @@
 
         self.play(body)
 
-    def test_a_busy_worker_is_left_alone(self) -> None:
+    def test_a_busy_worker_is_not_used(self) -> None:
         async def body(cluster: PoolCluster) -> None:
             worker = next(iter(cluster.worker_pool.workers.values()))
             worker.busy = True
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -9,7 +9,7 @@
 
 FILES = sorted((Path(__file__).parent.parent / "scenarios").glob("*.scenario"))
 CHAOS_SEEDS = (1, 5, 6, 12)
-"""Seeds that found faults: a nonexistent gang, a second start, a livelock, an older attempt."""
+"""Seeds that exposed faults: a nonexistent gang, a second start, a livelock, an older attempt."""
 CHAOS_SECONDS = 60.0
 
 
