--- a/tests/test_pool.py
+++ b/tests/test_pool.py
@@ -81,7 +81,7 @@
             silent.clear()
             unanswered.append(wait_s)
             await asyncio.sleep(wait_s + WATCH_SLACK_S)
-            raise StoreUnavailable("the watch was swallowed")
+            raise StoreUnavailable("no answer to the watch")
 
         async def body(cluster: PoolCluster) -> None:
             leader = cluster.leader_name
