--- a/src/saddlestack/standins/chaos.py
+++ b/src/saddlestack/standins/chaos.py
@@ -8,9 +8,9 @@
 
 from saddlestack.errors import SaddlestackError
 from saddlestack.models import Account, DataHall, Intent, JobClass, JobState
-from saddlestack.standins import promises
+from saddlestack.standins import invariants
 from saddlestack.standins.cluster import Cluster, account, racks, token_of
-from saddlestack.standins.promises import Promise, Said
+from saddlestack.standins.invariants import InvariantResult, RequestRecord
 from saddlestack.standins.scenario.play import ALONE_S, LEAVING_S, Outcome
 
 HALLS = ("ulemiste", "mustamae", "maardu")
@@ -32,7 +32,7 @@
         self._rng = random.Random(seed)
         self._seed = seed
         self._seconds = seconds
-        self._said: list[Said] = []
+        self._said: list[RequestRecord] = []
         self._revisions: dict[str, int] = {}
         self._reverted: list[str] = []
         self._accepted: list[str] = []
@@ -131,7 +131,7 @@
         options: dict[str, float],
         hall: str,
     ) -> None:
-        said = Said(f"{name}/{request}")
+        said = RequestRecord(f"{name}/{request}")
         self._said.append(said)
         try:
             client = self.cluster.client(token_of(name), hall=hall)
@@ -329,15 +329,17 @@
                 self._revisions[key] = revision
             await asyncio.sleep(0.1)
 
-    def _hold(self) -> list[Promise]:
+    def _hold(self) -> list[InvariantResult]:
         now = asyncio.get_running_loop().time()
-        checks = promises.check(self.cluster.endpoints, self._said, alone_s=ALONE_S, now=now)
+        checks = invariants.check(
+            self.cluster.endpoints, self._said, max_partial_s=ALONE_S, now=now
+        )
         return [
             *checks,
-            Promise("a leaving endpoint got no new work", self._late_work()),
-            Promise("an accepted configuration never reverted", self._lost_changes()),
-            Promise("accepted work was not lost", self._lost_jobs()),
-            Promise("most work got done in spite of it all", self._too_little_done()),
+            InvariantResult("a leaving endpoint got no new work", self._late_work()),
+            InvariantResult("an accepted configuration never reverted", self._lost_changes()),
+            InvariantResult("accepted work was not lost", self._lost_jobs()),
+            InvariantResult("most work got done in spite of it all", self._too_little_done()),
         ]
 
     def _late_work(self) -> tuple[str, ...]:
--- a/src/saddlestack/standins/cluster.py
+++ b/src/saddlestack/standins/cluster.py
@@ -114,7 +114,7 @@
         await self.store.stop()
         await self.vms.stop()
         for entry in self.removed:
-            await entry.process.bury()
+            await entry.process.cancel_tasks()
 
     # Clients
 
--- a/src/saddlestack/standins/demo.py
+++ b/src/saddlestack/standins/demo.py
@@ -13,10 +13,10 @@
 from saddlestack.errors import SaddlestackError
 from saddlestack.models import DataHall, JobClass, JobState, JobView, Weights
 from saddlestack.platform.endpoint import TaskState
-from saddlestack.standins import promises
+from saddlestack.standins import invariants
 from saddlestack.standins.cluster import Cluster, account, racks, token_of
 from saddlestack.standins.endpoint import GRACE_S
-from saddlestack.standins.promises import Promise, Said
+from saddlestack.standins.invariants import InvariantResult, RequestRecord
 
 FILLERS = 24
 URGENT = 4
@@ -63,7 +63,7 @@
     def __init__(self, cluster: Cluster, seed: int) -> None:
         self._cluster = cluster
         self._rng = random.Random(seed)
-        self._said: list[Said] = []
+        self._said: list[RequestRecord] = []
         self._events: list[str] = []
         self._reclaimed = 0
 
@@ -80,8 +80,8 @@
         await self._kill_scheduler()
         running += [asyncio.create_task(self._after_kill(i)) for i in range(3)]
         await asyncio.gather(*running, self._watch)
-        checks = promises.check(
-            self._cluster.endpoints, self._said, alone_s=ALONE_S, now=loop.time()
+        checks = invariants.check(
+            self._cluster.endpoints, self._said, max_partial_s=ALONE_S, now=loop.time()
         )
         checks += self._own_checks()
         return DemoResult(
@@ -185,7 +185,7 @@
         hall: str | None = None,
     ) -> None:
         client = self._client(name, hall)
-        said = Said(f"{name}/{request}")
+        said = RequestRecord(f"{name}/{request}")
         self._said.append(said)
         work: Awaitable[JobView] = client.submit(
             request,
@@ -208,7 +208,7 @@
             return self._cluster.client(token_of(name))
         return self._cluster.client(token_of(name), hall=hall)
 
-    def _own_checks(self) -> list[Promise]:
+    def _own_checks(self) -> list[InvariantResult]:
         unfinished = [
             f"{said.job}: {said.refused or (said.view and said.view.state)}"
             for said in self._said
@@ -228,12 +228,12 @@
         none = () if taken else ("no borrower was taken back",)
         self._events.append(f"room was taken back from {len(set(taken))} borrowing jobs")
         return [
-            Promise("every job finished", tuple(unfinished)),
-            Promise(f"urgent work started within {URGENT_START_S} s", tuple(late)),
-            Promise("the guaranteed shape was reclaimed from lent room", none),
+            InvariantResult("every job finished", tuple(unfinished)),
+            InvariantResult(f"urgent work started within {URGENT_START_S} s", tuple(late)),
+            InvariantResult("the guaranteed shape was reclaimed from lent room", none),
         ]
 
-    def _line(self, said: Said) -> DemoJob:
+    def _line(self, said: RequestRecord) -> DemoJob:
         view = said.view
         if view is None:
             return DemoJob(said.job, "-", 0, "-", None, f"refused: {said.refused}")
--- a/src/saddlestack/standins/promises.py
+++ b/src/saddlestack/standins/invariants.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Promise:
+class InvariantResult:
     """A promise and what speaks against it."""
 
     name: str
@@ -31,7 +31,7 @@
 
 
 @dataclass(slots=True)
-class Said:
+class RequestRecord:
     """What a caller was told about its own job.
 
     :param refused: the error kind where the request was answered with an error.
@@ -66,7 +66,7 @@
                 span.end = entry.at
 
 
-class Witness:
+class ExecutionHistory:
     """The endpoints' records, sorted by job and attempt."""
 
     def __init__(self, endpoints: Mapping[str, StandinEndpoint]) -> None:
@@ -108,44 +108,50 @@
 
 
 def check(
-    endpoints: Mapping[str, StandinEndpoint], said: Iterable[Said], *, alone_s: float, now: float
-) -> list[Promise]:
+    endpoints: Mapping[str, StandinEndpoint],
+    said: Iterable[RequestRecord],
+    *,
+    max_partial_s: float,
+    now: float,
+) -> list[InvariantResult]:
     """Hold the promises against the records.
 
-    :param alone_s: seconds for which part of a gang may run after another part ended.
+    :param max_partial_s: seconds for which part of a gang may run after another part ended.
     """
-    witness = Witness(endpoints)
+    witness = ExecutionHistory(endpoints)
     told = list(said)
     return [
-        Promise("run-once work ran at most once", _short(_run_twice(witness))),
-        Promise("gangs ran whole", _short(_run_in_part(witness, alone_s, now))),
-        Promise("no accelerator was held twice", _short(_held_twice(endpoints))),
-        Promise("each caller got its own whole answer", _short(_wrong_answers(told))),
-        Promise("what was called not run did not run", _short(_ran_after_all(witness, told))),
+        InvariantResult("run-once work ran at most once", _short(_run_twice(witness))),
+        InvariantResult("gangs ran whole", _short(_run_in_part(witness, max_partial_s, now))),
+        InvariantResult("no accelerator was held twice", _short(_held_twice(endpoints))),
+        InvariantResult("each caller got its own whole answer", _short(_wrong_answers(told))),
+        InvariantResult(
+            "what was called not run did not run", _short(_ran_after_all(witness, told))
+        ),
     ]
 
 
-def _run_twice(witness: Witness) -> Iterable[str]:
+def _run_twice(witness: ExecutionHistory) -> Iterable[str]:
     for job, attempts in witness.attempts.items():
         if any(attempt.run_once for attempt in attempts.values()) and witness.starts(job) > 1:
             yield f"{job} started {witness.starts(job)} times"
 
 
-def _run_in_part(witness: Witness, alone_s: float, now: float) -> Iterable[str]:
+def _run_in_part(witness: ExecutionHistory, max_partial_s: float, now: float) -> Iterable[str]:
     for job, attempts in witness.attempts.items():
         for (number, _, _), attempt in attempts.items():
-            yield from _alone(f"{job} attempt {number}", attempt, alone_s, now)
+            yield from _alone(f"{job} attempt {number}", attempt, max_partial_s, now)
 
 
-def _alone(name: str, attempt: _Attempt, alone_s: float, now: float) -> Iterable[str]:
+def _alone(name: str, attempt: _Attempt, max_partial_s: float, now: float) -> Iterable[str]:
     """Parts that ran while another part of the gang did not."""
     ends = [span.end if span.end is not None else now for span in attempt.spans]
     ran = {span.vm for span in attempt.spans}
     missing = set(attempt.parts) - ran
     longest = max(end - span.start for span, end in zip(attempt.spans, ends, strict=True))
-    if missing and longest > alone_s:
+    if missing and longest > max_partial_s:
         yield f"{name} ran {longest:.1f} s without its part on {', '.join(sorted(missing))}"
-    elif max(ends) - min(ends) > alone_s:
+    elif max(ends) - min(ends) > max_partial_s:
         yield f"{name} had a part running {max(ends) - min(ends):.1f} s after another ended"
 
 
@@ -165,7 +171,7 @@
                 break
 
 
-def _wrong_answers(said: Sequence[Said]) -> Iterable[str]:
+def _wrong_answers(said: Sequence[RequestRecord]) -> Iterable[str]:
     for told in said:
         view = told.view
         if view is None or view.state is not JobState.DONE:
@@ -178,12 +184,12 @@
             yield f"{told.job} got the answer {view.answer.output!r}"
 
 
-def _ran_after_all(witness: Witness, said: Sequence[Said]) -> Iterable[str]:
+def _ran_after_all(witness: ExecutionHistory, said: Sequence[RequestRecord]) -> Iterable[str]:
     """Jobs that ran although every answer to their caller says that they did not.
 
     A caller who sent a request twice and was refused once and answered once is not misled.
     """
-    answers: dict[str, list[Said]] = defaultdict(list)
+    answers: dict[str, list[RequestRecord]] = defaultdict(list)
     for told in said:
         answers[told.job].append(told)
     for job, told_all in answers.items():
@@ -192,7 +198,7 @@
             yield f"{job} was called not run ({', '.join(map(str, reasons))})"
 
 
-def _called_not_run(told: Said) -> bool:
+def _called_not_run(told: RequestRecord) -> bool:
     if told.refused is not None:
         return TABLE[ErrorKind(told.refused)].ran is Ran.NO
     return told.view is not None and told.view.state in {JobState.NOT_RUN, JobState.CANCELLED}
--- a/src/saddlestack/standins/network.py
+++ b/src/saddlestack/standins/network.py
@@ -22,7 +22,7 @@
         """Note where an address is."""
         self._places[address] = place
 
-    def place_of(self, address: str) -> str:
+    def location_of(self, address: str) -> str:
         """Where an address is."""
         return self._places.get(address, CLIENTS)
 
@@ -39,13 +39,13 @@
             self._cut.discard(frozenset((one, other)))
         self._notify()
 
-    def passes(self, one: str, other: str) -> bool:
+    def is_connected(self, one: str, other: str) -> bool:
         """Whether anything passes between two places."""
         return frozenset((one, other)) not in self._cut
 
-    async def until_passing(self, one: str, other: str) -> None:
+    async def wait_until_connected(self, one: str, other: str) -> None:
         """Wait until something passes."""
-        while not self.passes(one, other):
+        while not self.is_connected(one, other):
             await self._changed.wait()
 
     def _notify(self) -> None:
@@ -67,9 +67,9 @@
 
         :raises OSError: refused, unreachable or timed out.
         """
-        there = self._network.place_of(address)
+        there = self._network.location_of(address)
         async with asyncio.timeout(timeout):
-            await self._network.until_passing(self._place, there)
+            await self._network.wait_until_connected(self._place, there)
             reader, writer = await asyncio.open_connection(address, port)
         return (
             _CuttableReader(reader, self._network, self._place, there),
@@ -87,12 +87,12 @@
 
     async def read(self, size: int) -> bytes:
         data = await self._reader.read(size)
-        await self._network.until_passing(*self._ends)
+        await self._network.wait_until_connected(*self._ends)
         return data
 
     async def readexactly(self, size: int) -> bytes:
         data = await self._reader.readexactly(size)
-        await self._network.until_passing(*self._ends)
+        await self._network.wait_until_connected(*self._ends)
         return data
 
     def at_eof(self) -> bool:
@@ -110,7 +110,7 @@
         self._flusher: asyncio.Task[None] | None = None
 
     def write(self, data: bytes) -> None:
-        if self._network.passes(*self._ends) and not self._held:
+        if self._network.is_connected(*self._ends) and not self._held:
             self._writer.write(data)
             return
         self._held.append(data)
@@ -128,7 +128,7 @@
         self._writer.close()
 
     async def _flush(self) -> None:
-        await self._network.until_passing(*self._ends)
+        await self._network.wait_until_connected(*self._ends)
         held, self._held = self._held, []
         self._flusher = None
         for data in held:
--- a/src/saddlestack/standins/process.py
+++ b/src/saddlestack/standins/process.py
@@ -46,7 +46,7 @@
         """Note a task of the daemon."""
         self._tasks.add(task)
 
-    async def bury(self) -> None:
+    async def cancel_tasks(self) -> None:
         """Take the tasks of a killed process out of the loop."""
         tasks = [task for task in self._tasks if not task.done()]
         for task in tasks:
--- a/src/saddlestack/standins/scenario/expectations.py
+++ b/src/saddlestack/standins/scenario/expectations.py
@@ -8,7 +8,7 @@
 from saddlestack.errors import ErrorKind, invalid
 from saddlestack.models import JobState
 from saddlestack.standins.cluster import OPERATOR
-from saddlestack.standins.promises import Said, Witness
+from saddlestack.standins.invariants import ExecutionHistory, RequestRecord
 from saddlestack.standins.scenario.lines import Line
 from saddlestack.standins.scenario.stage import ScenarioFailed, Stage
 
@@ -43,7 +43,7 @@
             raise ScenarioFailed(f"{said.job} is {got}, expected refused as {kind}")
 
 
-async def _answered(stage: Stage, line: Line, within: float) -> list[Said]:
+async def _answered(stage: Stage, line: Line, within: float) -> list[RequestRecord]:
     which = line.word(1, "a job")
     if which != "all" and which not in stage.requests:
         raise invalid(f"{which} was not submitted")
@@ -60,14 +60,16 @@
     job = line.word(1, "a job")
     within = line.number_of("within", 8.5)
     await _until(
-        lambda: Witness(stage.cluster.endpoints).started(job), within, f"{job} did not start"
+        lambda: ExecutionHistory(stage.cluster.endpoints).started(job),
+        within,
+        f"{job} did not start",
     )
 
 
 async def expect_starts(stage: Stage, line: Line) -> None:
     """expect starts JOB COUNT: fresh starts so far"""
     job = line.word(1, "a job")
-    count = Witness(stage.cluster.endpoints).starts(job)
+    count = ExecutionHistory(stage.cluster.endpoints).starts(job)
     if count != int(line.word(2, "a count")):
         raise ScenarioFailed(f"{job} started {count} times")
 
--- a/src/saddlestack/standins/scenario/play.py
+++ b/src/saddlestack/standins/scenario/play.py
@@ -10,10 +10,10 @@
 import msgspec
 
 from saddlestack.errors import SaddlestackError, invalid
-from saddlestack.standins import promises
+from saddlestack.standins import invariants
 from saddlestack.standins.cluster import Cluster
 from saddlestack.standins.endpoint import GRACE_S
-from saddlestack.standins.promises import Promise, Said
+from saddlestack.standins.invariants import InvariantResult, RequestRecord
 from saddlestack.standins.scenario.lines import Line, split
 from saddlestack.standins.scenario.stage import ScenarioFailed, Stage
 from saddlestack.standins.scenario.verbs import VERBS
@@ -29,7 +29,7 @@
 
     name: str
     failures: list[str] = field(default_factory=list)
-    promises: list[Promise] = field(default_factory=list)
+    promises: list[InvariantResult] = field(default_factory=list)
     seconds: float = 0.0
 
     @property
@@ -75,7 +75,7 @@
         return self._stage.cluster
 
     @property
-    def said(self) -> list[Said]:
+    def said(self) -> list[RequestRecord]:
         """What callers were told."""
         return self._stage.said
 
@@ -111,14 +111,14 @@
         outcome.seconds = loop.time() - began
         return outcome
 
-    def _hold(self) -> list[Promise]:
+    def _hold(self) -> list[InvariantResult]:
         if self._stage.started is None:
             return []
         now = asyncio.get_running_loop().time()
-        checks = promises.check(
-            self._stage.started.endpoints, self._stage.said, alone_s=ALONE_S, now=now
+        checks = invariants.check(
+            self._stage.started.endpoints, self._stage.said, max_partial_s=ALONE_S, now=now
         )
-        return [*checks, Promise("a leaving endpoint got no new work", self._late_work())]
+        return [*checks, InvariantResult("a leaving endpoint got no new work", self._late_work())]
 
     def _late_work(self) -> tuple[str, ...]:
         """Starts on an endpoint more than three seconds after it said that it leaves."""
--- a/src/saddlestack/standins/scenario/stage.py
+++ b/src/saddlestack/standins/scenario/stage.py
@@ -7,7 +7,7 @@
 from saddlestack.errors import invalid
 from saddlestack.models import Account, Plan
 from saddlestack.standins.cluster import Cluster
-from saddlestack.standins.promises import Said
+from saddlestack.standins.invariants import RequestRecord
 
 
 class ScenarioFailed(Exception):
@@ -22,10 +22,10 @@
 
     def __init__(self, seed: int) -> None:
         self.seed = seed
-        self.said: list[Said] = []
+        self.said: list[RequestRecord] = []
         self.accounts: dict[str, Account] = {}
         self.requests: dict[str, list[asyncio.Task[None]]] = {}
-        self.answers: dict[str, list[Said]] = {}
+        self.answers: dict[str, list[RequestRecord]] = {}
         self.plans: dict[str, Plan] = {}
         self.confirms: dict[str, str] = {}
         self.work: list[asyncio.Task[None]] = []
--- a/src/saddlestack/standins/scenario/verbs.py
+++ b/src/saddlestack/standins/scenario/verbs.py
@@ -19,7 +19,7 @@
     token_of,
 )
 from saddlestack.standins.cluster import account as account_named
-from saddlestack.standins.promises import Said
+from saddlestack.standins.invariants import RequestRecord
 from saddlestack.standins.scenario.expectations import EXPECTATIONS
 from saddlestack.standins.scenario.lines import Line, number
 from saddlestack.standins.scenario.stage import ScenarioFailed, Stage
@@ -80,7 +80,7 @@
 
 
 def _begin(stage: Stage, line: Line, account_: str, request: str, accelerators: int) -> None:
-    said = Said(f"{account_}/{request}")
+    said = RequestRecord(f"{account_}/{request}")
     stage.said.append(said)
     stage.answers.setdefault(said.job, []).append(said)
     task = asyncio.get_running_loop().create_task(
@@ -91,7 +91,7 @@
 
 
 async def _request(
-    stage: Stage, line: Line, said: Said, account_: str, request: str, accelerators: int
+    stage: Stage, line: Line, said: RequestRecord, account_: str, request: str, accelerators: int
 ) -> None:
     via = line.options.get("via")
     where: dict[str, str] = {}
