--- a/src/saddlestack/standins/__init__.py
+++ b/src/saddlestack/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the outside systems: store, VM list and endpoint."""
+"""In-process stand-ins for the external systems: store, VM list and endpoint."""
--- a/src/saddlestack/standins/cluster.py
+++ b/src/saddlestack/standins/cluster.py
@@ -1,4 +1,4 @@
-"""A whole small deployment in one process over loopback: platform, halls, daemons."""
+"""A small deployment in one process over loopback: platform, data halls and daemons."""
 
 from __future__ import annotations
 
@@ -27,14 +27,18 @@
 OPERATOR_TOKEN = "operator-token"
 SECOND_OPERATOR = "gunnar"
 SECOND_TOKEN = "second-operator-token"
-READY_S = 60.0
+READY_TIMEOUT_S = 60.0
 FIRST_HALL_OCTET = 10
 MAX_OCTET = 250
 
 
 @dataclass
 class EntryVm:
-    """One entry VM of the cluster."""
+    """One entry VM of the cluster.
+
+    :param incarnation: counts the starts of a daemon under this name.
+    :param alive: whether the VM was neither killed nor drained.
+    """
 
     name: str
     data_hall: str
@@ -46,21 +50,22 @@
 
 
 def racks(prefix: str, count: int, workers: int = 8, accelerators: int = 8) -> tuple[Rack, ...]:
-    """Some alike racks, named by a prefix.
+    """Create identical racks, with names from a prefix.
 
     :rtype: tuple[Rack, ...]
     """
-    letters = [prefix if count == 1 else f"{prefix}{number}" for number in range(1, count + 1)]
+    names = [prefix if count == 1 else f"{prefix}{number}" for number in range(1, count + 1)]
     return tuple(
-        Rack(name=name, workers=workers, accelerators=accelerators, slots=8) for name in letters
+        Rack(name=name, workers=workers, accelerators=accelerators, slots=8) for name in names
     )
 
 
 class Cluster:
-    """Starts, breaks and stops a deployment.
+    """Starts and stops a deployment and injects faults into it.
 
-    :param halls: the data halls and racks; endpoints stand in for every worker.
-    :param entries: entry VMs in each hall.
+    :param halls: the data halls and racks; each worker is a stand-in endpoint.
+    :param entries: entry VMs in each data hall.
+    :param lag_s: seconds until the VM list shows a change.
     """
 
     def __init__(
@@ -87,10 +92,10 @@
         self._clients: list[AsyncClient] = []
 
     async def start(self) -> None:
-        """Start everything and wait until every cell is scheduled."""
+        """Start the platform, the endpoints and the entry VMs."""
         process.install(asyncio.get_running_loop())
         platform = "127.0.1.1"
-        self.network.place(platform, PLATFORM)
+        self.network.assign(platform, PLATFORM)
         await self.store.start(platform, 0)
         await self.vms.start(platform, 0)
         for number, hall in enumerate(self.halls):
@@ -102,7 +107,7 @@
                 await self._start_entry(name, hall.name, address)
 
     async def stop(self) -> None:
-        """Stop everything."""
+        """Close all clients and stop the whole deployment."""
         for client in self._clients:
             client.close()
         for entry in list(self.entries.values()):
@@ -116,17 +121,19 @@
         for entry in self.removed:
             await entry.process.cancel_tasks()
 
-    # Clients
-
     def client(self, token: str, *, hall: str | None = None, vm: str | None = None) -> AsyncClient:
-        """A client that knows the live entry VMs, of a hall, or one of them."""
-        known = [
+        """Create a client with the addresses of the live entry VMs.
+
+        :param hall: use only entry VMs of this data hall.
+        :param vm: use only this entry VM.
+        """
+        addresses = [
             (entry.address, entry.daemon.http_port)
             for entry in self.live()
             if (hall is None or entry.data_hall == hall) and (vm is None or entry.name == vm)
         ]
         client = AsyncClient(
-            known,
+            addresses,
             token,
             dialer=CuttableDialer(self.network, CLIENTS),
             rng=random.Random(f"{self._seed} {len(self._clients)}"),
@@ -135,7 +142,7 @@
         return client
 
     def operator(self, **where: str) -> AsyncClient:
-        """A client of the first operator."""
+        """Create a client with the first operator's token."""
         return self.client(OPERATOR_TOKEN, **where)
 
     async def configure(
@@ -145,23 +152,23 @@
         *,
         wait: float = 10.0,
     ) -> None:
-        """Plan and confirm halls and accounts, then wait until every cell is scheduled."""
+        """Plan and confirm data halls and accounts, then wait until every cell has a scheduler."""
         operator = self.operator()
         intent = Intent(data_halls=self.halls, accounts=accounts, weights=weights)
         await operator.confirm(await operator.plan(intent), wait=wait)
         await self.until_ready()
 
-    async def until_ready(self, timeout: float = READY_S) -> None:
-        """Wait until every cell has a scheduler that all live VMs have heard of.
+    async def until_ready(self, timeout: float = READY_TIMEOUT_S) -> None:
+        """Wait until every cell has a scheduler and all live VMs have its heartbeat.
 
-        :raises TimeoutError: it took too long.
+        :raises TimeoutError: not all VMs had it in time.
         """
         cells = {site.plan.name for site in cells_of(self.halls)}
         async with asyncio.timeout(timeout):
-            while not all(self._knows(entry, cells) for entry in self.live()):
+            while not all(self._has_all_cells(entry, cells) for entry in self.live()):
                 await asyncio.sleep(0.05)
 
-    def _knows(self, entry: EntryVm, cells: set[str]) -> bool:
+    def _has_all_cells(self, entry: EntryVm, cells: set[str]) -> bool:
         owners = {seen.beat.cell: seen for seen in entry.daemon.membership.cells()}
         workers = {
             site.plan.name: sum(worker.accelerators for worker in site.workers)
@@ -173,25 +180,23 @@
         )
 
     def live(self) -> list[EntryVm]:
-        """The entry VMs that are up and not frozen."""
+        """The entry VMs that are alive and not frozen."""
         return [e for e in self.entries.values() if e.alive and not e.process.frozen]
 
     def owner(self, cell: str) -> EntryVm | None:
-        """The live entry VM that schedules a cell."""
+        """The live entry VM that schedules a cell, or ``None``."""
         for entry in self.live():
             if any(s.cell == cell and s.ready for s in entry.daemon.ownership.schedulers):
                 return entry
         return None
 
     def document(self) -> Document:
-        """The newest configuration that a live VM has in force."""
+        """The latest configuration in force on any live VM."""
         documents = [entry.daemon.configuration.document for entry in self.live()]
         return max(documents, key=lambda document: document.revision)
 
-    # Breaking things
-
     async def kill(self, name: str) -> None:
-        """End an entry VM at once, without any goodbye."""
+        """Kill an entry VM without a shutdown."""
         entry = self.entries[name]
         entry.alive = False
         entry.process.kill()
@@ -200,12 +205,12 @@
         self.removed.append(entry)
 
     async def restart(self, name: str) -> None:
-        """Start a killed or drained VM's daemon again under its name."""
+        """Restart the daemon of a killed or drained VM under the same name."""
         old = self.entries[name]
         await self._start_entry(name, old.data_hall, old.address)
 
     def freeze(self, name: str) -> None:
-        """Pause an entry VM's process."""
+        """Freeze an entry VM's process."""
         self.entries[name].process.freeze()
 
     def thaw(self, name: str) -> None:
@@ -213,23 +218,23 @@
         self.entries[name].process.thaw()
 
     async def drain(self, name: str) -> None:
-        """Stop an entry VM in a planned way."""
+        """Drain an entry VM, then remove it from the VM list."""
         entry = self.entries[name]
-        self._list(entry, leaving=True)
+        self._publish_entry(entry, leaving=True)
         work = asyncio.get_running_loop().create_task(entry.daemon.drain())
         await work
         entry.alive = False
         self.vms.remove(name)
 
     async def restart_endpoint(self, name: str) -> None:
-        """Let an endpoint vanish, if it has not yet, and come back under its name."""
+        """Restart an endpoint under the same name, crashing it first if it is not lost yet."""
         endpoint = self.endpoints[name]
         if not endpoint.lost:
             endpoint.lose()
         await endpoint.restart()
-        self._list_endpoint(name)
+        self._publish_endpoint(name)
 
-    def _list_endpoint(self, name: str) -> None:
+    def _publish_endpoint(self, name: str) -> None:
         hall = next(
             site.plan.data_hall
             for site in cells_of(self.halls)
@@ -238,27 +243,27 @@
         server = self.endpoints[name].server
         self.vms.put(VmEntry(name, hall, "endpoint", self._addresses[name], server.port))
 
-    # Starting
+    # Starting processes
 
     async def _start_endpoints(self, number: int, hall: DataHall) -> None:
         for i, worker in enumerate(cells_of([hall])[0].workers):
             octet, last = divmod(i, 100)
             address = f"127.0.{FIRST_HALL_OCTET + number}.{100 + last + 50 * octet}"
-            self.network.place(address, hall.name)
+            self.network.assign(address, hall.name)
             endpoint = StandinEndpoint(worker.name, worker.accelerators, worker.slots)
             await endpoint.start(address, 0)
             self.endpoints[worker.name] = endpoint
             self._addresses[worker.name] = address
-            self._list_endpoint(worker.name)
+            self._publish_endpoint(worker.name)
 
     async def _start_entry(self, name: str, hall: str, address: str) -> None:
-        self.network.place(address, hall)
+        self.network.assign(address, hall)
         incarnation = self._incarnations.get(name, 0) + 1
         self._incarnations[name] = incarnation
-        mine = Process(name)
-        token = process.current.set(mine)
+        new_process = Process(name)
+        token = process.current.set(new_process)
         try:
-            clock = VirtualClock() if _virtual() else Clock()
+            clock = VirtualClock() if _is_virtual_loop() else Clock()
             daemon = Daemon(
                 self._settings(name, hall, address),
                 clock=clock,
@@ -269,11 +274,11 @@
             await asyncio.get_running_loop().create_task(daemon.start())
         finally:
             process.current.reset(token)
-        entry = EntryVm(name, hall, address, daemon, mine, incarnation)
+        entry = EntryVm(name, hall, address, daemon, new_process, incarnation)
         self.entries[name] = entry
-        self._list(entry, leaving=False)
+        self._publish_entry(entry, leaving=False)
 
-    def _list(self, entry: EntryVm, *, leaving: bool) -> None:
+    def _publish_entry(self, entry: EntryVm, *, leaving: bool) -> None:
         self.vms.put(
             VmEntry(
                 entry.name,
@@ -304,14 +309,14 @@
         )
 
 
-def _virtual() -> bool:
+def _is_virtual_loop() -> bool:
     return isinstance(asyncio.get_running_loop(), VirtualLoop)
 
 
 def account(name: str, *guarantees: str, queued: int = 5000) -> Account:
-    """A client account with a token named after it.
+    """Create a client account with a single token, which is :func:`token_of` its name.
 
-    :param guarantees: in short form, such as ``2x16@rack``.
+    :param guarantees: guarantees in short form, such as ``2x16@rack``.
     :rtype: Account
     """
     from saddlestack.shapes import parse_guarantee
@@ -325,7 +330,7 @@
 
 
 def token_of(name: str) -> str:
-    """The token of a stand-in account.
+    """Return the token of a stand-in account.
 
     :rtype: str
     """
--- a/src/saddlestack/standins/demo.py
+++ b/src/saddlestack/standins/demo.py
@@ -1,4 +1,4 @@
-"""The demo: the main job on a small deployment in one process, in real time."""
+"""The demo: borrowing, reclaim and failover on a small deployment in one process, in real time."""
 
 from __future__ import annotations
 
@@ -18,15 +18,18 @@
 from saddlestack.standins.endpoint import GRACE_S
 from saddlestack.standins.invariants import InvariantResult, RequestRecord
 
-FILLERS = 24
-URGENT = 4
-ALONE_S = GRACE_S + 8.0
+FILLER_JOBS = 24
+URGENT_JOBS = 4
+MAX_PARTIAL_S = GRACE_S + 8.0
 URGENT_START_S = 8.5
 WAIT_S = 60.0
 
 
 class DemoJob(msgspec.Struct):
-    """A line of the demo's table."""
+    """A row of the demo's job table.
+
+    :param waited_s: seconds from submission to start, or ``None`` if the job did not start.
+    """
 
     job: str
     job_class: str
@@ -37,7 +40,7 @@
 
 
 class DemoPromise(msgspec.Struct):
-    """A promise that the demo checked."""
+    """An invariant that the demo checked, with its violations."""
 
     name: str
     held: bool
@@ -45,7 +48,7 @@
 
 
 class DemoResult(msgspec.Struct):
-    """What the demo did and what it found."""
+    """The demo's events, jobs and checked invariants."""
 
     seed: int
     seconds: float
@@ -55,7 +58,7 @@
 
     @property
     def held(self) -> bool:
-        """Whether every promise held."""
+        """Whether all invariants held."""
         return all(promise.held for promise in self.promises)
 
 
@@ -63,7 +66,7 @@
     def __init__(self, cluster: Cluster, seed: int) -> None:
         self._cluster = cluster
         self._rng = random.Random(seed)
-        self._said: list[RequestRecord] = []
+        self._records: list[RequestRecord] = []
         self._events: list[str] = []
         self._reclaimed = 0
 
@@ -71,7 +74,7 @@
         loop = asyncio.get_running_loop()
         began = loop.time()
         await self._configure()
-        fillers = [self._filler(i) for i in range(FILLERS)]
+        fillers = [self._submit_filler(i) for i in range(FILLER_JOBS)]
         running = [asyncio.create_task(work) for work in fillers]
         await asyncio.sleep(1.0)
         running += await self._reclaim()
@@ -79,16 +82,16 @@
         await self._payout()
         await self._kill_scheduler()
         running += [asyncio.create_task(self._after_kill(i)) for i in range(3)]
-        await asyncio.gather(*running, self._watch)
+        await asyncio.gather(*running, self._takeover_watch)
         checks = invariants.check(
-            self._cluster.endpoints, self._said, max_partial_s=ALONE_S, now=loop.time()
+            self._cluster.endpoints, self._records, max_partial_s=MAX_PARTIAL_S, now=loop.time()
         )
-        checks += self._own_checks()
+        checks += self._check_demo()
         return DemoResult(
             seed=seed,
             seconds=round(loop.time() - began, 1),
             events=tuple(self._events),
-            jobs=tuple(self._line(said) for said in self._said),
+            jobs=tuple(self._table_line(record) for record in self._records),
             promises=tuple(DemoPromise(p.name, p.held, p.breaches) for p in checks),
         )
 
@@ -108,7 +111,7 @@
             f"{len(document.assignments)} guaranteed shapes assigned to 3 cells"
         )
 
-    async def _filler(self, number: int) -> None:
+    async def _submit_filler(self, number: int) -> None:
         seconds = self._rng.uniform(4.0, 7.0)
         await self._submit(
             "replays",
@@ -121,7 +124,7 @@
 
     async def _reclaim(self) -> list[asyncio.Task[None]]:
         self._events.append(
-            f"account replays borrows all 24 workers with {FILLERS} bulk jobs of 8 accelerators"
+            f"account replays borrows all 24 workers with {FILLER_JOBS} bulk jobs of 8 accelerators"
         )
         work = self._submit("depots", "night-plan", 16, JobClass.NORMAL, 2.0, adjacent="rack")
         task = asyncio.create_task(work)
@@ -133,11 +136,11 @@
             asyncio.create_task(
                 self._submit("stations", f"check-{number}", 1, JobClass.URGENT, 0.5)
             )
-            for number in range(URGENT)
+            for number in range(URGENT_JOBS)
         ]
 
     async def _payout(self) -> None:
-        """A run-once payout, submitted twice under one request id through two halls."""
+        """Submit a run-once job twice under one request id, through two data halls."""
         once = self._submit(
             "tariffs", "payout", 4, JobClass.NORMAL, 1.0, run_once=True, hall="ulemiste"
         )
@@ -154,16 +157,16 @@
         await self._cluster.kill(owner.name)
         self._events.append(f"entry VM {owner.name}, scheduler of cell ulemiste, was killed")
         began = asyncio.get_running_loop().time()
-        self._watch = asyncio.create_task(self._note_take_over(began))
+        self._takeover_watch = asyncio.create_task(self._report_takeover(began))
 
-    async def _note_take_over(self, began: float) -> None:
+    async def _report_takeover(self, began: float) -> None:
         while True:
             owner = self._cluster.owner("ulemiste")
             if owner is not None:
                 break
             await asyncio.sleep(0.05)
-        took = asyncio.get_running_loop().time() - began
-        self._events.append(f"{owner.name} took the cell over after {took:.1f} s")
+        takeover_s = asyncio.get_running_loop().time() - began
+        self._events.append(f"{owner.name} took the cell over after {takeover_s:.1f} s")
 
     async def _after_kill(self, number: int) -> None:
         await asyncio.sleep(0.2 * number)
@@ -185,8 +188,8 @@
         hall: str | None = None,
     ) -> None:
         client = self._client(name, hall)
-        said = RequestRecord(f"{name}/{request}")
-        self._said.append(said)
+        record = RequestRecord(f"{name}/{request}")
+        self._records.append(record)
         work: Awaitable[JobView] = client.submit(
             request,
             accelerators,
@@ -199,52 +202,52 @@
             wait=WAIT_S,
         )
         try:
-            said.view = await work
+            record.view = await work
         except SaddlestackError as error:
-            said.refused = error.kind.value
+            record.refused = error.kind.value
 
     def _client(self, name: str, hall: str | None) -> AsyncClient:
         if hall is None:
             return self._cluster.client(token_of(name))
         return self._cluster.client(token_of(name), hall=hall)
 
-    def _own_checks(self) -> list[InvariantResult]:
+    def _check_demo(self) -> list[InvariantResult]:
         unfinished = [
-            f"{said.job}: {said.refused or (said.view and said.view.state)}"
-            for said in self._said
-            if said.view is None or said.view.state is not JobState.DONE
+            f"{record.job}: {record.refused or (record.view and record.view.state)}"
+            for record in self._records
+            if record.view is None or record.view.state is not JobState.DONE
         ]
         late = [
             f"{line.job} waited {line.waited_s} s"
-            for line in map(self._line, self._said)
+            for line in map(self._table_line, self._records)
             if line.job_class == JobClass.URGENT and (line.waited_s or 0) > URGENT_START_S
         ]
-        taken = [
+        preempted = [
             entry.job
             for endpoint in self._cluster.endpoints.values()
             for entry in endpoint.history
             if entry.event in {TaskState.CHECKPOINTED.value, TaskState.STOPPED.value}
         ]
-        none = () if taken else ("no borrower was taken back",)
-        self._events.append(f"room was taken back from {len(set(taken))} borrowing jobs")
+        reclaim_breaches = () if preempted else ("no borrower was taken back",)
+        self._events.append(f"room was taken back from {len(set(preempted))} borrowing jobs")
         return [
             InvariantResult("every job finished", tuple(unfinished)),
             InvariantResult(f"urgent work started within {URGENT_START_S} s", tuple(late)),
-            InvariantResult("the guaranteed shape was reclaimed from lent room", none),
+            InvariantResult("the guaranteed shape was reclaimed from lent room", reclaim_breaches),
         ]
 
-    def _line(self, said: RequestRecord) -> DemoJob:
-        view = said.view
+    def _table_line(self, record: RequestRecord) -> DemoJob:
+        view = record.view
         if view is None:
-            return DemoJob(said.job, "-", 0, "-", None, f"refused: {said.refused}")
+            return DemoJob(record.job, "-", 0, "-", None, f"refused: {record.refused}")
         waited = None if view.started is None else round(view.started - view.submitted, 2)
         outcome = view.state.value + (f", attempt {view.attempt}" if view.attempt > 1 else "")
         places = ", ".join(part.vm for part in view.parts)
-        return DemoJob(said.job, view.job_class.value, view.accelerators, places, waited, outcome)
+        return DemoJob(record.job, view.job_class.value, view.accelerators, places, waited, outcome)
 
 
 async def run_demo(seed: int) -> DemoResult:
-    """Play the demo.
+    """Run the demo on a new cluster.
 
     :rtype: DemoResult
     """
@@ -262,7 +265,7 @@
 
 
 def show(result: DemoResult) -> None:
-    """Print the demo's result for people."""
+    """Print the demo's result as text."""
     from saddlestack.cli.output import table
 
     click.echo("What happened")
--- a/src/saddlestack/standins/endpoint.py
+++ b/src/saddlestack/standins/endpoint.py
@@ -1,8 +1,8 @@
 """A stand-in for an endpoint: a worker that grants leases and runs parts of gangs.
 
-A part runs for the ``seconds`` that the job's payload names (``{"seconds": 2}``; one second
-where it names none) and the leader's output is a short text. The stand-in keeps its own
-record of everything it started, which tests hold the promises against.
+A part runs for the ``seconds`` in the job's payload (``{"seconds": 2}``; one second by
+default), and the leader's output is a short text. The stand-in keeps its own history of
+everything it started, against which tests check the invariants.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 from saddlestack.wire.http import HttpServer, Request, Response, json_response
 
 GRACE_S = 3.0
-CHECK_S = 0.5
+LEASE_CHECK_INTERVAL_S = 0.5
 DEFAULT_RUN_S = 1.0
 THROTTLED_RATE = 0.5
 MAX_WAIT_S = 60.0
@@ -43,12 +43,12 @@
 
 
 class EndpointFaults(msgspec.Struct):
-    """Faults to play.
+    """Faults to inject.
 
-    :param delay_s: delay every answer.
-    :param truncate: cut this many outputs short.
-    :param cross: give this many outputs under another job's name.
-    :param lose_answers: carry this many command batches out without answering.
+    :param delay_s: delay every response by this long.
+    :param truncate: truncate this many outputs.
+    :param cross: return this many outputs under another job's id.
+    :param lose_answers: execute this many command batches without responding.
     """
 
     delay_s: float = 0.0
@@ -59,7 +59,12 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryEntry:
-    """What the endpoint did, in its own words."""
+    """An event of a task, as recorded by the endpoint.
+
+    :param at: the event loop's time, in seconds.
+    :param event: ``prepare``, ``start``, ``lost`` or a final task state.
+    :param parts: VMs of the whole gang.
+    """
 
     at: float
     job: str
@@ -91,7 +96,7 @@
 
 
 class StandinEndpoint:
-    """One worker: leases with terms, room, slots, tasks and faults."""
+    """One worker: leases with terms, accelerators, slots, tasks and faults."""
 
     def __init__(
         self, name: str, accelerators: int = 8, slots: int = 8, grace_s: float = GRACE_S
@@ -118,12 +123,12 @@
         self._revision = 0
         self._lease_until = 0.0
         self._sequence = 0
-        self._parts: dict[str, _Task] = {}
+        self._tasks_by_job: dict[str, _Task] = {}
         self._cancelled: dict[str, int] = {}
         self._changed = asyncio.Condition()
 
     async def start(self, address: str, port: int) -> None:
-        """Serve on an address; port 0 takes a free one."""
+        """Serve on an address; port 0 picks a free port."""
         self._address = address
         await self.server.start(address, port)
         self._tasks.spawn(self._watch_lease())
@@ -135,18 +140,18 @@
         await self.server.stop()
 
     def lose(self) -> None:
-        """Vanish: every task is gone and nothing answers."""
+        """Simulate a crash: drop all tasks and close all connections."""
         self.lost = True
-        for task in self._parts.values():
+        for task in self._tasks_by_job.values():
             if task.timer is not None:
                 task.timer.cancel()
             if task.state in ACTIVE:
-                self._note(task, "lost")
-        self._parts.clear()
+                self._record_event(task, "lost")
+        self._tasks_by_job.clear()
         self.server.abort()
 
     async def restart(self) -> None:
-        """Come back under the old name on another port, with nothing in hand."""
+        """Restart under the same name on another port, without tasks or a lease."""
         self.incarnation += 1
         self._reset()
         self.leaving = False
@@ -156,7 +161,7 @@
         await self.server.start(self._address, 0)
 
     async def leave(self) -> None:
-        """Say that no new work is wanted."""
+        """Announce that the endpoint leaves and takes no new work."""
         self.leaving = True
         self.left_at = self._now()
         self._sequence += 1
@@ -164,15 +169,17 @@
 
     @property
     def used(self) -> int:
-        """Accelerators in use or held."""
-        return sum(task.accelerators for task in self._parts.values() if task.state in ACTIVE)
+        """Accelerators allocated to prepared or running tasks."""
+        return sum(
+            task.accelerators for task in self._tasks_by_job.values() if task.state in ACTIVE
+        )
 
     def active(self) -> list[tuple[str, int, TaskState]]:
-        """The parts held or running: job, attempt, state."""
-        return [(j, t.attempt, t.state) for j, t in self._parts.items() if t.state in ACTIVE]
+        """Prepared and running tasks: job, attempt, state."""
+        return [(j, t.attempt, t.state) for j, t in self._tasks_by_job.items() if t.state in ACTIVE]
 
     async def handle(self, request: Request) -> Response:
-        """Answer one request."""
+        """Handle one request."""
         if self.faults.delay_s:
             await asyncio.sleep(self.faults.delay_s)
         if request.method == "POST" and request.path == "/v1/sync":
@@ -191,15 +198,13 @@
             return Response(204)
         raise SaddlestackError(ErrorKind.NOT_FOUND, f"no {request.method} {request.path}")
 
-    # Leases
-
     async def _sync(self, body: SyncBody) -> SyncReply:
         self._grant(body)
         full = body.after < 0 or body.incarnation != self.incarnation
         if not full and body.after >= self._sequence:
-            await self._wait_for_news(body)
+            await self._wait_for_change(body)
             self._check_holder(body.holder, body.term)
-        tasks = [t for t in self._parts.values() if full or t.sequence > body.after]
+        tasks = [t for t in self._tasks_by_job.values() if full or t.sequence > body.after]
         return SyncReply(
             incarnation=self.incarnation,
             sequence=self._sequence,
@@ -211,25 +216,27 @@
 
     def _grant(self, body: SyncBody) -> None:
         now = self._now()
-        lapsed = now >= self._lease_until
+        is_expired = now >= self._lease_until
         if body.term < self._term:
-            raise SaddlestackError(ErrorKind.STALE_TERM, f"term {self._term} is known")
-        if body.term == self._term and body.holder != self._holder and not lapsed:
+            raise SaddlestackError(ErrorKind.STALE_TERM, f"term {self._term} was already granted")
+        if body.term == self._term and body.holder != self._holder and not is_expired:
             raise SaddlestackError(ErrorKind.STALE_TERM, f"leased to {self._holder}")
         if body.revision < self._revision:
-            raise SaddlestackError(ErrorKind.STALE_REVISION, f"revision {self._revision} is known")
+            raise SaddlestackError(
+                ErrorKind.STALE_REVISION, f"revision {self._revision} was already received"
+            )
         changed = (body.holder, body.term) != (self._holder, self._term)
         self._holder, self._term, self._revision = body.holder, body.term, body.revision
         self._lease_until = now + body.lease_s
         if changed:
             self._tasks.spawn(self._notify())
 
-    async def _wait_for_news(self, body: SyncBody) -> None:
-        mine = (self._holder, self._term)
+    async def _wait_for_change(self, body: SyncBody) -> None:
+        granted = (self._holder, self._term)
         try:
             async with asyncio.timeout(min(body.wait_s, MAX_WAIT_S)), self._changed:
                 await self._changed.wait_for(
-                    lambda: self._sequence > body.after or (self._holder, self._term) != mine
+                    lambda: self._sequence > body.after or (self._holder, self._term) != granted
                 )
         except TimeoutError:
             pass
@@ -242,33 +249,33 @@
 
     async def _watch_lease(self) -> None:
         while True:
-            await asyncio.sleep(CHECK_S)
+            await asyncio.sleep(LEASE_CHECK_INTERVAL_S)
             now = self._now()
             if now >= self._lease_until:
-                await self._lapse(now >= self._lease_until + self._grace_s)
+                await self._expire_tasks(now >= self._lease_until + self._grace_s)
 
-    async def _lapse(self, after_grace: bool) -> None:
-        for task in list(self._parts.values()):
+    async def _expire_tasks(self, is_grace_over: bool) -> None:
+        for task in list(self._tasks_by_job.values()):
             if task.state is TaskState.PREPARED:
                 self._end(task, TaskState.CANCELLED)
-            elif task.state is TaskState.RUNNING and after_grace:
+            elif task.state is TaskState.RUNNING and is_grace_over:
                 self._end(task, TaskState.STOPPED)
         await self._notify()
 
-    # Commands
-
     async def _command(self, body: CommandsBody) -> CommandsReply:
         self._check_holder(body.holder, body.term)
         if self._now() >= self._lease_until:
-            raise SaddlestackError(ErrorKind.STALE_TERM, "the lease has lapsed")
+            raise SaddlestackError(ErrorKind.STALE_TERM, "the lease has expired")
         if body.revision < self._revision:
-            raise SaddlestackError(ErrorKind.STALE_REVISION, f"revision {self._revision} is known")
+            raise SaddlestackError(
+                ErrorKind.STALE_REVISION, f"revision {self._revision} was already received"
+            )
         self._revision = body.revision
-        results = tuple(self._carry_out(command) for command in body.commands)
+        results = tuple(self._execute(command) for command in body.commands)
         await self._notify()
         return CommandsReply(results)
 
-    def _carry_out(self, command: Command) -> CommandResult:
+    def _execute(self, command: Command) -> CommandResult:
         if command.op in {Op.PREPARE, Op.RUN}:
             result = self._prepare(command)
             if not result.ok or command.op is Op.PREPARE:
@@ -280,19 +287,19 @@
             return self._acknowledge(command)
         if command.op is Op.THROTTLE:
             return self._throttle(command)
-        return self._take_back(command)
+        return self._cancel_or_stop(command)
 
     def _prepare(self, command: Command) -> CommandResult:
-        task = self._parts.get(command.job)
+        task = self._tasks_by_job.get(command.job)
         if task is not None and task.attempt == command.attempt and task.state in ACTIVE:
             return CommandResult(ok=True, started=task.ever_started)
         if self._cancelled.get(command.job, 0) >= command.attempt:
             return CommandResult(ok=False, error=ErrorKind.CANCELLED.value)
         if task is not None and (task.attempt >= command.attempt or task.state in ACTIVE):
             return CommandResult(ok=False, error=ErrorKind.CONFLICT.value)
-        held = sum(1 for other in self._parts.values() if other.state in ACTIVE)
-        room = self.accelerators - self.used
-        if self.leaving or room < command.accelerators or held >= self.slots:
+        used_slots = sum(1 for other in self._tasks_by_job.values() if other.state in ACTIVE)
+        free = self.accelerators - self.used
+        if self.leaving or free < command.accelerators or used_slots >= self.slots:
             return CommandResult(ok=False, error=ErrorKind.NO_ROOM.value)
         if command.spec is None:
             return CommandResult(ok=False, error=ErrorKind.INVALID.value)
@@ -305,13 +312,13 @@
             progress=command.progress,
             resumed=command.resume,
         )
-        self._parts[command.job] = task
-        self._note(task, "prepare")
-        self._touch(task)
+        self._tasks_by_job[command.job] = task
+        self._record_event(task, "prepare")
+        self._bump_sequence(task)
         return CommandResult(ok=True)
 
     def _start(self, command: Command) -> CommandResult:
-        task = self._parts.get(command.job)
+        task = self._tasks_by_job.get(command.job)
         if task is None or task.attempt != command.attempt:
             return CommandResult(ok=False, error=ErrorKind.NOT_FOUND.value)
         if task.ever_started:
@@ -321,14 +328,14 @@
         task.state = TaskState.RUNNING
         task.ever_started = True
         task.began = self._now()
-        self._note(task, "start")
+        self._record_event(task, "start")
         self._set_timer(task)
-        self._touch(task)
+        self._bump_sequence(task)
         return CommandResult(ok=True, started=True)
 
-    def _take_back(self, command: Command) -> CommandResult:
+    def _cancel_or_stop(self, command: Command) -> CommandResult:
         self._cancelled[command.job] = max(self._cancelled.get(command.job, 0), command.attempt)
-        task = self._parts.get(command.job)
+        task = self._tasks_by_job.get(command.job)
         if task is None or task.attempt != command.attempt:
             return CommandResult(ok=True)
         if task.state is TaskState.PREPARED:
@@ -338,22 +345,22 @@
             self._end(task, TaskState.CHECKPOINTED)
         elif task.state is TaskState.RUNNING and command.op is Op.STOP:
             self._end(task, TaskState.STOPPED)
-        kept = command.op is not Op.CHECKPOINT or task.state is TaskState.CHECKPOINTED
+        is_saved = command.op is not Op.CHECKPOINT or task.state is TaskState.CHECKPOINTED
         ended = task.state in {TaskState.STOPPED, TaskState.CHECKPOINTED}
         return CommandResult(
-            ok=not task.ever_started or (ended and kept),
+            ok=not task.ever_started or (ended and is_saved),
             started=task.ever_started,
             progress=task.progress,
         )
 
     def _acknowledge(self, command: Command) -> CommandResult:
-        task = self._parts.get(command.job)
+        task = self._tasks_by_job.get(command.job)
         if task is not None and task.attempt <= command.attempt and task.state not in ACTIVE:
-            del self._parts[command.job]
+            del self._tasks_by_job[command.job]
         return CommandResult(ok=True)
 
     def _throttle(self, command: Command) -> CommandResult:
-        task = self._parts.get(command.job)
+        task = self._tasks_by_job.get(command.job)
         if task is None or task.state is not TaskState.RUNNING:
             return CommandResult(ok=False, error=ErrorKind.NOT_FOUND.value)
         task.progress = self._progress(task)
@@ -362,16 +369,17 @@
         self._set_timer(task)
         return CommandResult(ok=True, started=True, progress=task.progress)
 
-    # Tasks
-
     def _set_timer(self, task: _Task) -> None:
         if task.timer is not None:
             task.timer.cancel()
-        left = max(0.0, _seconds(task.spec) - task.progress) / task.rate
-        task.timer = asyncio.get_running_loop().call_later(left, self._finish, task)
+        remaining_s = max(0.0, _run_duration_s(task.spec) - task.progress) / task.rate
+        task.timer = asyncio.get_running_loop().call_later(remaining_s, self._finish, task)
 
     def _finish(self, task: _Task) -> None:
-        if self._parts.get(task.spec.job_id) is not task or task.state is not TaskState.RUNNING:
+        if (
+            self._tasks_by_job.get(task.spec.job_id) is not task
+            or task.state is not TaskState.RUNNING
+        ):
             return
         if task.leader:
             task.output = f"{task.spec.job_id} done on {', '.join(task.parts)}"
@@ -382,14 +390,14 @@
         if task.timer is not None:
             task.timer.cancel()
         task.state = state
-        self._note(task, state.value)
-        self._touch(task)
+        self._record_event(task, state.value)
+        self._bump_sequence(task)
 
     def _progress(self, task: _Task) -> float:
         return task.progress + (self._now() - task.began) * task.rate
 
     def _status(self, task: _Task, full: bool) -> TaskStatus:
-        output, job = self._spoilt(task)
+        output, job = self._faulty_output(task)
         return TaskStatus(
             job=task.spec.job_id,
             attempt=task.attempt,
@@ -404,8 +412,8 @@
             parts=task.parts if full else (),
         )
 
-    def _spoilt(self, task: _Task) -> tuple[str, str]:
-        """The output and the job it is digested for, as the faults have it."""
+    def _faulty_output(self, task: _Task) -> tuple[str, str]:
+        """Return the output and the job for its digest, with pending faults applied."""
         if not task.output:
             return "", task.spec.job_id
         if self.faults.truncate > 0:
@@ -416,11 +424,11 @@
             return task.output, "another/job"
         return task.output, task.spec.job_id
 
-    def _touch(self, task: _Task) -> None:
+    def _bump_sequence(self, task: _Task) -> None:
         self._sequence += 1
         task.sequence = self._sequence
 
-    def _note(self, task: _Task, event: str) -> None:
+    def _record_event(self, task: _Task, event: str) -> None:
         self.history.append(
             HistoryEntry(
                 self._now(),
@@ -444,7 +452,7 @@
         return asyncio.get_running_loop().time()
 
 
-def _seconds(spec: JobSpec) -> float:
+def _run_duration_s(spec: JobSpec) -> float:
     try:
         payload = json.loads(spec.payload or "{}")
         return max(0.0, float(payload["seconds"]))
--- a/src/saddlestack/standins/process.py
+++ b/src/saddlestack/standins/process.py
@@ -1,7 +1,7 @@
-"""Daemons of one test process that can be frozen, resumed and killed one by one.
+"""Simulated processes of daemons in one test process, which can be frozen and killed.
 
-Every task of a daemon is stepped through :func:`_drive`. While its :class:`Process` is
-frozen no task of it takes a step, as under SIGSTOP; what arrives meanwhile waits in buffers.
+Every task of a daemon runs through :func:`_drive`. While its :class:`Process` is frozen none
+of its tasks takes a step, as after SIGSTOP; data that arrives meanwhile stays in buffers.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class Process:
-    """Stands for the operating-system process of one daemon."""
+    """Simulates the operating-system process of one daemon."""
 
     def __init__(self, name: str) -> None:
         self.name = name
@@ -28,38 +28,38 @@
         self._tasks: WeakSet[asyncio.Task[Any]] = WeakSet()
 
     def freeze(self) -> None:
-        """Let no task of the daemon take a step."""
+        """Suspend all tasks of the daemon."""
         self.frozen = True
         self._thawed.clear()
 
     def thaw(self) -> None:
-        """Let the tasks go on as if nothing had happened."""
+        """Resume all tasks of the daemon."""
         self.frozen = False
         self._thawed.set()
 
     def kill(self) -> None:
-        """Let no task of the daemon take a step ever again."""
+        """Suspend all tasks of the daemon for good."""
         self.dead = True
         self.freeze()
 
-    def started(self, task: asyncio.Task[Any]) -> None:
-        """Note a task of the daemon."""
+    def add_task(self, task: asyncio.Task[Any]) -> None:
+        """Register a task of the daemon."""
         self._tasks.add(task)
 
     async def cancel_tasks(self) -> None:
-        """Take the tasks of a killed process out of the loop."""
+        """Cancel the remaining tasks of a killed process and wait for them."""
         tasks = [task for task in self._tasks if not task.done()]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def thawed(self) -> None:
-        """Wait until the process may go on."""
+    async def wait_until_thawed(self) -> None:
+        """Wait until the process is not frozen."""
         await self._thawed.wait()
 
 
 def install(loop: asyncio.AbstractEventLoop) -> None:
-    """Step the tasks of processes through this module from now on."""
+    """Set a task factory that assigns new tasks to the :data:`current` process."""
     loop.set_task_factory(_make_task)
 
 
@@ -68,7 +68,7 @@
     if process is None:
         return asyncio.Task(work, loop=loop, **options)
     task: asyncio.Task[Any] = asyncio.Task(_drive(work, process), loop=loop, **options)
-    process.started(task)
+    process.add_task(task)
     return task
 
 
@@ -78,7 +78,7 @@
     while True:
         while process.frozen:
             try:
-                yield from process.thawed().__await__()
+                yield from process.wait_until_thawed().__await__()
             except BaseException as thrown:
                 error = thrown
                 if process.dead:
--- a/src/saddlestack/standins/store.py
+++ b/src/saddlestack/standins/store.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's key-value store, in memory, with faults on request."""
+"""An in-memory stand-in for the platform's key-value store, with fault injection."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
 
 
 class StoreFaults(msgspec.Struct):
-    """Faults to play.
+    """Faults to inject.
 
     :param down: refuse every call.
-    :param slow_s: delay every call.
-    :param lose_answers: let this many writes take effect without answering.
-    :param lose_writes: let this many writes vanish without answering.
+    :param slow_s: delay every call by this long.
+    :param lose_answers: apply this many writes without responding.
+    :param lose_writes: drop this many writes without responding.
     """
 
     down: bool = False
@@ -41,7 +41,7 @@
 
 
 class LeaseBody(msgspec.Struct):
-    """Asks for a lease."""
+    """A request to grant or renew a lease."""
 
     ttl_s: float
 
@@ -54,7 +54,7 @@
 
 
 @dataclass
-class _Key:
+class _Entry:
     value: str
     version: int
     lease: int | None = None
@@ -62,7 +62,11 @@
 
 @dataclass
 class StoreCounters:
-    """What the store was asked for, to hold against its rates."""
+    """Counts of calls, for checks against the store's rate limits.
+
+    :param limited: calls refused by the rate limits.
+    :param busiest: writes by the first path segment of the key.
+    """
 
     reads: int = 0
     writes: int = 0
@@ -74,23 +78,26 @@
 
 
 class StandinStore:
-    """Keys with versions, compare-and-swap, leases, watches, limits and faults."""
+    """A store of versioned keys with compare-and-swap, leases, watches, rate limits and faults.
+
+    :ivar on_write: called with the key after each write.
+    """
 
     def __init__(self) -> None:
         self.faults = StoreFaults()
         self.counters = StoreCounters()
         self.on_write: Callable[[str], None] | None = None
-        self._keys: dict[str, _Key] = {}
+        self._entries: dict[str, _Entry] = {}
         self._versions = itertools.count(1)
         self._leases: dict[int, float] = {}
         self._lease_ids = itertools.count(1)
         self._changed = asyncio.Condition()
-        self._writes = TokenBucket(STORE_WRITES_S, STORE_WRITES_S)
-        self._reads = TokenBucket(STORE_READS_S, STORE_READS_S)
+        self._write_limiter = TokenBucket(STORE_WRITES_S, STORE_WRITES_S)
+        self._read_limiter = TokenBucket(STORE_READS_S, STORE_READS_S)
         self.server = HttpServer(self.handle)
 
     async def start(self, address: str, port: int) -> None:
-        """Serve on an address; port 0 takes a free one."""
+        """Serve on an address; port 0 picks a free port."""
         await self.server.start(address, port)
 
     async def stop(self) -> None:
@@ -98,16 +105,16 @@
         await self.server.stop()
 
     def value(self, key: str) -> bytes | None:
-        """What a key holds, for tests."""
-        entry = self._keys.get(key)
+        """Return the decoded value of a key, or ``None``, for tests."""
+        entry = self._entries.get(key)
         return None if entry is None else base64.b64decode(entry.value)
 
     def keys(self, prefix: str = "") -> list[str]:
-        """The keys under a prefix, for tests."""
-        return sorted(key for key in self._keys if key.startswith(prefix))
+        """Return the sorted keys with a prefix, for tests."""
+        return sorted(key for key in self._entries if key.startswith(prefix))
 
     async def handle(self, request: Request) -> Response:
-        """Answer one request."""
+        """Handle one request."""
         if request.path == "/v1/faults" and request.method == "POST":
             self.faults = from_json(request.body, StoreFaults)
             return json_response(self.faults)
@@ -123,18 +130,18 @@
         return response
 
     async def _route(self, request: Request) -> Response:
-        kind, _, key = request.path.removeprefix("/v1/").partition("/")
-        if kind == "kv" and request.method == "GET":
+        resource, _, key = request.path.removeprefix("/v1/").partition("/")
+        if resource == "kv" and request.method == "GET":
             return self._get(key)
-        if kind == "kv" and request.method == "PUT":
+        if resource == "kv" and request.method == "PUT":
             return await self._swap(key, request)
-        if kind == "kv" and request.method == "DELETE":
+        if resource == "kv" and request.method == "DELETE":
             return await self._delete(key, request)
-        if kind == "range":
+        if resource == "range":
             return self._range(request.query.get("prefix", ""))
-        if kind == "watch":
+        if resource == "watch":
             return await self._watch(key, request)
-        if kind == "lease":
+        if resource == "lease":
             return self._lease(key, request)
         raise SaddlestackError(ErrorKind.NOT_FOUND, f"no {request.method} {request.path}")
 
@@ -147,15 +154,17 @@
             self.counters.writes += 1
             group = request.path.removeprefix("/v1/kv/").partition("/")[0]
             self.counters.busiest[group] = self.counters.busiest.get(group, 0) + 1
-        bucket = self._reads if reading else self._writes
+        bucket = self._read_limiter if reading else self._write_limiter
         if not bucket.take(now):
             self.counters.limited += 1
             raise SaddlestackError(
-                ErrorKind.RATE_LIMITED, "over the store's rate", retry_after=bucket.wait(now)
+                ErrorKind.RATE_LIMITED,
+                "the store's rate limit is exceeded",
+                retry_after=bucket.wait(now),
             )
 
     def _get(self, key: str) -> Response:
-        entry = self._keys.get(key)
+        entry = self._entries.get(key)
         if entry is None:
             raise SaddlestackError(ErrorKind.NOT_FOUND, f"no key {key}")
         return json_response(KeyValue(key, entry.value, entry.version))
@@ -163,7 +172,7 @@
     def _range(self, prefix: str) -> Response:
         entries = [
             KeyValue(key, entry.value, entry.version)
-            for key, entry in sorted(self._keys.items())
+            for key, entry in sorted(self._entries.items())
             if key.startswith(prefix)
         ]
         return json_response(KeyValues(entries))
@@ -174,8 +183,8 @@
             raise SaddlestackError(ErrorKind.TOO_LARGE, f"a value is at most {MAX_VALUE} bytes")
         if self.faults.lose_writes > 0:
             self.faults.lose_writes -= 1
-            return await self._never()
-        entry = self._keys.get(key)
+            return await self._withhold_reply()
+        entry = self._entries.get(key)
         version = entry.version if entry else 0
         if version != body.expect:
             self.counters.conflicts += 1
@@ -183,22 +192,24 @@
                 SaddlestackError(ErrorKind.CONFLICT, f"{key} is at version {version}")
             )
         lease = request.query.get("lease")
-        new = _Key(body.value, next(self._versions), int(lease) if lease else None)
-        self._keys[key] = new
+        new_entry = _Entry(body.value, next(self._versions), int(lease) if lease else None)
+        self._entries[key] = new_entry
         if self.on_write is not None:
             self.on_write(key)
         await self._notify()
         if self.faults.lose_answers > 0:
             self.faults.lose_answers -= 1
-            return await self._never()
-        return json_response(SwapReply(new.version))
+            return await self._withhold_reply()
+        return json_response(SwapReply(new_entry.version))
 
     async def _delete(self, key: str, request: Request) -> Response:
-        entry = self._keys.get(key)
+        entry = self._entries.get(key)
         expect = int(request.query.get("expect", "0"))
         if entry is None or entry.version != expect:
-            raise SaddlestackError(ErrorKind.CONFLICT, f"{key} is at another version")
-        del self._keys[key]
+            raise SaddlestackError(
+                ErrorKind.CONFLICT, f"{key} does not exist or is at another version"
+            )
+        del self._entries[key]
         await self._notify()
         return json_response(SwapReply(next(self._versions)))
 
@@ -218,26 +229,26 @@
         body = from_json(request.body, LeaseBody)
         lease = int(number) if number else next(self._lease_ids)
         if number and lease not in self._leases:
-            raise SaddlestackError(ErrorKind.NOT_FOUND, f"lease {lease} has lapsed")
+            raise SaddlestackError(ErrorKind.NOT_FOUND, f"lease {lease} has expired")
         self._leases[lease] = asyncio.get_running_loop().time() + body.ttl_s
         return json_response(LeaseReply(lease, body.ttl_s))
 
     def _expire(self) -> None:
         now = asyncio.get_running_loop().time()
-        lapsed = {lease for lease, until in self._leases.items() if until <= now}
-        for lease in lapsed:
+        expired = {lease for lease, until in self._leases.items() if until <= now}
+        for lease in expired:
             del self._leases[lease]
-        for key in [k for k, entry in self._keys.items() if entry.lease in lapsed]:
-            del self._keys[key]
+        for key in [k for k, entry in self._entries.items() if entry.lease in expired]:
+            del self._entries[key]
 
     def _version(self, key: str) -> int:
-        entry = self._keys.get(key)
+        entry = self._entries.get(key)
         return entry.version if entry else 0
 
     async def _notify(self) -> None:
         async with self._changed:
             self._changed.notify_all()
 
-    async def _never(self) -> Response:
+    async def _withhold_reply(self) -> Response:
         await asyncio.sleep(3600)
         return Response(500)
--- a/src/saddlestack/standins/vms.py
+++ b/src/saddlestack/standins/vms.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's list of VMs, which shows changes after a lag."""
+"""A stand-in for the platform's VM list, which shows changes after a lag."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 class StandinVms:
     """The list of live and leaving VMs.
 
-    :param lag_s: seconds until a change shows.
+    :param lag_s: seconds until a change is visible.
     """
 
     def __init__(self, lag_s: float = 1.0) -> None:
         self.lag_s = lag_s
         self.down = False
         self.reads = 0
-        self._truth: dict[str, VmEntry] = {}
-        self._shown = VmList(0, [])
+        self._current: dict[str, VmEntry] = {}
+        self._visible = VmList(0, [])
         self._pending: deque[tuple[float, VmList]] = deque()
         self._version = 0
         self.server = HttpServer(self.handle)
 
     async def start(self, address: str, port: int) -> None:
-        """Serve on an address; port 0 takes a free one."""
+        """Serve on an address; port 0 picks a free port."""
         await self.server.start(address, port)
 
     async def stop(self) -> None:
@@ -36,17 +36,17 @@
         await self.server.stop()
 
     def put(self, entry: VmEntry) -> None:
-        """A VM is there, or changed."""
-        self._truth[entry.name] = entry
-        self._publish()
+        """Add or update a VM."""
+        self._current[entry.name] = entry
+        self._add_snapshot()
 
     def remove(self, name: str) -> None:
-        """A VM is gone."""
-        self._truth.pop(name, None)
-        self._publish()
+        """Remove a VM, if it is listed."""
+        self._current.pop(name, None)
+        self._add_snapshot()
 
     async def handle(self, request: Request) -> Response:
-        """Answer one request."""
+        """Handle one request."""
         if self.down:
             raise SaddlestackError(ErrorKind.STORE_UNAVAILABLE, "the VM list is down")
         if request.path != "/v1/vms":
@@ -58,24 +58,24 @@
             self.remove(request.query.get("name", ""))
             return Response(204)
         self.reads += 1
-        self._show()
-        if request.query.get("after") == str(self._shown.version):
+        self._apply_due_snapshots()
+        if request.query.get("after") == str(self._visible.version):
             return Response(204)
         return json_response(self._filtered(request.query.get("data_hall")))
 
     def _filtered(self, hall: str | None) -> VmList:
         if hall is None:
-            return self._shown
-        vms = [vm for vm in self._shown.vms if vm.role == "entry" or vm.data_hall == hall]
-        return VmList(self._shown.version, vms)
+            return self._visible
+        vms = [vm for vm in self._visible.vms if vm.role == "entry" or vm.data_hall == hall]
+        return VmList(self._visible.version, vms)
 
-    def _publish(self) -> None:
+    def _add_snapshot(self) -> None:
         self._version += 1
         now = asyncio.get_running_loop().time()
-        snapshot = VmList(self._version, sorted(self._truth.values(), key=lambda vm: vm.name))
+        snapshot = VmList(self._version, sorted(self._current.values(), key=lambda vm: vm.name))
         self._pending.append((now + self.lag_s, snapshot))
 
-    def _show(self) -> None:
+    def _apply_due_snapshots(self) -> None:
         now = asyncio.get_running_loop().time()
         while self._pending and self._pending[0][0] <= now:
-            self._shown = self._pending.popleft()[1]
+            self._visible = self._pending.popleft()[1]
