--- a/tests/test_crash_reports.py
+++ b/tests/test_crash_reports.py
@@ -81,18 +81,18 @@
             line(4.0, "run_over", task=f"{OTHER}.0.0.{index}", worker="w1")
             for index in range(MAX_LOST_TASKS_SHOWN + 3)
         ]
-        told = describe(LINES[6], lost)
-        self.assertEqual(told.count(OTHER), MAX_LOST_TASKS_SHOWN)
-        self.assertIn("and 3 more", told)
+        reported = describe(LINES[6], lost)
+        self.assertEqual(reported.count(OTHER), MAX_LOST_TASKS_SHOWN)
+        self.assertIn("and 3 more", reported)
 
-    def test_why_blames_the_task_that_was_given_up_and_not_what_ran_beside_it(self) -> None:
+    def test_why_names_the_task_that_was_given_up_as_the_cause(self) -> None:
         found = {loss.job_id: loss.cause for loss in find_missed_objectives(LINES)}
-        self.assertEqual(found, {CULPRIT: Cause.CRASHES, OTHER: Cause.BESIDE})
+        self.assertEqual(found, {CULPRIT: Cause.GIVEN_UP, OTHER: Cause.CRASHED_WORKER})
 
-    def test_stops_count_what_died_beside_as_a_cause_of_its_own(self) -> None:
+    def test_stops_count_runs_lost_beside_a_crash_as_a_separate_cause(self) -> None:
         cost = stop_costs(LINES).reasons[LOST_WITH_CRASHED_WORKER]
         self.assertEqual(cost.runs, 1)
-        self.assertAlmostEqual(cost.lost, 3.9 * 9)
+        self.assertAlmostEqual(cost.lost_core_s, 3.9 * 9)
 
     def test_a_crash_under_a_cleared_task_is_no_such_cause(self) -> None:
         cleared = [each for each in LINES if each.event != "crash_given_up"]
