--- a/tests/test_second_run.py
+++ b/tests/test_second_run.py
@@ -1,6 +1,6 @@
 """Faults by which a task could run twice at once: a leader counts a run as over that continues.
 
-The simulated floor detects this: it is a violation to start a task that still runs on another
+The worker pool detects this: it is a violation to start a task that still runs on another
 worker that is up.
 """
 
@@ -36,9 +36,9 @@
 from saddlestack.standins.loop import WALL_EPOCH_S, run
 from saddlestack.standins.pool import cluster as cluster_module
 from saddlestack.standins.pool.cluster import RETENTION_S, PoolCluster, job
-from saddlestack.standins.pool.orders import FloorOrders
+from saddlestack.standins.pool.orders import PoolWorkerOrders
 from saddlestack.standins.pool.store import StoreView
-from saddlestack.standins.pool.workers import CLOCK_START_MS, Floor, FloorWorker
+from saddlestack.standins.pool.workers import CLOCK_START_MS, PoolWorker, WorkerPool
 from saddlestack.work import JobRequest, JobState
 from tests.test_session import HEARTBEAT_S, TASK, Scene, SessionCase
 
@@ -89,7 +89,7 @@
 class FaultyOrders:
     """Calls from one VM to one worker, with injected faults."""
 
-    def __init__(self, injected_faults: InjectedFaults, vm: str, inner: FloorOrders) -> None:
+    def __init__(self, injected_faults: InjectedFaults, vm: str, inner: PoolWorkerOrders) -> None:
         self._injected_faults = injected_faults
         self._vm = vm
         self._inner = inner
@@ -191,21 +191,21 @@
 
     def _orders(self, name: str, record: WorkerRecord) -> FaultyOrders:
         inner = PoolCluster._orders(self, name, record)
-        assert isinstance(inner, FloorOrders)
+        assert isinstance(inner, PoolWorkerOrders)
         return FaultyOrders(self.injected_faults, name, inner)
 
     def others(self, vm: str) -> list[str]:
         """Return all VMs but one."""
         return [name for name in self.members if name != vm]
 
-    def isolate_except(self, vm: str, worker: FloorWorker) -> None:
+    def isolate_except(self, vm: str, worker: PoolWorker) -> None:
         """Cut a worker off from all VMs but one."""
         self.injected_faults.cut |= {(name, worker.worker_id) for name in self.others(vm)}
 
-    def worker_of(self, job_id: str) -> FloorWorker:
+    def worker_of(self, job_id: str) -> PoolWorker:
         """Return the worker on which the latest run of a job began."""
-        runs = [each for each in self.floor.history if each.task.job_id == job_id]
-        return self.floor.workers[runs[-1].worker]
+        runs = [each for each in self.worker_pool.history if each.task.job_id == job_id]
+        return self.worker_pool.workers[runs[-1].worker]
 
 
 class SecondRunCase(unittest.TestCase):
@@ -238,7 +238,7 @@
                 for vm in list(injected_faults.paused):
                     injected_faults.resume(vm)
                 await cluster.stop()
-            self.assertEqual(cluster.floor.violations, [])
+            self.assertEqual(cluster.worker_pool.violations, [])
 
         run(main())
 
@@ -257,7 +257,7 @@
 
         async def body(cluster: FaultyCluster) -> None:
             await cluster.submit(A, job(1, work_s=90.0, accelerators=8))
-            await cluster.until(lambda: cluster.floor.starts_of(A) == 1)
+            await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 1)
             await asyncio.sleep(5.0)
             old, worker = cluster.leader_name, cluster.worker_of(A)
             cluster.isolate_except(old, worker)
@@ -283,7 +283,7 @@
 
         async def body(cluster: FaultyCluster) -> None:
             old = cluster.leader_name
-            worker = next(iter(cluster.floor.workers.values()))
+            worker = next(iter(cluster.worker_pool.workers.values()))
             cluster.isolate_except(old, worker)
             sent: list[str] = []
 
@@ -296,9 +296,9 @@
             cluster.injected_faults.on_start = lose_the_first
             await cluster.submit(A, job(1, work_s=90.0, accelerators=8), at=cluster.others(old)[0])
             await cluster.until(lambda: bool(sent))
-            cluster.floor.add(worker.rack, worker.data_hall)
+            cluster.worker_pool.add(worker.rack, worker.data_hall)
             await asyncio.sleep(25.0)
-            self.assertEqual(cluster.floor.starts_of(A), 1)
+            self.assertEqual(cluster.worker_pool.starts_of(A), 1)
             cluster.injected_faults.resume(old)
             await asyncio.sleep(3.0)
 
@@ -327,7 +327,7 @@
             await cluster.until(lambda: cluster.leader is not None)
             old = cluster.leader_name
             await cluster.submit(A, job(1, work_s=90.0, accelerators=8), at=old)
-            await cluster.until(lambda: cluster.floor.starts_of(A) == 1)
+            await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 1)
             cluster.isolate_except(old, cluster.worker_of(A))
             cluster.member(old).view.faults.silent = True
             listed = [item.key for item in cluster.store.keys("saddlestack/members/")]
@@ -342,7 +342,7 @@
 class LeavingWorkerTest(SecondRunCase):
     def check_leaving_worker(
         self,
-        lost: Callable[[FaultyCluster, FloorWorker], None],
+        lost: Callable[[FaultyCluster, PoolWorker], None],
         record_lasts_s: float = LAPSE_HEARTBEATS * HEARTBEAT_S,
     ) -> None:
         """A worker that leaves late and is cut off from the store is unreachable for a moment.
@@ -355,15 +355,15 @@
 
         async def body(cluster: FaultyCluster) -> None:
             await cluster.submit(A, job(1, work_s=90.0, accelerators=8))
-            await cluster.until(lambda: cluster.floor.starts_of(A) == 1)
+            await cluster.until(lambda: cluster.worker_pool.starts_of(A) == 1)
             await asyncio.sleep(6.0)
             worker = cluster.worker_of(A)
             worker.lost_stops, worker.late_s = 100, 60.0
-            cluster.floor.record(worker, remaining_ms=round(NOTICE_S * 1000))
+            cluster.worker_pool.record(worker, remaining_ms=round(NOTICE_S * 1000))
             await asyncio.sleep(record_lasts_s - 0.2)
             lost(cluster, worker)
             await asyncio.sleep(0.3)
-            cluster.floor.lapse(worker)
+            cluster.worker_pool.expire_record(worker)
             await asyncio.sleep(1.3)
             cluster.injected_faults.resets.clear()
             cluster.injected_faults.cut.clear()
@@ -383,7 +383,7 @@
         With the old rule its run counted as over at once and started elsewhere, while it continued.
         """
 
-        def lost(cluster: FaultyCluster, worker: FloorWorker) -> None:
+        def lost(cluster: FaultyCluster, worker: PoolWorker) -> None:
             cluster.injected_faults.resets.add(worker.worker_id)
 
         self.check_leaving_worker(lost)
@@ -391,7 +391,7 @@
     def test_a_worker_unreachable_for_a_second_has_not_left(self) -> None:
         """The same holds if the network path to the worker is lost for 1.5 s."""
 
-        def lost(cluster: FaultyCluster, worker: FloorWorker) -> None:
+        def lost(cluster: FaultyCluster, worker: PoolWorker) -> None:
             cluster.isolate_except("", worker)
 
         self.check_leaving_worker(lost)
@@ -405,7 +405,7 @@
         distinguishes such a worker from one that has ended, so its runs are over with its lease.
         """
 
-        def lost(cluster: FaultyCluster, worker: FloorWorker) -> None:
+        def lost(cluster: FaultyCluster, worker: PoolWorker) -> None:
             cluster.isolate_except("", worker)
 
         self.check_leaving_worker(lost, record_lasts_s=NOTICE_S + 0.2)
@@ -426,14 +426,14 @@
         unreachable; the leader waits 10.7 s from its last attempt and starts the task elsewhere.
         """
 
-        def clock_ms(floor: Floor, worker: FloorWorker) -> int:
+        def clock_ms(worker_pool: WorkerPool, worker: PoolWorker) -> int:
             now = asyncio.get_running_loop().time()
             return CLOCK_START_MS + round(now * SLOW * 1000)
 
-        def extend(floor: Floor, worker: FloorWorker, deadline_ms: int) -> None:
+        def extend(worker_pool: WorkerPool, worker: PoolWorker, deadline_ms: int) -> None:
             now = asyncio.get_running_loop().time()
             until = (deadline_ms - CLOCK_START_MS) / 1000 / SLOW
-            longest = now + floor.times.hold_s / SLOW
+            longest = now + worker_pool.times.hold_s / SLOW
             worker.lease_until = max(worker.lease_until, min(until, longest))
 
         async def body(cluster: FaultyCluster) -> None:
@@ -445,13 +445,13 @@
             await cluster.submit(A, job(1, work_s=90.0, accelerators=8))
             await cluster.until(lambda: not worker.late_orders)
             worker.unreachable = True
-            cluster.floor.add(worker.rack, worker.data_hall)
+            cluster.worker_pool.add(worker.rack, worker.data_hall)
             await asyncio.sleep(20.0)
-            self.assertGreaterEqual(cluster.floor.starts_of(A), 2)
+            self.assertGreaterEqual(cluster.worker_pool.starts_of(A), 2)
 
         with (
-            unittest.mock.patch.object(Floor, "clock_ms", clock_ms),
-            unittest.mock.patch.object(Floor, "_extend", extend),
+            unittest.mock.patch.object(WorkerPool, "clock_ms", clock_ms),
+            unittest.mock.patch.object(WorkerPool, "_extend", extend),
         ):
             self.play(body, workers=1)
 
@@ -476,7 +476,7 @@
             )
             await cluster.submit(A, request)
             await cluster.until_state(A, JobState.COMPLETED, 60.0)
-            self.assertEqual(cluster.floor.starts_of(A), 40)
+            self.assertEqual(cluster.worker_pool.starts_of(A), 40)
             prefix = f"saddlestack/progress/{A}."
             await asyncio.sleep(RETENTION_S - 5.0)
             async with asyncio.timeout(10.0):
@@ -485,7 +485,7 @@
             self.assertNotEqual(cluster.store.keys(prefix), [])
             await cluster.kill(cluster.leader_name)
             await asyncio.sleep(20.0)
-            self.assertEqual(cluster.floor.starts_of(A), 40)
+            self.assertEqual(cluster.worker_pool.starts_of(A), 40)
             self.assertEqual(cluster.store.keys(prefix), [])
 
         self.play(body)
