--- a/src/saddlestack/standins/scenario/expectations.py
+++ b/src/saddlestack/standins/scenario/expectations.py
@@ -11,7 +11,7 @@
 from saddlestack.errors import ErrorKind, invalid
 from saddlestack.models import JobState
 from saddlestack.standins.cluster import OPERATOR
-from saddlestack.standins.promises import Said, Witness
+from saddlestack.standins.invariants import ExecutionHistory, RequestRecord
 from saddlestack.standins.scenario.context import ScenarioContext, ScenarioFailed
 from saddlestack.standins.scenario.lines import Line
 
@@ -46,7 +46,9 @@
             raise ScenarioFailed(f"{said.job} is {got}, expected refused as {kind}")
 
 
-async def _wait_for_answers(context: ScenarioContext, line: Line, within: float) -> list[Said]:
+async def _wait_for_answers(
+    context: ScenarioContext, line: Line, within: float
+) -> list[RequestRecord]:
     which = line.word(1, "a job")
     if which != "all" and which not in context.requests:
         raise invalid(f"{which} was not submitted")
@@ -63,14 +65,16 @@
     job = line.word(1, "a job")
     within = line.number_of("within", 8.5)
     await _wait_until(
-        lambda: Witness(context.cluster.endpoints).started(job), within, f"{job} did not start"
+        lambda: ExecutionHistory(context.cluster.endpoints).started(job),
+        within,
+        f"{job} did not start",
     )
 
 
 async def expect_starts(context: ScenarioContext, line: Line) -> None:
     """expect starts JOB COUNT: fresh starts so far"""
     job = line.word(1, "a job")
-    count = Witness(context.cluster.endpoints).starts(job)
+    count = ExecutionHistory(context.cluster.endpoints).starts(job)
     if count != int(line.word(2, "a count")):
         raise ScenarioFailed(f"{job} started {count} times")
 
--- a/src/saddlestack/standins/scenario/play.py
+++ b/src/saddlestack/standins/scenario/play.py
@@ -10,10 +10,10 @@
 import msgspec
 
 from saddlestack.errors import SaddlestackError, invalid
-from saddlestack.standins import promises
+from saddlestack.standins import invariants
 from saddlestack.standins.cluster import Cluster
 from saddlestack.standins.endpoint import GRACE_S
-from saddlestack.standins.promises import Promise, Said
+from saddlestack.standins.invariants import InvariantResult, RequestRecord
 from saddlestack.standins.scenario.context import ScenarioContext, ScenarioFailed
 from saddlestack.standins.scenario.lines import Line, split
 from saddlestack.standins.scenario.verbs import VERBS
@@ -34,7 +34,7 @@
 
     name: str
     failures: list[str] = field(default_factory=list)
-    promises: list[Promise] = field(default_factory=list)
+    promises: list[InvariantResult] = field(default_factory=list)
     seconds: float = 0.0
 
     @property
@@ -80,7 +80,7 @@
         return self._context.cluster
 
     @property
-    def said(self) -> list[Said]:
+    def said(self) -> list[RequestRecord]:
         """All answers to callers."""
         return self._context.said
 
@@ -117,14 +117,17 @@
         outcome.seconds = loop.time() - began
         return outcome
 
-    def _check_invariants(self) -> list[Promise]:
+    def _check_invariants(self) -> list[InvariantResult]:
         if self._context.started is None:
             return []
         now = asyncio.get_running_loop().time()
-        checks = promises.check(
-            self._context.started.endpoints, self._context.said, alone_s=ALONE_S, now=now
+        checks = invariants.check(
+            self._context.started.endpoints, self._context.said, max_partial_s=ALONE_S, now=now
         )
-        return [*checks, Promise("a leaving endpoint got no new work", self._find_late_starts())]
+        return [
+            *checks,
+            InvariantResult("a leaving endpoint got no new work", self._find_late_starts()),
+        ]
 
     def _find_late_starts(self) -> tuple[str, ...]:
         """Return parts that were given to an endpoint over 3 s after it began to leave."""
--- a/src/saddlestack/standins/scenario/verbs.py
+++ b/src/saddlestack/standins/scenario/verbs.py
@@ -22,7 +22,7 @@
     token_of,
 )
 from saddlestack.standins.cluster import account as account_named
-from saddlestack.standins.promises import Said
+from saddlestack.standins.invariants import RequestRecord
 from saddlestack.standins.scenario.context import ScenarioContext, ScenarioFailed
 from saddlestack.standins.scenario.expectations import EXPECTATIONS
 from saddlestack.standins.scenario.lines import Line, number
@@ -85,7 +85,7 @@
 def _start_request(
     context: ScenarioContext, line: Line, account_: str, request: str, accelerators: int
 ) -> None:
-    said = Said(f"{account_}/{request}")
+    said = RequestRecord(f"{account_}/{request}")
     context.said.append(said)
     context.answers.setdefault(said.job, []).append(said)
     task = asyncio.get_running_loop().create_task(
@@ -96,7 +96,12 @@
 
 
 async def _request(
-    context: ScenarioContext, line: Line, said: Said, account_: str, request: str, accelerators: int
+    context: ScenarioContext,
+    line: Line,
+    said: RequestRecord,
+    account_: str,
+    request: str,
+    accelerators: int,
 ) -> None:
     via = line.options.get("via")
     where: dict[str, str] = {}
