--- a/src/saddlestack/cli/jobs.py
+++ b/src/saddlestack/cli/jobs.py
@@ -65,7 +65,7 @@
 ) -> None:
     """Submit a job of ACCELERATORS under the name REQUEST.
 
-    The same REQUEST never runs twice: a repeated submission returns the first answer.
+    The same REQUEST never runs twice: a repeated submission returns the job of the first one.
 
     \b
     Examples:
--- a/src/saddlestack/cli/main.py
+++ b/src/saddlestack/cli/main.py
@@ -1,4 +1,4 @@
-"""The command `saddlestack`."""
+"""The command ``saddlestack``: its global options and its subcommands."""
 
 from __future__ import annotations
 
--- a/src/saddlestack/control/commits.py
+++ b/src/saddlestack/control/commits.py
@@ -115,7 +115,7 @@
             await entry.done.wait()
 
     async def stop(self) -> None:
-        """Cancel the writes in flight."""
+        """Cancel the writes in flight. One that was sent may still be applied by the store."""
         await self._tasks.cancel()
 
     def _queue(self, decisions: JobRecords) -> None:
--- a/src/saddlestack/control/entry.py
+++ b/src/saddlestack/control/entry.py
@@ -143,7 +143,7 @@
         await self.stop()
 
     async def stop(self) -> None:
-        """Stops all services."""
+        """Stops leading, then stops all services of this VM."""
         await self.deposed()
         await self.leadership.stop()
         await self.membership.stop()
--- a/src/saddlestack/control/guarded.py
+++ b/src/saddlestack/control/guarded.py
@@ -68,7 +68,7 @@
             raise StoreUnavailable("sent while the store was unavailable") from error
 
     async def renew_lease(self, lease: int) -> None:
-        """Renews a lease."""
+        """Renews a lease; retries if the call is abandoned."""
         await self._retried(lambda: self._store.renew_lease(lease))
 
     async def end_lease(self, lease: int) -> None:
--- a/src/saddlestack/control/halls.py
+++ b/src/saddlestack/control/halls.py
@@ -51,7 +51,7 @@
 
 
 async def answer_ping(question: PingQuestion) -> PingAnswer:
-    """Answers a ping."""
+    """Answers a ping at once; the answer holds no data."""
     return PingAnswer()
 
 
@@ -72,7 +72,7 @@
         self._unreachable: set[str] = set()
 
     async def run(self) -> None:
-        """Pings until cancelled."""
+        """Pings some VMs of each other hall every :data:`PING_INTERVAL_S`, until cancelled."""
         async with asyncio.TaskGroup() as pings:
             while True:
                 halls = self._halls()
--- a/src/saddlestack/control/jobs.py
+++ b/src/saddlestack/control/jobs.py
@@ -21,9 +21,11 @@
 ANSWER_MARGIN_S = 0.15
 """An answer is sent at least this long before the client stops waiting."""
 RETRY_AFTER_S = 1.0
+"""Seconds until the client should repeat a call that was refused without access to the store."""
 MAX_STORE_WAIT_S = 1.2
 STORE_WAIT_SHARE = 0.45
-"""A call for which nothing was written is refused after this share of its deadline."""
+"""A write waits for the store for this share of the time until the client stops waiting, but for at
+most :data:`MAX_STORE_WAIT_S`. If nothing was written by then, the call is refused."""
 
 
 class Jobs:
--- a/src/saddlestack/control/journal.py
+++ b/src/saddlestack/control/journal.py
@@ -63,7 +63,7 @@
         self._invalid_records = InvalidRecords(context.metrics, "progress")
 
     def note_revision(self, item: Item) -> None:
-        """Note the revision of a record that was read."""
+        """Keep the revision of a record that was read, since the next write of it expects it."""
         self._revisions[item.key] = item.revision
 
     async def commit(self, records: Mapping[str, bytes], tries: float = math.inf) -> None:
@@ -128,7 +128,11 @@
             transaction = self._transaction(records)
 
     def _try_timeout_s(self, failures: int) -> float:
-        """How long a try waits for its answer after some failures, without the time to send it."""
+        """Timeout of a try, to which the time for sending its records is added.
+
+        Starts at the time after which a heartbeat of the store is overdue, and doubles with each
+        of the first :data:`MAX_DOUBLINGS` failures, up to :data:`MAX_TRY_S`.
+        """
         doubled = self._context.health.overdue_after_s * float(2 ** min(failures, MAX_DOUBLINGS))
         return min(MAX_TRY_S, doubled)
 
--- a/src/saddlestack/control/peers.py
+++ b/src/saddlestack/control/peers.py
@@ -68,7 +68,7 @@
         self._server = await asyncio.start_server(self._accept, address.address, address.port)
 
     async def stop(self) -> None:
-        """Closes all streams."""
+        """Stops listening, and closes all streams to and from other VMs."""
         if self._server is not None:
             self._server.close()
         for link in [*self._links.values(), *self._accepted]:
--- a/src/saddlestack/control/scheduler.py
+++ b/src/saddlestack/control/scheduler.py
@@ -178,7 +178,7 @@
     # Used by worker sessions
 
     def reschedule(self) -> None:
-        """Schedule another round."""
+        """Request another planning round, since the state has changed."""
         self._version += 1
         self._wake.set()
 
--- a/src/saddlestack/control/session.py
+++ b/src/saddlestack/control/session.py
@@ -1,4 +1,8 @@
-"""The leader's session with one incarnation of a worker: starts, stops, leases and ended runs."""
+"""The session of the pool's leading VM with one incarnation of a worker.
+
+It sends orders to start and stop runs, extends the lease without which the worker ends its runs,
+and collects the runs that have ended.
+"""
 
 from __future__ import annotations
 
@@ -107,7 +111,7 @@
         self._tasks.spawn(self._poll_loop())
 
     async def close(self) -> None:
-        """End the session."""
+        """Stop polling, cancel orders that are being sent, and close its connections."""
         self.over = True
         await self._tasks.cancel()
         self._orders.close()
--- a/src/saddlestack/control/sessions.py
+++ b/src/saddlestack/control/sessions.py
@@ -49,7 +49,7 @@
         return iter(self._sessions)
 
     async def stop(self) -> None:
-        """End all sessions."""
+        """End all sessions with workers, and cancel those being opened."""
         await self._tasks.cancel()
         for session in list(self._sessions.values()):
             await session.close()
--- a/src/saddlestack/policy/cluster/advice.py
+++ b/src/saddlestack/policy/cluster/advice.py
@@ -24,7 +24,7 @@
 
     @property
     def free(self) -> Resources:
-        """Resources that nothing holds."""
+        """Its resources that no run and no reservation holds."""
         ...
 
 
--- a/src/saddlestack/policy/cluster/crash_rule.py
+++ b/src/saddlestack/policy/cluster/crash_rule.py
@@ -100,21 +100,26 @@
 class CrashOdds:
     """Odds that a task crashes all of its workers, updated with each crash and each survival.
 
+    Odds are ``p / (1 - p)``, where ``p`` is the probability that the task crashes its workers.
+
     The model: such a task first crashes a worker some time after its start, with a wide
     distribution, and at each later start within a few times as long. Workers also crash by
     themselves, at the base rate.
     """
 
     PRIOR_ODDS = 0.005
-    """Prior odds that a task crashes its workers."""
+    """Odds of a task about which there is no evidence."""
     CLEARED_ODDS = 0.0005
-    """Below these odds the evidence about a task is removed. A run must have survived by then."""
+    """A task is cleared when its odds are below this: the evidence about it is removed, and it is
+    treated as any other task again. A run must have survived by then."""
     SUSPECT_ODDS = 0.02
-    """From these odds on a task has to run alone."""
+    """A task is suspect, and may share its worker with no other run, when its odds are at least
+    this."""
     LIKELY_ODDS = 1.0
-    """From these odds on a task is more likely than not to crash its workers."""
+    """A task is more likely than not to crash its workers when its odds are at least this."""
     CULPRIT_ODDS = 1000.0
-    """From these odds on a task is given up. One in a thousand such tasks is not at fault."""
+    """A task is given up when its odds are at least this. At these odds, one in a thousand such
+    tasks is not at fault."""
     MEDIAN_CRASH_AGE_S = 1.0
     """Age by which half of the tasks that crash their workers have done so."""
     MIN_SPAN_S = 0.3
@@ -131,11 +136,15 @@
 
     @property
     def prior_log_odds(self) -> float:
-        """See :attr:`CrashRule.prior_log_odds`."""
+        """Natural logarithm of :attr:`PRIOR_ODDS`."""
         return math.log(self.PRIOR_ODDS)
 
     def update(self, exposures: Sequence[CrashExposure]) -> list[CrashRecord]:
-        """See :meth:`CrashRule.update`."""
+        """The records of all tasks on a crashed worker, updated with the crash.
+
+        The odds of a task rise with its share in the explanation of the crash: the others are the
+        other tasks, unless they are of the same gang, and a crash that no task causes.
+        """
         shares = [self._odds(each.record) * self._density(each) for each in exposures]
         total = sum(shares)
         gangs: dict[object, float] = {}
@@ -149,27 +158,36 @@
         ]
 
     def survived(self, record: CrashRecord, lived_s: float) -> CrashRecord:
-        """See :meth:`CrashRule.survived`."""
+        """The record of a task, updated with a run that survived for some time without a crash.
+
+        The odds are multiplied by the probability that a task which crashes its workers survives
+        for so long. If the run outlived :attr:`CrashRecord.span_s`, at most one crash stays counted
+        and the count of later starts returns to 0.
+        """
         log_odds = clamp_log_odds(record.log_odds + math.log(self._survival(record, lived_s)))
         if lived_s <= record.span_s:
             return msgspec.structs.replace(record, log_odds=log_odds)
-        # The task does not crash every worker that starts it, so the counts are reset.
+        # The task does not crash every worker that starts it, so the limit on its starts is lifted.
         return CrashRecord(min(record.crashes, 1), log_odds, record.span_s)
 
     def is_suspect(self, record: CrashRecord) -> bool:
-        """See :meth:`CrashRule.is_suspect`."""
+        """Whether the odds are at least :attr:`SUSPECT_ODDS`."""
         return record.log_odds >= math.log(self.SUSPECT_ODDS)
 
     def is_cleared(self, record: CrashRecord) -> bool:
-        """See :meth:`CrashRule.is_cleared`."""
+        """Whether the odds are below :attr:`CLEARED_ODDS`, so that the record may be removed."""
         return record.log_odds < math.log(self.CLEARED_ODDS)
 
     def is_likely(self, record: CrashRecord) -> bool:
-        """See :meth:`CrashRule.is_likely`."""
+        """Whether the odds are at least :attr:`LIKELY_ODDS`."""
         return record.log_odds >= math.log(self.LIKELY_ODDS)
 
     def is_culprit(self, record: CrashRecord) -> bool:
-        """See :meth:`CrashRule.is_culprit`."""
+        """Whether a task that waits to be started has to be given up.
+
+        This is so once it has used up its limited starts, or after at least :data:`MIN_CRASHES`
+        crashes if its odds are at least :attr:`CULPRIT_ODDS`.
+        """
         if record.later_starts >= MAX_LATER_STARTS:
             return True
         return record.crashes >= MIN_CRASHES and record.log_odds >= math.log(self.CULPRIT_ODDS)
@@ -208,4 +226,4 @@
 
 
 CRASH_RULE: CrashRule = CrashOdds()
-"""The rule in use."""
+"""The rule that a cluster state uses unless it is given another one."""
--- a/src/saddlestack/policy/cluster/fault_attribution.py
+++ b/src/saddlestack/policy/cluster/fault_attribution.py
@@ -95,7 +95,7 @@
     nothing else is known gives a ratio of 19, or 1.8 once the job has failed elsewhere as well."""
 
     def is_at_fault(self, evidence: Sequence[JobEvidence]) -> bool:
-        """See :meth:`FaultRule.is_at_fault`."""
+        """Whether the likelihood ratio of all evidence reaches :attr:`MIN_LIKELIHOOD_RATIO`."""
         weight = sum(math.log(self._ratio(each)) for each in evidence)
         return weight >= math.log(self.MIN_LIKELIHOOD_RATIO)
 
@@ -112,7 +112,7 @@
 
 
 FAULT_RULE: FaultRule = LikelihoodRatio()
-"""The rule in use."""
+"""The rule that is used unless another one is given."""
 
 
 class JobFailures:
@@ -203,7 +203,7 @@
         self._failures_by_worker.pop(worker_id, None)
 
     def forget_job(self, job_id: str) -> None:
-        """Remove a job."""
+        """Remove the failures of a job, for all workers."""
         failures = self._failures_by_job.pop(job_id, None)
         if failures is not None:
             for worker_id in failures.workers:
--- a/src/saddlestack/policy/cluster/index.py
+++ b/src/saddlestack/policy/cluster/index.py
@@ -250,14 +250,14 @@
             self._is_frozen = False
 
     def add(self, worker: Worker) -> None:
-        """Add a worker."""
+        """Add a worker; its capacity counts from the next update of the index."""
         self._numbers[worker] = self._next_number
         self._next_number += 1
         worker.changed = self._changed
         self._changed[worker] = None
 
     def remove(self, worker: Worker) -> None:
-        """Remove a worker."""
+        """Remove a worker and its capacity."""
         worker.changed = None
         self._changed.pop(worker, None)
         self._drop(worker)
--- a/src/saddlestack/policy/cluster/places.py
+++ b/src/saddlestack/policy/cluster/places.py
@@ -74,21 +74,21 @@
         self._workers = workers
 
     def choose_gang(self) -> list[Worker] | None:
-        """See :meth:`Places.choose_gang`."""
+        """Choose listed workers for all tasks of a gang; ``None`` if it does not fit completely."""
         return place_gang(self._step, self._workers, _free_copies(self._step))
 
     def choose_worker(self, avoid: set[str]) -> Worker | None:
-        """See :meth:`Places.choose_worker`."""
+        """Choose a listed worker for one task, as :meth:`WorkerChoice.choose_worker` does."""
         fresh = [worker for worker in self._workers if worker.worker_id not in avoid]
         others = any(worker.max_copies(self._step.step) > 0 for worker in fresh)
         return place_task(self._step, fresh if others else self._workers, _free_copies(self._step))
 
     def soonest(self) -> Sequence[Worker]:
-        """See :meth:`Places.soonest`."""
+        """Choose listed workers where a gang fits once the work of lower priority has ended."""
         return soonest(self._step, self._workers)
 
     def domains(self, wanted: int) -> Iterable[Sequence[Worker]]:
-        """See :meth:`Places.domains`."""
+        """Groups of the listed workers to search for runs to preempt, the best first."""
         return domains(self._step, self._workers)
 
 
@@ -113,7 +113,10 @@
         self._in_rack = wants_rack and fits.most >= step.step.count
 
     def choose_gang(self) -> list[Worker] | None:
-        """See :meth:`Places.choose_gang`."""
+        """Choose a worker for each task of a gang; ``None`` if it does not fit completely.
+
+        In a single rack, the one near its data is preferred, then the one with the least free.
+        """
         if not self._in_rack:
             return self._choose_any_racks()
         for rack in self._near():
@@ -129,7 +132,10 @@
         return None
 
     def choose_worker(self, avoid: set[str]) -> Worker | None:
-        """See :meth:`Places.choose_worker`."""
+        """Choose a worker for one task: in the rack near its data, or else the fullest that fits.
+
+        Avoided workers are used as in :meth:`WorkerChoice.choose_worker`.
+        """
         found = self._find_worker(avoid)
         if found is None and avoid and not self._has_alternative(avoid):
             return self._find_worker(set())
@@ -145,7 +151,10 @@
         return next(others, None)
 
     def soonest(self) -> Sequence[Worker]:
-        """See :meth:`Places.soonest`."""
+        """Choose workers where a gang fits once all work of lower priority there has ended.
+
+        If a single rack is needed, the one near its data is preferred, then the least such work.
+        """
         priority = self._step.occurrence.job.priority
         if not self._in_rack:
             return self._soonest_any_racks(priority)
@@ -166,7 +175,7 @@
         return workers
 
     def domains(self, wanted: int) -> Iterable[Sequence[Worker]]:
-        """See :meth:`Places.domains`.
+        """Groups of workers to search for runs to preempt.
 
         Groups with the least work of lower priority come first. Returns at most
         :data:`MAX_RACKS_SEARCHED` racks, or :data:`MAX_WORKERS_SEARCHED` workers unless the tasks
@@ -301,11 +310,11 @@
         return sum(copies for _, copies in self._eligible)
 
     def choose_gang(self) -> list[Worker] | None:
-        """See :meth:`Places.choose_gang`. The gang may be spread over racks."""
+        """Choose a worker for each task of a gang, which may be spread over racks."""
         return fill_one_hall(self._eligible, self._step.step.count)
 
     def choose_worker(self, avoid: set[str]) -> Worker | None:
-        """See :meth:`Places.choose_worker`."""
+        """Choose the first eligible worker that is not avoided, or else the first eligible one."""
         workers = [worker for worker, _ in self._eligible]
         fresh = [worker for worker in workers if worker.worker_id not in avoid]
         return next(iter(fresh or workers), None)
--- a/src/saddlestack/policy/cluster/preemption.py
+++ b/src/saddlestack/policy/cluster/preemption.py
@@ -11,10 +11,11 @@
 from saddlestack.work import Resources
 
 CHECKPOINT_LOSS_S = 1.0
-"""Maximum seconds of work that a run with a checkpoint loses."""
+"""Maximum seconds of work that a run counts as losing when it is stopped, if it has saved a
+checkpoint."""
 GANG_REQUEUE_LOSS_S = 4.0
-"""Seconds of work that each run of a gang counts as losing in addition, since a gang waits until
-resources for all of its members are free again."""
+"""Seconds of work that each run of a gang counts as losing in addition when it is stopped, since a
+gang waits until resources for all of its members are free again."""
 STOP_COST_CORE_S = 1.0
 """Core-seconds that every stop counts as losing, so that fewer runs are stopped."""
 
--- a/src/saddlestack/policy/cluster/state.py
+++ b/src/saddlestack/policy/cluster/state.py
@@ -87,7 +87,10 @@
         self._advice_requests.append(AdviceRequest(step, workers))
 
     def service_of(self, job: Job) -> str:
-        """The service whose workers run a job's tasks."""
+        """The service whose workers run a job's tasks.
+
+        The service that the configuration names for the job's queue precedes the one in the job.
+        """
         return self._services.get(job.accepted.queue, job.accepted.service)
 
     @property
@@ -216,9 +219,9 @@
         return worker
 
     def unlist_worker(self, worker_id: str) -> None:
-        """Mark a worker incarnation as no longer listed. Its runs may go on.
+        """Mark a worker incarnation as not in the store's list of workers, so nothing starts there.
 
-        A worker without runs is removed.
+        Its runs are not ended, and it is kept while it has any. A worker without runs is removed.
         """
         worker = self.workers.get(worker_id)
         if worker is None:
--- a/src/saddlestack/policy/cluster/workers.py
+++ b/src/saddlestack/policy/cluster/workers.py
@@ -28,9 +28,9 @@
 stayed on trial permanently."""
 
 START_AFTER_DRAIN_S = 0.3
-"""A start that is already decided may still be sent this long after its worker began to drain.
-A drain notice arrives up to 1.5 s late, and work may be sent to a draining worker for at least
-2 s."""
+"""A start that is already decided may still be sent to a draining worker for this long, counted
+from the arrival of its drain notice. The notice arrives up to 1.5 s late, and work may be sent to a
+draining worker for at least 2 s."""
 
 RunKey = tuple[TaskName, int]
 """A task and its run number."""
--- a/src/saddlestack/policy/guarantees.py
+++ b/src/saddlestack/policy/guarantees.py
@@ -391,9 +391,11 @@
 def largest_beside_guarantees(
     resources: CellResources, guarantees: Guarantees
 ) -> tuple[int, int, int]:
-    """The largest gang that fits the empty cell beside every guarantee, by adjacency.
+    """The size of the largest gang that fits the cell, by adjacency.
 
-    :return: the sizes for one worker, one rack and one hall.
+    The cell is taken as empty but for the shapes of all guarantees, which have to fit as well.
+
+    :return: the sizes for one worker, one rack and one hall, in accelerators.
     """
     requests = [ShapeRequest(unit.shape) for unit in guarantees.units]
     found = [
--- a/src/saddlestack/policy/retry.py
+++ b/src/saddlestack/policy/retry.py
@@ -50,7 +50,7 @@
         self._steady = TokenBucket(per_second, per_second)
 
     def record_first_try(self) -> None:
-        """Record a first try."""
+        """Add the share of a retry that each first try earns to the budget."""
         self._tokens = min(self._burst, self._tokens + self._share)
 
     def retry(self, now: float) -> bool:
--- a/src/saddlestack/services/__init__.py
+++ b/src/saddlestack/services/__init__.py
@@ -1,1 +1,1 @@
-"""The services of a daemon."""
+"""The services that run in the daemon of an entry VM."""
--- a/src/saddlestack/services/cellstate.py
+++ b/src/saddlestack/services/cellstate.py
@@ -42,10 +42,11 @@
 class CellState(Service):
     """A scheduler's view of its cell: policy, jobs, endpoint links and ledger.
 
-    :param ledger: the cell's ledger, or ``None`` while the store is down and the cell is
-        served from memory.
-    :param inherited: records of this VM's earlier scheduler that served the cell without a
-        ledger.
+    :param term: the number of the term in which this VM owns the cell.
+    :param ledger: the job records of the cell in the store, or ``None`` while the store is down
+        and the cell is served from memory.
+    :param inherited: job records of the scheduler that served the cell from memory in this VM until
+        now. They are merged with those of the ledger.
     """
 
     def __init__(
--- a/src/saddlestack/services/inventory.py
+++ b/src/saddlestack/services/inventory.py
@@ -57,7 +57,7 @@
 
     @property
     def bytes(self) -> int:
-        """Bytes sent to the platform's list and received from it."""
+        """Bytes exchanged with the platform's VM list service since this process started."""
         return self._client.bytes
 
     async def _poll_forever(self) -> None:
--- a/src/saddlestack/services/recovery.py
+++ b/src/saddlestack/services/recovery.py
@@ -1,4 +1,8 @@
-"""Recovery after a takeover: determines the condition of gangs from endpoint listings."""
+"""Recovery after a scheduler has taken over a cell.
+
+Determines from the task listings of the cell's endpoints whether each gang that was started before
+still runs.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +15,12 @@
 
 
 class GangCondition(enum.StrEnum):
-    """Condition of a gang after a takeover."""
+    """What endpoints' listings show about a gang after the takeover of its cell.
+
+    ``RUNNING``: all parts of the latest attempt are running or done. ``CHECKPOINTED``: all of them
+    have stopped at a checkpoint. ``NEVER_SENT``: no VM is known to hold a part. ``BROKEN``: any
+    other case, such as a missing part.
+    """
 
     RUNNING = "running"
     CHECKPOINTED = "checkpointed"
--- a/src/saddlestack/soak/processes.py
+++ b/src/saddlestack/soak/processes.py
@@ -90,7 +90,7 @@
 
     @property
     def log(self) -> Path:
-        """The log of all of its processes."""
+        """The log file of the VM, to which each of its processes in turn writes."""
         return self.folder / f"{self.name}.log"
 
     @property
--- a/src/saddlestack/soak/progress.py
+++ b/src/saddlestack/soak/progress.py
@@ -1,4 +1,4 @@
-"""The progress of a run."""
+"""How much work a run has done when its rate changes while it runs."""
 
 from __future__ import annotations
 
--- a/src/saddlestack/soak/store_link.py
+++ b/src/saddlestack/soak/store_link.py
@@ -47,7 +47,7 @@
         self.port = self._server.sockets[0].getsockname()[1]
 
     def stop(self) -> None:
-        """Close everything."""
+        """Stop listening, and reset the VM's open connections."""
         if self._server is not None:
             self._server.close()
         self._reset_all()
--- a/src/saddlestack/soak/store_process.py
+++ b/src/saddlestack/soak/store_process.py
@@ -131,9 +131,9 @@
             await self._records.stop()
 
     def on_lease_renewed(self, vm: str, lease: int) -> None:
-        """Pause a VM's process if this renews its leadership and a pause was ordered.
+        """Pause a VM's process if it renews the leader's lease and the soak has ordered that.
 
-        Called before the renewal is answered.
+        Called before the renewal is answered, so that the VM gets the answer only when it resumes.
         """
         pid = self._pause_at_renewal.get(vm, 0)
         if pid and lease == self._leader_lease:
--- a/src/saddlestack/standins/pool/workers.py
+++ b/src/saddlestack/standins/pool/workers.py
@@ -467,7 +467,7 @@
         self.violations += [f"{name} has two runs at once"] * len(running)
 
     def _record_run(self, run: PoolRun) -> None:
-        """Record the start of a run."""
+        """Add a started run to the history, and to the runs of its task and of its gang."""
         self.history.append(run)
         self._by_task[run.task].append(run)
         self._by_gang[_gang_key(run)].append(run)
--- a/src/saddlestack/standins/scenario/verbs.py
+++ b/src/saddlestack/standins/scenario/verbs.py
@@ -31,7 +31,7 @@
 OPERATORS = {OPERATOR: OPERATOR_TOKEN, SECOND_OPERATOR: SECOND_TOKEN}
 
 Verb = Callable[[ScenarioContext, Line], Awaitable[None] | None]
-"""Runs one line."""
+"""Runs one line of a scenario; what it returns is awaited unless it is ``None``."""
 
 
 async def start(context: ScenarioContext, line: Line) -> None:
--- a/tests/test_halls.py
+++ b/tests/test_halls.py
@@ -36,7 +36,7 @@
 
 @dataclass
 class Network:
-    """Fakes the streams to other VMs, and the list of them.
+    """Stands in for both :class:`Peers` and :class:`Membership`: answers questions to other VMs.
 
     :param silent: VMs that don't answer.
     :param reaching: VMs that the store answers.
