--- a/tests/test_blame.py
+++ b/tests/test_blame.py
@@ -21,7 +21,7 @@
     Worker,
 )
 from saddlestack.work import JobState, Resources, Step
-from tests.test_board import BULK, SERVICE, ClusterCase, step
+from tests.test_cluster_state import BULK, SERVICE, ClusterCase, step
 
 EARLY, LATE, STUCK = FailureKind.EARLY, FailureKind.LATE, FailureKind.STUCK
 
--- a/tests/test_capacity_changes.py
+++ b/tests/test_capacity_changes.py
@@ -11,7 +11,7 @@
 from saddlestack.policy.cluster.changes import StopReason
 from saddlestack.standins.pool.cluster import PoolCluster, job
 from saddlestack.work import JobState, Resources
-from tests.test_board import BULK, ClusterCase, record, step
+from tests.test_cluster_state import BULK, ClusterCase, record, step
 from tests.test_pool import PoolTest
 from tests.test_session import Scene, SessionCase
 
--- a/tests/test_crash_reports.py
+++ b/tests/test_crash_reports.py
@@ -28,7 +28,7 @@
 from saddlestack.standins.pool.cluster import PoolCluster, job
 from saddlestack.standins.pool.documents import KEY
 from saddlestack.work import JobState, TaskName
-from tests.test_board import step
+from tests.test_cluster_state import step
 from tests.test_crashes import SOON_S, CrashCase
 from tests.test_pool import PoolTest
 
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -35,7 +35,7 @@
 )
 from saddlestack.policy.cluster.state import ClusterState
 from saddlestack.work import AcceptedJob, JobRequest, JobState, TaskName
-from tests.test_board import BULK, ClusterCase, record, step
+from tests.test_cluster_state import BULK, ClusterCase, record, step
 
 SOON_S = 0.2
 """Time from the start of a task to the crash of its worker."""
--- a/tests/test_departure.py
+++ b/tests/test_departure.py
@@ -11,7 +11,7 @@
 from saddlestack.policy.cluster.records import TaskStatus
 from saddlestack.standins.pool.cluster import PoolCluster, job
 from saddlestack.work import JobState
-from tests.test_board import record
+from tests.test_cluster_state import record
 from tests.test_inherited import HOLD_S as POOL_HOLD_S
 from tests.test_inherited import INHERITED_S
 from tests.test_pool import PoolTest
--- a/tests/test_diagnosis.py
+++ b/tests/test_diagnosis.py
@@ -22,7 +22,16 @@
 )
 from saddlestack.policy.stall import STALL_S, StallDetector
 from saddlestack.work import AcceptedJob, JobRequest, Step
-from tests.test_board import BULK, NORMAL, PATIENT, SERVICE, URGENT, ClusterCase, record, step
+from tests.test_cluster_state import (
+    BULK,
+    NORMAL,
+    PATIENT,
+    SERVICE,
+    URGENT,
+    ClusterCase,
+    record,
+    step,
+)
 
 OPERATIONS = Path(__file__).resolve().parent.parent / "docs" / "OPERATIONS.md"
 SEEDS = (4, 5, 13)
--- a/tests/test_evacuation.py
+++ b/tests/test_evacuation.py
@@ -12,7 +12,7 @@
 from saddlestack.standins.loop import run
 from saddlestack.standins.pool.cluster import PoolCluster, job
 from saddlestack.work import JobState
-from tests.test_board import BULK, PATIENT, ClusterCase, record, step
+from tests.test_cluster_state import BULK, PATIENT, ClusterCase, record, step
 from tests.test_pool import PoolTest
 from tests.test_session import Scene, SessionCase
 
--- a/tests/test_index.py
+++ b/tests/test_index.py
@@ -23,8 +23,8 @@
 from saddlestack.policy.cluster.state import ClusterState
 from saddlestack.policy.cluster.workers import Worker
 from saddlestack.work import AcceptedJob, JobRequest, Resources, Step
-from tests import test_board as cluster_tests
-from tests.test_board import BULK, NORMAL, SERVICE, URGENT, record
+from tests import test_cluster_state as cluster_tests
+from tests.test_cluster_state import BULK, NORMAL, SERVICE, URGENT, record
 
 EVENTS = 40
 RACKS = 3
--- a/tests/test_lending.py
+++ b/tests/test_lending.py
@@ -18,7 +18,7 @@
 from saddlestack.policy.cluster.reservations import STOP_OVERDUE_S
 from saddlestack.policy.cluster.wait_limits import LENDING_WAIT_S
 from saddlestack.work import Step
-from tests.test_board import BULK, NORMAL, PATIENT, SERVICE, ClusterCase, step
+from tests.test_cluster_state import BULK, NORMAL, PATIENT, SERVICE, ClusterCase, step
 
 SUBMITTED_S = 2 * PATIENT
 """When the urgent gang is submitted."""
--- a/tests/test_still_steps.py
+++ b/tests/test_placement_stalls.py
@@ -11,7 +11,7 @@
 import unittest
 
 from saddlestack.policy.stall import STALL_S
-from tests.test_board import BULK, NORMAL, URGENT, ClusterCase, record, step
+from tests.test_cluster_state import BULK, NORMAL, URGENT, ClusterCase, record, step
 
 TICK_S = 0.5
 """The maximum interval between two rounds of a leader."""
--- a/tests/test_planning.py
+++ b/tests/test_planning.py
@@ -18,7 +18,7 @@
 from saddlestack.policy.cluster.reservations import RESERVATION_TIMEOUT_S, Reservations
 from saddlestack.policy.cluster.workers import Worker
 from saddlestack.work import JobState, Resources, Step
-from tests.test_board import BULK, NORMAL, SERVICE, ClusterCase, record, step
+from tests.test_cluster_state import BULK, NORMAL, SERVICE, ClusterCase, record, step
 
 
 class HeadroomTest(ClusterCase):
--- a/tests/test_progress.py
+++ b/tests/test_progress.py
@@ -14,7 +14,7 @@
 )
 from saddlestack.policy.cluster.worker_preferences import FAULTY_WINDOW_S
 from saddlestack.work import Step
-from tests.test_board import BULK, URGENT, ClusterCase, step
+from tests.test_cluster_state import BULK, URGENT, ClusterCase, step
 
 ESTIMATE_S = 1.0
 
--- a/tests/test_reserved_days.py
+++ b/tests/test_reserved_days.py
@@ -18,7 +18,7 @@
 from tests.simulation.loops import SharedLoop
 from tests.simulation.scene import OTHER, ROOM, SceneTest, job, tasks
 from tests.simulation.workers import Plan
-from tests.test_standing_work import LASTS_S, OBSERVED_S, Longest
+from tests.test_stalled_work import LASTS_S, OBSERVED_S, Longest
 
 FAILING = 0.3
 SECONDS = 30.0
--- a/tests/test_session.py
+++ b/tests/test_session.py
@@ -37,7 +37,7 @@
 from saddlestack.policy.cluster.workers import Worker
 from saddlestack.standins.loop import run
 from saddlestack.work import AcceptedJob, JobRequest, Resources, Step, TaskName
-from tests.test_board import SERVICE, record
+from tests.test_cluster_state import SERVICE, record
 
 JOB = f"{1:016x}"
 TASK = f"{JOB}.0.0.0"
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -23,7 +23,7 @@
 from saddlestack.policy.cluster.changes import Start
 from saddlestack.policy.cluster.planner import MAX_STARTS_PER_ROUND
 from saddlestack.standins.loop import run
-from tests.test_board import BULK, NORMAL, URGENT, ClusterCase, step
+from tests.test_cluster_state import BULK, NORMAL, URGENT, ClusterCase, step
 from tests.test_session import FakeOrders, SingleWorkerOwner
 
 WIDTH = 40
--- a/tests/test_wait_reports.py
+++ b/tests/test_wait_reports.py
@@ -18,7 +18,7 @@
 from saddlestack.services.metrics import Metrics
 from saddlestack.standins.pool.cluster import PoolCluster, job
 from saddlestack.work import JobState
-from tests.test_board import BULK, ClusterCase, step
+from tests.test_cluster_state import BULK, ClusterCase, step
 from tests.test_pool import PoolTest
 
 A = "00000000000000aa"
--- a/tests/test_waits_board.py
+++ b/tests/test_waits_cluster.py
@@ -27,8 +27,8 @@
 from saddlestack.policy.cluster.wait_limits import IDLE_POOL_WAIT_S
 from saddlestack.policy.cluster.waiting import may_start
 from saddlestack.work import AcceptedJob, JobRequest, Step
-from tests import test_board
-from tests.test_board import (
+from tests import test_cluster_state
+from tests.test_cluster_state import (
     BULK,
     NORMAL,
     PATIENT,
@@ -246,7 +246,7 @@
 class AnyEventsTest(unittest.TestCase):
     """After any events, steps that may start are tried, and all jobs end once there is capacity."""
 
-    EVENTS = test_board.RandomEventsTest("test_invariants")
+    EVENTS = test_cluster_state.RandomEventsTest("test_invariants")
 
     def apply_random_events(self, cluster_state: ClusterState, seed: int) -> float:
         """Apply 60 random events.
--- a/tests/test_waits_orders.py
+++ b/tests/test_waits_orders.py
@@ -30,7 +30,7 @@
 from saddlestack.policy.cluster.records import TaskStatus
 from saddlestack.standins.pool.cluster import PoolCluster, job
 from saddlestack.work import AcceptedJob, JobRequest, JobState, Resources, Step
-from tests.test_board import SERVICE
+from tests.test_cluster_state import SERVICE
 from tests.test_pool import A, B, PoolTest
 from tests.test_session import HOLD_S, Fault, Scene, SessionCase
 
--- a/tests/test_waits_reviewed.py
+++ b/tests/test_waits_reviewed.py
@@ -30,7 +30,7 @@
 from tests.simulation.troubles import DOUBT_S
 from tests.simulation.ways import ANY, Fault
 from tests.support import bare_context
-from tests.test_board import BULK, NORMAL, ClusterCase, record, step
+from tests.test_cluster_state import BULK, NORMAL, ClusterCase, record, step
 from tests.test_diagnosis import DiagnosisCase
 from tests.test_session import Scene, SessionCase
 
@@ -97,7 +97,7 @@
         return False
 
     def test_a_gang_of_one_rack_is_spread_where_no_rack_is_free_and_the_pool_is(self) -> None:
-        """As in a queue without adviser (see tests.test_still_steps); here it waited forever."""
+        """As without an adviser (see tests.test_placement_stalls); here the gang waited forever."""
         self.workers(racks=4, each=2)
         for rack in range(1, 5):
             self.assertTrue(self.started_within(self.add(step(1, 1, label=f"r{rack}")), 5.0))
