--- a/src/saddlestack/client.py
+++ b/src/saddlestack/client.py
@@ -82,7 +82,8 @@
         :param deadline: seconds from now after which the job must not start.
         :param wait: seconds to wait for the job to end; 0 returns once the job is accepted.
         :rtype: JobView
-        :raises SaddlestackError: the call failed; ``error.rule.ran`` tells if the job may have run.
+        :raises SaddlestackError: the call failed; ``error.rule.ran`` is whether the job may
+            have run.
         """
         body = SubmitBody(
             request=request,
--- a/src/saddlestack/control/access.py
+++ b/src/saddlestack/control/access.py
@@ -125,7 +125,7 @@
         """Creates a key, or returns the existing one.
 
         :param until: deadline, on this VM's clock.
-        :raises StoreUnreachable: the store could not be reached in time; ``doubt`` tells whether
+        :raises StoreUnreachable: the store could not be reached in time; ``doubt`` is whether
             the key may still be created.
         """
         return await self._call(
--- a/src/saddlestack/control/context.py
+++ b/src/saddlestack/control/context.py
@@ -26,7 +26,7 @@
 
     :param health: whether the store is available to this VM.
     :param machines: sends orders about whole machines; ``None`` if the platform accepts none.
-    :param adviser: tells which workers may run a step; ``None`` if there is no adviser.
+    :param adviser: approves workers for a step; ``None`` if there is no adviser.
     :param incarnation: increases with each start of the process.
     """
 
--- a/src/saddlestack/control/leadership.py
+++ b/src/saddlestack/control/leadership.py
@@ -33,7 +33,7 @@
 LEASE_S = 1.0
 """Lifetime of the leader's lease, the shortest that the platforms grant.
 
-After a leader is lost, nobody leads for this long.
+After a leader is lost, there is no leader for this long.
 """
 RENEW_INTERVAL_S = 0.25
 """Between renewals, so three of them may fail."""
@@ -195,7 +195,7 @@
         """The revision at which the leader key may be taken, 0 if there is no key.
 
         ``None`` while there is a leader. A key whose value is invalid is replaced after the time of
-        a leader's lease: it may have no lease, and then nobody could ever lead again. A former
+        a leader's lease: it may have no lease, and then no VM could become leader again. A former
         leader is superseded by a later term, as after any other loss.
         """
         if self.term is not None:
--- a/src/saddlestack/control/scheduler.py
+++ b/src/saddlestack/control/scheduler.py
@@ -62,8 +62,8 @@
 lets the leader's lease renewals run, some of which are 0.25 s apart."""
 REQUESTS_WAIT_S = 1.0
 """How long a watch of requests waits. It finds jobs whose notice was lost; if only its connection
-went silent, that is detected 1 s later. The leader therefore watches once a second, not every 3 s,
-while nothing changes."""
+is unresponsive, that is detected 1 s later. The leader therefore watches once a second, not every
+3 s, while nothing changes."""
 ADVICE_RETRY_S = 0.5
 RENEWAL_CHECK_INTERVAL_S = 1.0
 MAX_RENEWAL_CHECKS = 6
--- a/src/saddlestack/control/settings.py
+++ b/src/saddlestack/control/settings.py
@@ -55,8 +55,7 @@
     :param peer_ports: first and last port reserved for traffic between daemons.
     :param store: address of the platform's store.
     :param machines: address of the platform's interface for whole machines, if there is one.
-    :param adviser: address of the adviser, which tells which workers may run a step, if there is
-        one.
+    :param adviser: address of the adviser, which approves workers for a step, if there is one.
     :param callers: address of the product's own API, if it is served.
     :param cores: processor cores of this VM.
     :param cpu_share: share of these cores that the VM gets.
--- a/src/saddlestack/interfaces/machines.py
+++ b/src/saddlestack/interfaces/machines.py
@@ -63,7 +63,7 @@
 
 
 class Adviser(Protocol):
-    """Tells which workers may run a step of an advised queue."""
+    """Decides which workers may run a step of an advised queue."""
 
     async def advise(self, step: str, workers: tuple[str, ...]) -> tuple[Leave, ...]:
         """Returns approvals for those of the given workers that may run a step.
--- a/src/saddlestack/policy/cluster/candidates.py
+++ b/src/saddlestack/policy/cluster/candidates.py
@@ -18,7 +18,7 @@
 class Candidates:
     """Looks up the candidate workers of each step in a round.
 
-    :param is_open: tells whether a task is to be started and need not be isolated.
+    :param is_open: returns whether a task is to be started and need not be isolated.
     """
 
     def __init__(
--- a/src/saddlestack/policy/cluster/fault_attribution.py
+++ b/src/saddlestack/policy/cluster/fault_attribution.py
@@ -2,8 +2,8 @@
 
 Workers that fail every run have to be detected at the first or second failure, since they are
 always free and attract more work. Jobs fail on their own as well, on any worker, and a wide failing
-job must not put a whole pool in quarantine. The two cases are told apart by the runs of the job on
-other workers and by the runs of other jobs on the same worker.
+job must not put a whole pool in quarantine. The two cases are distinguished by the runs of the job
+on other workers and by the runs of other jobs on the same worker.
 """
 
 from __future__ import annotations
@@ -25,9 +25,9 @@
 """Maximum number of workers per job where it is known to have failed. More make no difference: by
 then its failures are no evidence against any worker."""
 MAX_TASKS_EXAMINED = 64
-"""Maximum number of tasks of a job that are examined for runs that have survived. So many surviving
-runs are enough to attribute early failures to 18 workers. With the limit, a job of 3,000 tasks that
-all fail at once takes 0.2 million examinations rather than 9 million."""
+"""Maximum number of tasks of a job that are examined for runs that have survived. This number of
+surviving runs is enough to attribute early failures to 18 workers. With the limit, a job of 3,000
+tasks that all fail at once takes 0.2 million examinations rather than 9 million."""
 
 
 class FailureKind(enum.Enum):
@@ -126,7 +126,7 @@
         self.workers: dict[str, FailureKind] = {}
 
     def fails_everywhere(self, worker_id: str) -> bool:
-        """Whether it failed on so many other workers that one more is no evidence."""
+        """Whether it failed on enough other workers that one more is no evidence."""
         return worker_id not in self.workers and len(self.workers) >= MAX_WORKERS_PER_JOB
 
     def add(self, worker_id: str, kind: FailureKind) -> bool:
--- a/src/saddlestack/policy/cluster/places.py
+++ b/src/saddlestack/policy/cluster/places.py
@@ -29,7 +29,7 @@
 searched only if the tasks need them."""
 
 IsKept = Callable[[Worker], bool]
-"""Tells whether a worker is kept for other work."""
+"""Returns whether a worker is kept for other work."""
 
 
 class WorkerChoice(Protocol):
--- a/src/saddlestack/policy/cluster/planner.py
+++ b/src/saddlestack/policy/cluster/planner.py
@@ -290,7 +290,7 @@
         return self._place_tasks(step, shape, places, now)
 
     def _shape(self, step: StepState, now: float) -> int | None:
-        """Number of the step's shape; ``None`` if its shape alone doesn't tell whether it fits."""
+        """Number of the step's shape; ``None`` if more than its shape decides whether it fits."""
         if self._cluster_state.is_advised(step.occurrence.job):
             return None
         if not step.step.gang and (step.step.per_worker or step.has_avoided_workers):
--- a/src/saddlestack/policy/cluster/stalled.py
+++ b/src/saddlestack/policy/cluster/stalled.py
@@ -20,8 +20,8 @@
 from saddlestack.work import Resources
 
 MAX_FULL_SEARCHES_PER_ROUND = 20
-"""Maximum number of stalled steps per round that search all workers. So many searches take 16 ms
-with 3,000 workers."""
+"""Maximum number of stalled steps per round that search all workers. This number of searches
+takes 16 ms with 3,000 workers."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/saddlestack/services/gangs.py
+++ b/src/saddlestack/services/gangs.py
@@ -215,7 +215,7 @@
         self._mailbox.put(LaunchedMessage(start.job_id, start.attempt, outcome))
 
     async def _commit_start(self, entry: JobEntry, incarnations: tuple[int, ...]) -> bool:
-        """Write the start of run-once work to the ledger before any endpoint is told to start.
+        """Write the start of run-once work to the ledger before any endpoint is sent the start.
 
         Returns whether the write was confirmed in time.
         """
--- a/src/saddlestack/soak/gangs.py
+++ b/src/saddlestack/soak/gangs.py
@@ -41,7 +41,7 @@
 class _Gang:
     """One run of a gang.
 
-    :param failures: the first so many runs of the gang fail.
+    :param failures: number of runs of the gang that fail, the first ones.
     :param restore_s: the time to restore a checkpoint before the gang works.
     :param far_x: the factor by which it is slower on more than one rack.
     :param members: the present members, by task.
--- a/src/saddlestack/soak/heartbeats.py
+++ b/src/saddlestack/soak/heartbeats.py
@@ -1,4 +1,4 @@
-"""Workers' records in the store: accepts writes, and expires records of silent workers."""
+"""Workers' records in the store: accepts writes, and expires records that get no heartbeats."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class WorkerRecords:
-    """Accepts workers' writes over HTTP, and removes the records of silent workers.
+    """Accepts workers' writes over HTTP, and removes records that get no heartbeats.
 
     :param ignored_fields: a write that changes only these fields is a heartbeat and does not change
         the key.
--- a/src/saddlestack/soak/invariants.py
+++ b/src/saddlestack/soak/invariants.py
@@ -99,7 +99,7 @@
 class InvariantTimes:
     """Time bounds of the invariants, in seconds.
 
-    :param drain_s: a draining worker may get starts for so long after it announced its end.
+    :param drain_s: time after a draining worker announced its end in which it may get starts.
     :param cancel_s: see :data:`CANCEL_S`.
     :param reclaim_s: see :data:`RECLAIM_S`.
     """
--- a/tests/simulation/troubles.py
+++ b/tests/simulation/troubles.py
@@ -6,7 +6,7 @@
 stalled include it already.
 
 ``NO_LEADER``
-    No VM schedules: nobody can start anything.
+    No VM schedules, so nothing can be started.
 ``LEADER``
     The VM that schedules is paused or slowed down by a fault of the day.
 ``STORE``
--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -103,7 +103,7 @@
             self.crash_under(job, now)
         self.assertIs(self.state(job), JobState.FAILED)
         changes = self.cluster_state.take_changes()
-        findings = [verdict.kind for verdict in changes.findings]
+        findings = [finding.kind for finding in changes.findings]
         self.assertEqual(findings, [CrashFindingKind.GIVEN_UP])
         self.assertEqual(changes.findings[0].crashes, 2)
         self.assertEqual(self.plan(2 * PAUSE_S).starts, [])
--- a/tests/test_renewals.py
+++ b/tests/test_renewals.py
@@ -20,7 +20,7 @@
 A = "00000000000000aa"
 HOLD_S = 10.0
 LAPSED_S = HOLD_S * CLOCK_DRIFT + LAPSE_SLACK_S
-"""After this time a lease that nobody renews has certainly expired."""
+"""After this time a lease that is not renewed has certainly expired."""
 TAKEOVER_S = 3.0
 """Time within which a killed pool has a new leader that has queried all other VMs."""
 MAX_RENEWING_S = LEASE_S + RENEWAL_GRACE_S + CALL_TIMEOUT_S
--- a/tests/test_stale_records.py
+++ b/tests/test_stale_records.py
@@ -312,7 +312,7 @@
     def test_a_record_removed_while_it_waits_for_its_service_adds_no_worker(self) -> None:
         """It was removed while the store lost its history, so only the listing shows the removal.
 
-        ``replace`` must look for removed records also among those of unknown services, not only
+        ``replace`` must search for removed records also among those of unknown services, not only
         among the workers and the invalid records.
         """
         floor_record = PlatformDocuments().worker(Item("servers/w", encoded(), 1))
--- a/tests/test_stall_detection.py
+++ b/tests/test_stall_detection.py
@@ -73,7 +73,7 @@
     """Twelve workers of eight accelerators in four racks, three VMs, and a stall detector."""
 
     def found_while_skipped(self, request: JobRequest, seconds: float = SKIPPED_S) -> Standstills:
-        """The stalls found when the planner skips a job for so long."""
+        """The stalls found when the planner skips a job for ``seconds``."""
         with skipped_job(JOB, self.now + seconds):
             self.hand_in(request)
             return self.after(seconds + 1.0)
