--- a/tests/test_crashes.py
+++ b/tests/test_crashes.py
@@ -35,7 +35,7 @@
 )
 from saddlestack.policy.cluster.state import ClusterState
 from saddlestack.work import AcceptedJob, JobRequest, JobState, TaskName
-from tests.test_board import BULK, ClusterCase, record, step
+from tests.test_cluster_state import BULK, ClusterCase, record, step
 
 SOON_S = 0.2
 """Time from the start of a task to the crash of its worker."""
@@ -103,7 +103,7 @@
             self.crash_under(job, now)
         self.assertIs(self.state(job), JobState.FAILED)
         changes = self.cluster_state.take_changes()
-        findings = [verdict.kind for verdict in changes.findings]
+        findings = [finding.kind for finding in changes.findings]
         self.assertEqual(findings, [CrashFindingKind.GIVEN_UP])
         self.assertEqual(changes.findings[0].crashes, 2)
         self.assertEqual(self.plan(2 * PAUSE_S).starts, [])
