--- a/benchmarks/idle.py
+++ b/benchmarks/idle.py
@@ -99,7 +99,7 @@
             state = scheduler.state(job_id)
             if state is None or state in FINAL_STATES:
                 continue
-            match = _REASON.search(scheduler.waits.explain(job_id) or "")
+            match = _REASON.search(scheduler.waits.of(job_id) or "")
             reasons[job_id] = match.group(1) if match else NO_REASON
         return reasons
 
--- a/src/saddlestack/control/leaderrpc.py
+++ b/src/saddlestack/control/leaderrpc.py
@@ -169,7 +169,7 @@
         scheduler = self._leading_scheduler()
         if not _is_visible(scheduler, question.job_id, question.account):
             return WaitAnswer(None)
-        return WaitAnswer(scheduler.waits.explain(question.job_id))
+        return WaitAnswer(scheduler.waits.of(question.job_id))
 
     async def _clear(self, order: ClearOrder) -> ClearAnswer:
         scheduler = self._leading_scheduler()
--- a/src/saddlestack/control/waits.py
+++ b/src/saddlestack/control/waits.py
@@ -171,7 +171,7 @@
         self._report_stalls()
         self._report_waits()
 
-    def explain(self, job_id: str) -> str | None:
+    def of(self, job_id: str) -> str | None:
         """What a job waits for, or why it failed, in one sentence; ``None`` if it does not wait."""
         job = self._cluster_state.jobs.get(job_id)
         if job is not None and job.published_state is JobState.FAILED:
--- a/tests/simulation/day.py
+++ b/tests/simulation/day.py
@@ -171,7 +171,7 @@
             )
         site.timeline.run(self.ends_s)
         broken = site.workers.broken
-        site.timeline.run(self.ends_s + SETTLE_S, lambda: bool(broken) or self._is_settled())
+        site.timeline.run(self.ends_s + SETTLE_S, lambda: bool(broken) or self._settled())
         if site.world.errors:
             raise RuntimeError(site.world.errors[0])
         found = site.workers.judge() + self.told.broken
@@ -187,7 +187,7 @@
             self.judge.found,
         )
 
-    def _is_settled(self) -> bool:
+    def _settled(self) -> bool:
         """Whether all accepted jobs are over; evaluated once a second."""
         now = self.site.world.time()
         if now < self.ask_s:
@@ -256,10 +256,10 @@
         getattr(self, f"_{kind}")()
         self.site.world.call_later(self.rng.expovariate(rate), self._next_fault, kind, rate)
 
-    def _log_fault(self, text: str) -> None:
+    def _note(self, text: str) -> None:
         self.trouble.append(f"{self.site.world.time():9.3f} -- {text}")
 
-    def _random_vm_or_leader(self) -> Vm | None:
+    def _often_leader(self) -> Vm | None:
         if not self.site.vms:
             return None
         leader = self.site.leader
@@ -270,14 +270,14 @@
         return self.rng.choice(beats) if beats else None
 
     def _freeze(self) -> None:
-        vm, seconds = self._random_vm_or_leader(), self.rng.choice((0.3, 1.0, 2.0, 5.0, 8.0, 14.0))
+        vm, seconds = self._often_leader(), self.rng.choice((0.3, 1.0, 2.0, 5.0, 8.0, 14.0))
         if vm is not None:
             seconds *= self.rng.uniform(0.2, 1.0)
-            self._log_fault(f"{vm.name} stands still for {seconds:.3f} s")
+            self._note(f"{vm.name} stands still for {seconds:.3f} s")
             vm.loop.stand_still(seconds)
 
     def _slow_vm(self) -> None:
-        vm, rng = self._random_vm_or_leader(), self.rng
+        vm, rng = self._often_leader(), self.rng
         if vm is None:
             return
         until = self.site.world.time() + rng.uniform(1.0, 12.0)
@@ -288,7 +288,7 @@
             longest_s=rng.choice((0.05, 0.3, 1.0, 4.0)),
             step_s=rng.choice((0.0, 0.005, 0.05, 0.3)),
         )
-        self._log_fault(f"{vm.name} is slow: {vm.loop.slowness}")
+        self._note(f"{vm.name} is slow: {vm.loop.slowness}")
 
     def _worker_way(self) -> None:
         rng = self.rng
@@ -298,7 +298,7 @@
         others: list[str] = [ANY] if rng.random() < 0.15 else self._random_worker_ids(beats)
         until = self.site.world.time() + rng.choice((0.3, 1.0, 3.0, 8.0, 14.0, 25.0))
         strength = rng.choice((0.1, 0.3, 0.7, 3.0)) if kind == "slow" else rng.uniform(0.1, 0.9)
-        self._log_fault(f"{kind} {vm} to {others} until {until:.3f} ({strength:.2f})")
+        self._note(f"{kind} {vm} to {others} until {until:.3f} ({strength:.2f})")
         for other in others:
             self.site.ways.add(Fault(kind, vm, self._random_link_to(other), until, strength))
 
@@ -308,7 +308,7 @@
         return other if other == ANY else other + kind
 
     def _random_vm_name(self) -> str:
-        vm = self._random_vm_or_leader()
+        vm = self._often_leader()
         return ANY if vm is None else vm.name
 
     def _random_worker_ids(self, beats: Heartbeats | None) -> list[str]:
@@ -329,7 +329,7 @@
         vm = ANY if rng.random() < 0.3 or not self.site.vms else self._random_vm_name()
         until = self.site.world.time() + rng.choice((0.3, 1.0, 2.5, 6.0, 12.0))
         strength = rng.choice((0.05, 0.3, 1.0)) if kind == "slow" else rng.uniform(0.1, 0.9)
-        self._log_fault(f"{kind} {vm} to store until {until:.3f} ({strength:.2f})")
+        self._note(f"{kind} {vm} to store until {until:.3f} ({strength:.2f})")
         self.site.ways.add(Fault(kind, vm, STORE, until, strength))
 
     def _store_down(self) -> None:
@@ -340,9 +340,7 @@
         rng, now = self.rng, self.site.world.time()
         seconds = rng.uniform(0.5, 15.0)
         waits, lapse = rng.random() < 0.5, rng.random() < 0.5
-        self._log_fault(
-            f"store is down for {seconds:.3f} s, leases wait {waits}, records lapse {lapse}"
-        )
+        self._note(f"store is down for {seconds:.3f} s, leases wait {waits}, records lapse {lapse}")
         self.site.ways.add(Fault("cut", ANY, STORE, now + seconds))
         if waits:
             self.site.store.stretch_leases(seconds)
@@ -369,21 +367,21 @@
         """The leader's key is removed; the same VM may acquire it again."""
         lease = self.site.store.lease_of("saddlestack/leader")
         if lease:
-            self._log_fault("the leader's lease ends")
+            self._note("the leader's lease ends")
             self.site.store.end(lease)
 
     def _restart(self) -> None:
-        vm = self._random_vm_or_leader()
+        vm = self._often_leader()
         if vm is None or len(self.site.vms) < 2:
             return
-        self._log_fault(f"{vm.name} dies")
+        self._note(f"{vm.name} dies")
         self.site.kill(vm.name)
         later_s = self.rng.choice((0.05, 0.5, 2.0, 6.0))
         self.site.world.call_later(later_s, self._start_again, vm.name, vm.hall)
 
     def _all_restart(self) -> None:
         """All VMs crash at once and restart one after the other."""
-        self._log_fault("all VMs die")
+        self._note("all VMs die")
         later_s = self.rng.choice((0.05, 1.0, 4.0))
         for vm in list(self.site.vms.values()):
             self.site.kill(vm.name)
@@ -392,7 +390,7 @@
 
     def _start_again(self, name: str, hall: str) -> None:
         if name not in self.site.vms:
-            self._log_fault(f"{name} starts")
+            self._note(f"{name} starts")
             self.site.add_vm(name, hall)
 
     def _drain(self) -> None:
@@ -406,7 +404,7 @@
             drain_s = rng.choice((0.5, 2.0, 4.0, 6.0))
             longer_s = rng.choice((0.0, 0.3, 1.0, 4.0, 7.0))
             early_s = rng.uniform(0.0, 2.0) if self.flavour.early_removal else 0.0
-            self._log_fault(f"{one.worker.worker_id} drains {drain_s}, serves on {longer_s}")
+            self._note(f"{one.worker.worker_id} drains {drain_s}, serves on {longer_s}")
             self.site.drain(one, drain_s, longer_s, early_s)
             self._replace(one, drain_s + longer_s)
 
@@ -418,7 +416,7 @@
         drain_s, longer_s = rng.choice((0.5, 1.5, 3.0)), rng.choice((0.0, 0.5, 2.0, 7.0, 12.0))
         early_s = rng.uniform(0.0, 2.0) if self.flavour.early_removal else 0.0
         worker_id = beats.worker.worker_id
-        self._log_fault(f"{worker_id} drains {drain_s}, serves on {longer_s}, badly")
+        self._note(f"{worker_id} drains {drain_s}, serves on {longer_s}, badly")
         self.site.drain(beats, drain_s, longer_s, early_s)
         self._replace(beats, drain_s + longer_s)
         begins_s = max(0.0, drain_s + rng.uniform(-1.0, longer_s))
@@ -439,11 +437,11 @@
         kind = self.rng.choice(("cut", "mute", "reset", "slow", "late"))
         vm = ANY if self.rng.random() < 0.4 else self._random_vm_name()
         until = self.site.world.time() + self.rng.choice((0.7, 1.5, 4.0, 12.0))
-        self._log_fault(f"{kind} {vm} to {worker_id} until {until:.3f}")
+        self._note(f"{kind} {vm} to {worker_id} until {until:.3f}")
         self.site.ways.add(Fault(kind, vm, self._random_link_to(worker_id), until, 1.0))
 
     def _cut_worker_from_store(self, beats: Heartbeats, until: float) -> None:
-        self._log_fault(f"{beats.worker.worker_id} does not reach the store until {until:.3f}")
+        self._note(f"{beats.worker.worker_id} does not reach the store until {until:.3f}")
         beats.cut_until = max(beats.cut_until, until)
 
     def _busy_worker_way(self) -> None:
@@ -457,7 +455,7 @@
         beats = self._random_heartbeats()
         if beats is not None:
             longer_s = self.rng.uniform(0.5, 9.0)
-            self._log_fault(f"{beats.worker.worker_id} goes unannounced, serves on {longer_s:.3f}")
+            self._note(f"{beats.worker.worker_id} goes unannounced, serves on {longer_s:.3f}")
             self.site.remove_record(beats)
             self.site.world.call_later(longer_s, self.site.end_worker, beats)
             self._replace(beats, longer_s)
@@ -465,7 +463,7 @@
     def _crash(self) -> None:
         beats = self._random_heartbeats()
         if beats is not None:
-            self._log_fault(f"{beats.worker.worker_id} crashes")
+            self._note(f"{beats.worker.worker_id} crashes")
             self.site.end_worker(beats)
             self._replace(beats, 0.0)
 
@@ -475,7 +473,7 @@
         if beats is None:
             return
         rack = beats.worker.rack
-        self._log_fault(f"all workers of {rack} crash")
+        self._note(f"all workers of {rack} crash")
         for one in list(self.site.heartbeats.values()):
             if one.worker.up and one.worker.rack == rack:
                 self.site.end_worker(one)
@@ -495,7 +493,7 @@
         if beats is None:
             return
         room = self.rng.randint(1, FULL_ROOM - 1)
-        self._log_fault(f"{beats.worker.worker_id} has room for {room}")
+        self._note(f"{beats.worker.worker_id} has room for {room}")
         self._resize(beats, room)
         self.site.world.call_later(self.rng.uniform(1.0, 15.0), self._resize, beats, FULL_ROOM)
 
@@ -505,11 +503,11 @@
 
     def _suspend(self) -> None:
         """A VM is suspended: its monotonic clock and its timers do not count the time."""
-        vm = self._random_vm_or_leader()
+        vm = self._often_leader()
         seconds = self.rng.choice(SUSPENDED_S) * self.rng.uniform(0.5, 1.0)
         if vm is None or vm.loop.stands_until > self.site.world.time():
             return
-        self._log_fault(f"{vm.name} is suspended for {seconds:.3f} s")
+        self._note(f"{vm.name} is suspended for {seconds:.3f} s")
         over = self.told.over()
         vm.loop.suspend(seconds)
         self.site.world.call_later(seconds, self.told.ask, vm, over)
@@ -518,7 +516,7 @@
         """A worker restarts under its ID, often before its absence is detected."""
         beats = self._random_heartbeats()
         if beats is not None:
-            self._log_fault(f"{beats.worker.life} starts again")
+            self._note(f"{beats.worker.life} starts again")
             self.site.end_worker(beats)
             later_s = self.rng.choice((0.0, 0.05, 0.3, 1.0, 4.0))
             self.site.world.call_later(later_s, self.site.restart_worker, beats)
@@ -530,7 +528,7 @@
             worker = beats.worker
             worker.grey_s = rng.choice((GREY_EARLY_S, rng.uniform(0.5, 4.0)))
             worker.grey_until = self.site.world.time() + rng.uniform(3.0, 15.0)
-            self._log_fault(f"{worker.life} fails all after {worker.grey_s:.3f} s"
+            self._note(f"{worker.life} fails all after {worker.grey_s:.3f} s"
                        f" until {worker.grey_until:.3f}")  # fmt: skip
 
     def _hang(self) -> None:
@@ -539,12 +537,12 @@
         if beats is not None:
             worker = beats.worker
             worker.hangs_until = self.site.world.time() + self.rng.uniform(3.0, 15.0)
-            self._log_fault(f"work on {worker.life} hangs until {worker.hangs_until:.3f}")
+            self._note(f"work on {worker.life} hangs until {worker.hangs_until:.3f}")
 
     def _failing(self) -> None:
         """Jobs that one client account submits for a while fail by their own fault."""
         until = self.site.world.time() + self.rng.uniform(2.0, 8.0)
-        self._log_fault(f"jobs of {OTHER_ACCOUNT} fail until {until:.3f}")
+        self._note(f"jobs of {OTHER_ACCOUNT} fail until {until:.3f}")
         self.kinds.fail_until(until)
 
     def _replace(self, beats: Heartbeats, after_s: float) -> None:
@@ -560,7 +558,7 @@
         for worker_id in self._random_worker_ids(beats):
             one = self.site.heartbeats[worker_id]
             one.cut_until = max(one.cut_until, until)
-            self._log_fault(f"{worker_id} does not reach the store until {until:.3f}")
+            self._note(f"{worker_id} does not reach the store until {until:.3f}")
 
     def _foreign(self) -> None:
         """Another writer changes a worker's record until the worker writes it again."""
@@ -580,11 +578,11 @@
         """Another writer removes a worker's record until the worker writes it again."""
         beats = self._random_heartbeats()
         if beats is not None:
-            self._log_fault(f"the entry of {beats.worker.worker_id} is removed")
+            self._note(f"the entry of {beats.worker.worker_id} is removed")
             self.site.store.remove(f"servers/{beats.worker.worker_id}")
 
     def _overwrite(self, beats: Heartbeats, change: dict[str, object] | None) -> None:
-        self._log_fault(f"the entry of {beats.worker.worker_id} is changed: {change}")
+        self._note(f"the entry of {beats.worker.worker_id} is changed: {change}")
         self.site.overwrite(beats, change)
         self.site.world.call_later(self.rng.uniform(0.1, 12.0), self.site.write, beats)
 
--- a/tests/test_crash_reports.py
+++ b/tests/test_crash_reports.py
@@ -156,7 +156,7 @@
             leader = cluster.leader
             assert leader is not None
             assert leader.scheduler is not None
-            reported = leader.scheduler.waits.explain(CULPRIT) or ""
+            reported = leader.scheduler.waits.of(CULPRIT) or ""
             self.assertIn(FailureCause.CRASHES.sentence, reported)
             name = cluster.leader_name
             await cluster.kill(name)
@@ -164,7 +164,7 @@
             leader = cluster.leader
             assert leader is not None
             assert leader.scheduler is not None
-            self.assertEqual(leader.scheduler.waits.explain(CULPRIT), reported)
+            self.assertEqual(leader.scheduler.waits.of(CULPRIT), reported)
 
         self.play(body, racks=2, workers=4)
 
--- a/tests/test_wait_reports.py
+++ b/tests/test_wait_reports.py
@@ -180,10 +180,10 @@
         changes = self.cluster_state.take_changes()
         self.waits.write_started(each.job_id for each in changes.by_job())
         self.waits.check()
-        self.assertIn(f"({WaitReason.WRITE})", self.waits.explain(job_id) or "")
+        self.assertIn(f"({WaitReason.WRITE})", self.waits.of(job_id) or "")
         self.waits.write_finished(each.job_id for each in changes.by_job())
         self.waits.check()
-        self.assertIn(f"({WaitReason.STARTING})", self.waits.explain(job_id) or "")
+        self.assertIn(f"({WaitReason.STARTING})", self.waits.of(job_id) or "")
 
 
 class MetricsTest(WaitsCase):
@@ -270,7 +270,7 @@
     def wait_of(self, cluster: PoolCluster) -> str | None:
         leader = cluster.leader
         assert leader is not None and leader.scheduler is not None
-        return leader.scheduler.waits.explain(A)
+        return leader.scheduler.waits.of(A)
 
 
 async def _block(requests: StoredJobs) -> None:
